--- a/crates/admission/benches/decide.rs
+++ b/crates/admission/benches/decide.rs
@@ -4,11 +4,11 @@
 use std::hint::black_box;
 
 use criterion::{criterion_group, criterion_main, Criterion};
-use harrierdock::interface::{Outcome, ProductTerms, TxnId};
-use harrierdock::time::{Point, Span};
 use harrierdock_admission::news::{read, write, Figures, News};
 use harrierdock_admission::sketch::Sketch;
 use harrierdock_admission::{Admission, Ask, Event, Place};
+use harrierdock_types::interface::{Outcome, ProductTerms, TxnId};
+use harrierdock_types::time::{Point, Span};
 
 fn admission(peers: usize) -> Admission {
     let terms = |revenue| ProductTerms {
--- a/crates/admission/src/gates.rs
+++ b/crates/admission/src/gates.rs
@@ -1,8 +1,8 @@
 //! What follows from all that is known: the part of each product's txns that passes, by tenant and zone, and
 //! the chance that one makes its deadline. Reckoned at each beat; reading it allocates nothing.
 
-use harrierdock::interface::{ProductIx, ProductTerms, TenantIx};
-use harrierdock::time::Span;
+use harrierdock_types::interface::{ProductIx, ProductTerms, TenantIx};
+use harrierdock_types::time::Span;
 
 use crate::fair;
 use crate::peers::Sum;
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -12,10 +12,10 @@
 pub mod sketch;
 mod waiting;
 
-use harrierdock::interface::{
+use harrierdock_types::interface::{
     Group, Outcome, PeerIx, ProductIx, ProductTerms, Repeat, TenantIx, TxnId, ZoneIx,
 };
-use harrierdock::time::{Point, Span};
+use harrierdock_types::time::{Point, Span};
 use nanorand::{Rng, WyRand};
 
 use gates::Gates;
--- a/crates/admission/src/peers.rs
+++ b/crates/admission/src/peers.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
-use harrierdock::interface::PeerIx;
-use harrierdock::time::{Point, Span};
+use harrierdock_types::interface::PeerIx;
+use harrierdock_types::time::{Point, Span};
 
 use crate::news::{Figures, News};
 use crate::sketch::Sketch;
--- a/crates/admission/src/waiting.rs
+++ b/crates/admission/src/waiting.rs
@@ -1,7 +1,7 @@
 //! Txns that wait for a place: so many at the most, the dearest first, then those with the least slack.
 
-use harrierdock::interface::{ProductIx, TenantIx, TxnId};
-use harrierdock::time::Point;
+use harrierdock_types::interface::{ProductIx, TenantIx, TxnId};
+use harrierdock_types::time::Point;
 
 /// More are never kept; whoever comes then is told at once. Bounds what is kept and what a beat costs.
 pub const MOST_WAITING: usize = 256;
--- a/crates/admission/tests/damping.rs
+++ b/crates/admission/tests/damping.rs
@@ -2,10 +2,10 @@
 //! bears, as news is old and all act on the same. Work is exact, so that what swings is theirs and not
 //! chance.
 
-use harrierdock::interface::{Outcome, ProductTerms, TxnId};
-use harrierdock::time::{Point, Span};
 use harrierdock_admission::news::read;
 use harrierdock_admission::{Action, Admission, Ask, Decision, Event, Place};
+use harrierdock_types::interface::{Outcome, ProductTerms, TxnId};
+use harrierdock_types::time::{Point, Span};
 use nanorand::{Rng, WyRand};
 
 const STEP: i64 = 10_000;
--- a/crates/admission/tests/properties.rs
+++ b/crates/admission/tests/properties.rs
@@ -1,12 +1,12 @@
 //! What holds whatever comes: bounded memory, bounded waits, bounded influence, and no number that is none.
 
-use harrierdock::interface::{Group, Outcome, ProductTerms, Repeat, TxnId};
-use harrierdock::time::{Point, Span};
 use harrierdock_admission::news::{read, write, Figures, News};
 use harrierdock_admission::sketch::Sketch;
 use harrierdock_admission::{
     Action, Admission, Ask, Decision, Event, Place, MOST_HEARD, MOST_MEMBERS, MOST_WAITING,
 };
+use harrierdock_types::interface::{Group, Outcome, ProductTerms, Repeat, TxnId};
+use harrierdock_types::time::{Point, Span};
 use proptest::prelude::*;
 
 const SLA: i64 = 500_000;
--- a/crates/admission/tests/traces.rs
+++ b/crates/admission/tests/traces.rs
@@ -1,10 +1,10 @@
 //! Short traces of one gateway's admission: what it is told, and what it decides.
 
 use expect_test::expect;
-use harrierdock::interface::{Group, Outcome, ProductTerms, Repeat, TxnId};
-use harrierdock::time::{Point, Span};
 use harrierdock_admission::news::read;
 use harrierdock_admission::{Action, Admission, Ask, Decision, Event, Place};
+use harrierdock_types::interface::{Group, Outcome, ProductTerms, Repeat, TxnId};
+use harrierdock_types::time::{Point, Span};
 
 const MS: Span = Span(1_000);
 
--- a/crates/attempts/src/backoff.rs
+++ b/crates/attempt-guard/src/backoff.rs
@@ -1,7 +1,7 @@
 //! How long to wait before something that failed is tried again.
 
-use harrierdock::interface::{Discovery, Terms};
-use harrierdock::time::Span;
+use harrierdock_types::interface::{Discovery, Terms};
+use harrierdock_types::time::Span;
 use nanorand::{Rng, WyRand};
 
 use crate::freshness::KEPT;
--- a/crates/attempts/src/condition.rs
+++ b/crates/attempt-guard/src/condition.rs
@@ -1,7 +1,7 @@
 //! The condition that an attempt carries from its decision to its writing.
 
-use harrierdock::interface::{Build, Lifecycle};
-use harrierdock::time::Point;
+use harrierdock_types::interface::{Build, Lifecycle};
+use harrierdock_types::time::Point;
 
 /// What an attempt was decided on.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/crates/attempts/src/freshness.rs
+++ b/crates/attempt-guard/src/freshness.rs
@@ -1,7 +1,7 @@
 //! Whether the list of servers that is held may still be acted on, where lists come only when they are asked for.
 
-use harrierdock::interface::{Discovery, Terms};
-use harrierdock::time::{Point, Span};
+use harrierdock_types::interface::{Discovery, Terms};
+use harrierdock_types::time::{Point, Span};
 
 /// The protocol: whatever a call for lists came to, a change counts as told this long after discovery had it.
 pub const TOLD_ANYWAY: Span = Span(6_000_000);
--- a/crates/attempts/src/pool.rs
+++ b/crates/attempt-guard/src/pool.rs
@@ -1,6 +1,6 @@
 //! Which kept connection may carry an attempt: one that has rested, and that its server is not about to close.
 
-use harrierdock::time::{Point, Span};
+use harrierdock_types::time::{Point, Span};
 
 /// Of the told time in which a connection comes up: how long one rests after an answer before its next use.
 const REST: f64 = 0.08;
--- a/crates/attempts/tests/backoff.rs
+++ b/crates/attempt-guard/tests/backoff.rs
@@ -1,7 +1,7 @@
 //! How long it is waited before a service that refused is asked again.
 
-use harrierdock::time::Span;
-use harrierdock_attempts::Backoff;
+use harrierdock_attempt_guard::Backoff;
+use harrierdock_types::time::Span;
 
 const LEAST: Span = Span(250_000);
 const MOST: Span = Span(1_500_000);
--- a/crates/attempts/tests/condition.rs
+++ b/crates/attempt-guard/tests/condition.rs
@@ -1,8 +1,8 @@
 //! Each part of a condition lapses by itself, and nothing else makes an attempt lapse.
 
-use harrierdock::interface::Lifecycle;
-use harrierdock::time::{Point, Span};
-use harrierdock_attempts::{Condition, Lapse, Standing};
+use harrierdock_attempt_guard::{Condition, Lapse, Standing};
+use harrierdock_types::interface::Lifecycle;
+use harrierdock_types::time::{Point, Span};
 
 const AT: Point = Point(1_000_000);
 
--- a/crates/attempts/tests/freshness.rs
+++ b/crates/attempt-guard/tests/freshness.rs
@@ -1,8 +1,8 @@
 //! For how long a list is acted on that nothing confirms.
 
-use harrierdock::interface::{Discovery, RuleTerms, Terms};
-use harrierdock::time::{Point, Span};
-use harrierdock_attempts::{Freshness, TOLD_ANYWAY};
+use harrierdock_attempt_guard::{Freshness, TOLD_ANYWAY};
+use harrierdock_types::interface::{Discovery, RuleTerms, Terms};
+use harrierdock_types::time::{Point, Span};
 
 const START: Point = Point(7_000_000);
 const GRACE: Span = Span(500_000);
--- a/crates/attempts/tests/pool.rs
+++ b/crates/attempt-guard/tests/pool.rs
@@ -1,7 +1,7 @@
 //! A kept connection rests, is usable, then too old to be used.
 
-use harrierdock::time::{Point, Span};
-use harrierdock_attempts::{Kept, Pool};
+use harrierdock_attempt_guard::{Kept, Pool};
+use harrierdock_types::time::{Point, Span};
 
 #[test]
 fn a_kept_connection_rests_then_serves_until_its_server_may_close_it() {
--- a/crates/terms/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -4,8 +4,8 @@
 mod ids;
 mod told;
 
-use harrierdock::interface::*;
-use harrierdock::time::Span;
+use harrierdock_types::interface::*;
+use harrierdock_types::time::Span;
 use indexmap::IndexSet;
 
 pub use ids::Ids;
--- a/crates/terms/tests/ids.rs
+++ b/crates/config/tests/ids.rs
@@ -1,6 +1,6 @@
 //! A number is never given to two names.
 
-use harrierdock_terms::Ids;
+use harrierdock_config::Ids;
 
 #[test]
 fn a_number_is_given_once_however_names_come_and_go() {
--- a/crates/terms/tests/refused.rs
+++ b/crates/config/tests/refused.rs
@@ -1,7 +1,7 @@
 //! Settings that cannot be kept to are refused in one line that names the field.
 
 use expect_test::expect;
-use harrierdock_terms::read;
+use harrierdock_config::read;
 use serde_json::{json, Value};
 
 fn settings() -> Value {
--- a/crates/net/src/clock.rs
+++ b/crates/event-loop/src/clock.rs
@@ -3,7 +3,7 @@
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use harrierdock::time::{Point, Span};
+use harrierdock_types::time::{Point, Span};
 
 #[derive(Clone, Copy)]
 pub struct Clock {
--- a/crates/net/src/dues.rs
+++ b/crates/event-loop/src/dues.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use harrierdock::time::Point;
+use harrierdock_types::time::Point;
 
 pub struct Dues<W>(BTreeSet<(Point, W)>);
 
--- a/crates/net/src/feed.rs
+++ b/crates/event-loop/src/feed.rs
@@ -4,8 +4,8 @@
 use std::net::SocketAddr;
 
 use calloop::Readiness;
-use harrierdock::time::{Point, Span};
 use harrierdock_http::{write, AnswerHead, Intake, Progress, BODY_MOST};
+use harrierdock_types::time::{Point, Span};
 
 use crate::connection::{Connection, Filled, Flushed, Purse};
 use crate::net::Net;
--- a/crates/net/src/net.rs
+++ b/crates/event-loop/src/net.rs
@@ -1,8 +1,8 @@
 //! What every part on sockets shares: the loop, the clock, buffers and descriptors.
 
 use calloop::LoopHandle;
-use harrierdock::time::Point;
 use harrierdock_http::BUFFER;
+use harrierdock_types::time::Point;
 
 use crate::clock::Clock;
 use crate::pool::{Descriptors, Pool};
--- a/crates/rehearse/src/admission/day.rs
+++ b/crates/fault-injection/src/admission/day.rs
@@ -4,8 +4,8 @@
 use std::fmt;
 use std::str::FromStr;
 
-use harrierdock::interface::{Group, ProductTerms, Repeat};
-use harrierdock::time::Span;
+use harrierdock_types::interface::{Group, ProductTerms, Repeat};
+use harrierdock_types::time::Span;
 use nanorand::{Rng, WyRand};
 use thiserror::Error;
 
--- a/crates/rehearse/src/admission/txns.rs
+++ b/crates/fault-injection/src/admission/txns.rs
@@ -1,8 +1,8 @@
 //! What becomes of one txn in simulated time, from its coming to its end, at its gateway and at its server.
 
-use harrierdock::interface::{Outcome, TxnId};
-use harrierdock::time::Span;
 use harrierdock_admission::{Ask, Decision, Event};
+use harrierdock_types::interface::{Outcome, TxnId};
+use harrierdock_types::time::Span;
 use nanorand::Rng;
 
 use super::day::{COUNTED, FASTEST, QUEUE, SLOTS, TROUBLE};
--- a/crates/rehearse/src/admission/ways.rs
+++ b/crates/fault-injection/src/admission/ways.rs
@@ -3,8 +3,8 @@
 
 use std::collections::VecDeque;
 
-use harrierdock::time::Span;
 use harrierdock_admission::Admission;
+use harrierdock_types::time::Span;
 
 use super::day::{Day, SLOTS};
 
--- a/crates/rehearse/src/admission/world.rs
+++ b/crates/fault-injection/src/admission/world.rs
@@ -4,8 +4,8 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
 
-use harrierdock::time::Point;
 use harrierdock_admission::{news, Action, Admission, Event, Place};
+use harrierdock_types::time::Point;
 use nanorand::{Rng, WyRand};
 
 use super::day::{Day, Fault, DOWN, END, KILLED, SECOND, TENANTS, ZONES};
--- a/crates/rehearse/src/core.rs
+++ b/crates/fault-injection/src/core.rs
@@ -5,10 +5,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-use harrierdock::interface::{Group, Repeat, TxnId};
-use harrierdock::time::{Point, Span};
-use harrierdock_letters::{Letter, Party, Verdict};
-use harrierdock_sites::{Action, Change, Ending, Event, Hand, Home, Place, Product, Sites};
+use harrierdock_multi_site::{Action, Change, Ending, Event, Hand, Home, Place, Product, Sites};
+use harrierdock_site_messages::{Letter, Party, Verdict};
+use harrierdock_types::interface::{Group, Repeat, TxnId};
+use harrierdock_types::time::{Point, Span};
 use nanorand::{Rng, WyRand};
 use serde::Serialize;
 
@@ -249,7 +249,7 @@
                 assert!(!txn.across, "seed {}: a txn went across twice", self.found.seeds);
                 txn.across = true;
                 self.found.crossed += 1;
-                let handover = harrierdock_letters::Handover {
+                let handover = harrierdock_site_messages::Handover {
                     crossing,
                     from: self.gateways[ix].sites.as_ref().map_or(0, Sites::incarnation),
                     to,
--- a/crates/rehearse/src/duties/mod.rs
+++ b/crates/fault-injection/src/duties/mod.rs
@@ -4,8 +4,8 @@
 
 use std::collections::BTreeSet;
 
-use harrierdock::time::{Point, Span};
-use harrierdock_fleet::NodeIx;
+use harrierdock_lease::NodeIx;
+use harrierdock_types::time::{Point, Span};
 use hdrhistogram::Histogram;
 use nanorand::{Rng, WyRand};
 use serde::Serialize;
--- a/crates/rehearse/src/duties/world.rs
+++ b/crates/fault-injection/src/duties/world.rs
@@ -5,8 +5,8 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
-use harrierdock::time::{Point, Span};
-use harrierdock_fleet::{form, Action, Body, Duty, Epoch, Event, Fleet, Guard, NodeIx, Terms, Told};
+use harrierdock_lease::{form, Action, Body, Duty, Epoch, Event, Fleet, Guard, NodeIx, Terms, Told};
+use harrierdock_types::time::{Point, Span};
 use nanorand::{Rng, WyRand};
 
 pub const LEASE: Span = Span(2_000_000);
--- a/crates/rehearse/src/fleet/crew.rs
+++ b/crates/fault-injection/src/fleet/crew.rs
@@ -6,7 +6,7 @@
 use std::sync::mpsc::Sender;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use harrierdock::time::Point;
+use harrierdock_types::time::Point;
 use nanorand::{Rng, WyRand};
 use rustix::process::Signal;
 use serde_json::{json, Value};
--- a/crates/rehearse/src/fleet/judge.rs
+++ b/crates/fault-injection/src/fleet/judge.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use harrierdock::time::Span;
+use harrierdock_types::time::Span;
 use serde::Serialize;
 
 use super::crew::{Crew, Gateway, DUTIES, ELECTORS};
--- a/crates/rehearse/src/fleet/mod.rs
+++ b/crates/fault-injection/src/fleet/mod.rs
@@ -10,8 +10,8 @@
 use std::path::{Path, PathBuf};
 
 use calloop::EventLoop;
-use harrierdock::time::{Point, Span};
-use harrierdock_net::{Descriptors, Net, Pool};
+use harrierdock_event_loop::{Descriptors, Net, Pool};
+use harrierdock_types::time::{Point, Span};
 use nanorand::WyRand;
 
 use crate::processes::program;
@@ -69,7 +69,7 @@
 }
 
 pub fn play(day: &Day, progress: impl FnMut(f64)) -> Result<Report, String> {
-    let folder = std::env::temp_dir().join(format!("harrierdock-fleet-{}-{}", std::process::id(), day.seed));
+    let folder = std::env::temp_dir().join(format!("harrierdock-lease-{}-{}", std::process::id(), day.seed));
     std::fs::create_dir_all(&folder).map_err(|e| format!("{}: {e}", folder.display()))?;
     let played = on_stage(day, &folder, progress);
     let _ = std::fs::remove_dir_all(&folder);
--- a/crates/rehearse/src/flows.rs
+++ b/crates/fault-injection/src/flows.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use harrierdock_link::Credentials;
+use harrierdock_site_transport::Credentials;
 use rustls::server::WebPkiClientVerifier;
 use rustls::{RootCertStore, ServerConfig};
 use serde::Serialize;
@@ -114,7 +114,8 @@
 const KINDS: [&str; 2] = ["submission", "txn"];
 
 pub fn play(day: &Day, progress: impl FnMut(f64)) -> Result<Report, String> {
-    let folder = std::env::temp_dir().join(format!("harrierdock-flows-{}-{}", std::process::id(), day.seed));
+    let folder =
+        std::env::temp_dir().join(format!("harrierdock-flow-metering-{}-{}", std::process::id(), day.seed));
     std::fs::create_dir_all(&folder).map_err(|e| format!("{}: {e}", folder.display()))?;
     let played = on_stage(day, &folder, progress);
     let _ = std::fs::remove_dir_all(&folder);
--- a/crates/rehearse/src/main.rs
+++ b/crates/fault-injection/src/main.rs
@@ -1,14 +1,14 @@
-//! `harrierdock-rehearse`: plays bad days against the built gateway, or its deciding parts alone, and ends with
+//! `harrierdock-fault-injection`: plays bad days against the built gateway, or its deciding parts alone, and ends with
 //! one JSON line on standard output. Exit code 0 if every property in it holds, 1 if one does not, 2 for bad
 //! usage.
 
 use std::process::ExitCode;
 
 use bpaf::Bpaf;
-use harrierdock_rehearse::collector::Road;
-use harrierdock_rehearse::fleet::faults::Fault;
-use harrierdock_rehearse::sites::{self, At, Cut, Day};
-use harrierdock_rehearse::{admission, core, duties, fleet, flows, membership};
+use harrierdock_fault_injection::collector::Road;
+use harrierdock_fault_injection::fleet::faults::Fault;
+use harrierdock_fault_injection::sites::{self, At, Cut, Day};
+use harrierdock_fault_injection::{admission, core, duties, fleet, flows, membership};
 use indicatif::{ProgressBar, ProgressDrawTarget};
 use serde::Serialize;
 
@@ -370,7 +370,7 @@
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(1),
         Err(e) => {
-            eprintln!("harrierdock-rehearse: {}", e.replace('\n', " "));
+            eprintln!("harrierdock-fault-injection: {}", e.replace('\n', " "));
             ExitCode::from(2)
         }
     }
--- a/crates/rehearse/src/membership.rs
+++ b/crates/fault-injection/src/membership.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use harrierdock::time::Point;
-use harrierdock_letters::{write, Beat, Letter, Party, Record, Standing};
-use harrierdock_sites::{Asked, Members, ROUND};
+use harrierdock_multi_site::{Asked, Members, ROUND};
+use harrierdock_site_messages::{write, Beat, Letter, Party, Record, Standing};
+use harrierdock_types::time::Point;
 use nanorand::{Rng, WyRand};
 use serde::Serialize;
 
--- a/crates/rehearse/src/sites.rs
+++ b/crates/fault-injection/src/sites.rs
@@ -13,8 +13,8 @@
 use std::time::Duration;
 
 use calloop::EventLoop;
-use harrierdock::time::{Point, Span};
-use harrierdock_net::{Descriptors, Net, Pool};
+use harrierdock_event_loop::{Descriptors, Net, Pool};
+use harrierdock_types::time::{Point, Span};
 use hdrhistogram::Histogram;
 use serde::Serialize;
 use serde_json::{json, Value};
@@ -398,7 +398,8 @@
 }
 
 fn folder(day: &Day, linked: bool) -> Result<PathBuf, String> {
-    let name = format!("harrierdock-rehearse-{}-{}-{}", std::process::id(), day.seed, u8::from(linked));
+    let name =
+        format!("harrierdock-fault-injection-{}-{}-{}", std::process::id(), day.seed, u8::from(linked));
     let folder = std::env::temp_dir().join(name);
     std::fs::create_dir_all(&folder).map_err(|e| format!("{}: {e}", folder.display()))?;
     Ok(folder)
--- a/crates/rehearse/src/world.rs
+++ b/crates/fault-injection/src/world.rs
@@ -9,9 +9,9 @@
 
 use calloop::generic::Generic;
 use calloop::{Interest, Mode, PostAction, Readiness, RegistrationToken};
-use harrierdock::time::{Point, Span};
+use harrierdock_event_loop::{Connection, ConnectionNo, Dues, Filled, Flushed, Net, Purse};
 use harrierdock_http::{write, AnswerHead, Intake, Progress, RequestHead};
-use harrierdock_net::{Connection, ConnectionNo, Dues, Filled, Flushed, Net, Purse};
+use harrierdock_types::time::{Point, Span};
 use nanorand::{Rng, WyRand};
 
 pub const SITES: [&str; 2] = ["hobart", "launceston"];
--- a/crates/rehearse/tests/rehearsals.rs
+++ b/crates/fault-injection/tests/rehearsals.rs
@@ -1,6 +1,6 @@
 //! The rehearsals without sockets, short: the same verdict every time.
 
-use harrierdock_rehearse::{core, duties, membership};
+use harrierdock_fault_injection::{core, duties, membership};
 
 #[test]
 fn the_rules_hold_between_two_sites_whatever_happens_in_two_dozen_seeds() {
--- a/crates/flows/benches/structures.rs
+++ b/crates/flow-metering/benches/structures.rs
@@ -4,8 +4,8 @@
 use std::hint::black_box;
 
 use criterion::{criterion_group, criterion_main, Criterion};
-use harrierdock::time::{Point, Span};
-use harrierdock_flows::*;
+use harrierdock_flow_metering::*;
+use harrierdock_types::time::{Point, Span};
 use nanorand::{Rng, WyRand};
 
 fn key(n: u32) -> Key {
--- a/crates/flows/src/lib.rs
+++ b/crates/flow-metering/src/lib.rs
@@ -14,7 +14,7 @@
 pub use table::Table;
 pub use wheel::Wheel;
 
-use harrierdock::time::{Point, Span};
+use harrierdock_types::time::{Point, Span};
 
 /// Servers that have rows of their own.
 pub const SERVERS: usize = 64;
--- a/crates/flows/src/sums.rs
+++ b/crates/flow-metering/src/sums.rs
@@ -1,6 +1,6 @@
 //! What is summed, and under which key.
 
-use harrierdock::time::{Point, Span};
+use harrierdock_types::time::{Point, Span};
 
 use crate::Ended;
 
--- a/crates/flows/src/wheel.rs
+++ b/crates/flow-metering/src/wheel.rs
@@ -1,6 +1,6 @@
 //! A wheel of time-outs: what is due within its span is put into the slot of its turn, and each turn takes one slot.
 
-use harrierdock::time::{Point, Span};
+use harrierdock_types::time::{Point, Span};
 
 pub struct Wheel<T> {
     slots: Vec<Vec<T>>,
--- a/crates/flows/tests/flows.rs
+++ b/crates/flow-metering/tests/flows.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
-use harrierdock::time::{Point, Span};
-use harrierdock_flows::*;
+use harrierdock_flow_metering::*;
+use harrierdock_types::time::{Point, Span};
 use nanorand::{Rng, WyRand};
 use proptest::prelude::*;
 
--- a/crates/gateway/src/command_line.rs
+++ b/crates/gateway/src/cli/arguments.rs
@@ -4,7 +4,7 @@
 use std::str::FromStr;
 
 use bpaf::Bpaf;
-use harrierdock_net::logging::{Form, Level};
+use harrierdock_event_loop::logging::{Form, Level};
 
 /// The gateway that routes txns and votes on staged releases.
 #[derive(Bpaf, Clone, Debug)]
--- a/crates/gateway/src/keys.rs
+++ b/crates/gateway/src/cli/keys.rs
@@ -6,8 +6,8 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, SystemTime};
 
-use harrierdock_letters::Party;
-use harrierdock_link::keys::{authority, issue, show, Pair};
+use harrierdock_site_messages::Party;
+use harrierdock_site_transport::keys::{authority, issue, show, Pair};
 
 /// Certificates count from a little before now, so that sites whose clocks differ believe them at once.
 const BEFORE: Duration = Duration::from_secs(3600);
--- a/crates/gateway/src/with.rs
+++ b/crates/gateway/src/config/extensions.rs
@@ -3,13 +3,13 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-use harrierdock::time::Span;
-use harrierdock_letters::Party;
-use harrierdock_link::{keys, Credentials};
+use harrierdock_site_messages::Party;
+use harrierdock_site_transport::{keys, Credentials};
+use harrierdock_types::time::Span;
 use schemars::JsonSchema;
 use serde::Deserialize;
 
-use crate::fleet_told::{Beside, FleetMisfit, FleetTold};
+use crate::config::lease::{Beside, FleetMisfit, FleetTold};
 
 /// What an installation has beyond the platform's configuration. Without the file, or with nothing in it, the
 /// gateway is what it is without.
--- a/crates/gateway/src/told.rs
+++ b/crates/gateway/src/config/gateway.rs
@@ -3,15 +3,15 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-use harrierdock::interface::Terms;
-use harrierdock_terms::Names;
+use harrierdock_config::Names;
+use harrierdock_types::interface::Terms;
 use serde::Deserialize;
 use serde_json::{Map, Value};
 
-use crate::discovery::ListTold;
-use crate::fleet_told::Beside;
-use crate::platform::NewsTold;
-use crate::with::With;
+use crate::config::extensions::With;
+use crate::config::lease::Beside;
+use crate::control_plane::discovery::ListTold;
+use crate::control_plane::rollout_platform::NewsTold;
 
 #[derive(Deserialize)]
 pub struct Told {
@@ -90,12 +90,12 @@
     }
 
     pub fn terms(&self) -> Result<(Terms, Names), String> {
-        harrierdock_terms::read(&self.settings).map_err(|e| format!("{}: settings.{e}", self.path.display()))
+        harrierdock_config::read(&self.settings).map_err(|e| format!("{}: settings.{e}", self.path.display()))
     }
 
     /// The seed as a number; one that is not hexadecimal still gives a number of its own.
     pub fn seed(&self) -> u64 {
-        u64::from_str_radix(&self.seed, 16).unwrap_or_else(|_| harrierdock_terms::hash(&self.seed))
+        u64::from_str_radix(&self.seed, 16).unwrap_or_else(|_| harrierdock_config::hash(&self.seed))
     }
 
     /// What the configuration and the file beside it hold, in a line each.
--- a/crates/gateway/src/fleet_told.rs
+++ b/crates/gateway/src/config/lease.rs
@@ -2,8 +2,8 @@
 
 use std::net::SocketAddr;
 
-use harrierdock::time::Span;
-use harrierdock_fleet::{form, Duty, Electorate, Misfit, Terms};
+use harrierdock_lease::{form, Duty, Electorate, Misfit, Terms};
+use harrierdock_types::time::Span;
 use schemars::JsonSchema;
 use serde::Deserialize;
 use thiserror::Error;
@@ -162,8 +162,8 @@
 }
 
 impl FleetTold {
-    fn told(&self, name: &str) -> harrierdock_fleet::Told {
-        harrierdock_fleet::Told {
+    fn told(&self, name: &str) -> harrierdock_lease::Told {
+        harrierdock_lease::Told {
             own: name.into(),
             names: self.gateways.clone(),
             electorate: self.electorate.clone(),
--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/control_plane/discovery.rs
@@ -4,18 +4,18 @@
 use std::net::SocketAddr;
 
 use calloop::Readiness;
-use harrierdock::interface::{Event, Lifecycle, Listed, Scope, ServerIx, Terms};
-use harrierdock::time::{Point, Span};
-use harrierdock_attempts::{Backoff, Freshness, TOLD_ANYWAY};
+use harrierdock_attempt_guard::{Backoff, Freshness, TOLD_ANYWAY};
+use harrierdock_config::{mark, Names};
+use harrierdock_event_loop::{Asking, Clock, Feed, Heard};
 use harrierdock_http::BODY_MOST;
-use harrierdock_net::{Asking, Clock, Feed, Heard};
-use harrierdock_terms::{mark, Names};
+use harrierdock_types::interface::{Event, Lifecycle, Listed, Scope, ServerIx, Terms};
+use harrierdock_types::time::{Point, Span};
 use serde::Deserialize;
 
-use crate::counters::Count;
-use crate::gateway::Gateway;
-use crate::room::{Notice, Room};
-use crate::servers::{Machine, Servers};
+use crate::metrics::Count;
+use crate::runtime::context::{Notice, Room};
+use crate::runtime::gateway::Gateway;
+use crate::upstream::{Machine, Servers};
 
 /// A stream in order says something, if only an empty line, this often.
 const SIGN_OF_LIFE: Span = Span(2_000_000);
--- a/crates/gateway/src/platform.rs
+++ b/crates/gateway/src/control_plane/rollout_platform.rs
@@ -4,17 +4,17 @@
 use std::net::SocketAddr;
 
 use calloop::Readiness;
-use harrierdock::interface::{Build, Event, Phase, StageNews, Verdict, Word};
-use harrierdock::time::{Point, Span};
+use harrierdock_config::Names;
+use harrierdock_event_loop::{Asking, Connection, ConnectionNo, Feed, Filled, Flushed, Heard, Purse};
 use harrierdock_http::{write, AnswerHead, Intake, Progress};
-use harrierdock_net::{Asking, Connection, ConnectionNo, Feed, Filled, Flushed, Heard, Purse};
-use harrierdock_terms::Names;
+use harrierdock_types::interface::{Build, Event, Phase, StageNews, Verdict, Word};
+use harrierdock_types::time::{Point, Span};
 use serde::Deserialize;
 
-use crate::counters::Count;
-use crate::due::Due;
-use crate::gateway::Gateway;
-use crate::room::{Notice, Room};
+use crate::metrics::Count;
+use crate::runtime::context::{Notice, Room};
+use crate::runtime::gateway::Gateway;
+use crate::runtime::timer::Due;
 
 const SIGN_OF_LIFE: Span = Span(1_000_000);
 /// Signs of life that may be missed before a stream counts as silent.
--- a/crates/gateway/src/attempts.rs
+++ b/crates/gateway/src/dispatch/attempts.rs
@@ -1,16 +1,16 @@
 //! Attempts of txns at servers: from what the module asks for to the first byte, and what may come between.
 
-use harrierdock::interface::{Outcome, ProductTerms, Repeat, ServerIx, TxnId};
-use harrierdock::time::{Point, Span};
-use harrierdock_attempts::{Condition, Lapse, Standing};
-use harrierdock_net::ConnectionNo;
+use harrierdock_attempt_guard::{Condition, Lapse, Standing};
+use harrierdock_event_loop::ConnectionNo;
+use harrierdock_types::interface::{Outcome, ProductTerms, Repeat, ServerIx, TxnId};
+use harrierdock_types::time::{Point, Span};
 
-use crate::book::{Entry, Sent};
-use crate::counters::Count;
-use crate::driver::Driver;
-use crate::gateway::Gateway;
-use crate::room::{Asked, Notice};
-use crate::servers::Unwritten;
+use crate::dispatch::dispatcher::Driver;
+use crate::dispatch::request_table::{Entry, Sent};
+use crate::metrics::Count;
+use crate::runtime::context::{Asked, Notice};
+use crate::runtime::gateway::Gateway;
+use crate::upstream::Unwritten;
 
 impl Driver {
     /// What an attempt of this txn at this server, decided on now, is decided on.
--- a/crates/gateway/src/driver.rs
+++ b/crates/gateway/src/dispatch/dispatcher.rs
@@ -3,21 +3,21 @@
 
 use std::collections::BTreeMap;
 
-use harrierdock::interface::*;
-use harrierdock::policy;
-use harrierdock::time::{Point, Span};
-use harrierdock_flows as flows;
-use harrierdock_letters::Verdict;
-use harrierdock_sites::{Ending, Event as Crossing};
-use harrierdock_terms::Names;
+use harrierdock_config::Names;
+use harrierdock_flow_metering as flows;
+use harrierdock_multi_site::{Ending, Event as Crossing};
+use harrierdock_policy as policy;
+use harrierdock_site_messages::Verdict;
+use harrierdock_types::interface::*;
+use harrierdock_types::time::{Point, Span};
 
-use crate::book::{Entry, Whereabouts};
-use crate::clients::Answer;
-use crate::counters::Count;
-use crate::due::Due;
-use crate::export::Submission;
-use crate::gateway::Gateway;
-use crate::room::Notice;
+use crate::dispatch::request_table::{Entry, Whereabouts};
+use crate::downstream::Answer;
+use crate::flow_export::exporter::Submission;
+use crate::metrics::Count;
+use crate::runtime::context::Notice;
+use crate::runtime::gateway::Gateway;
+use crate::runtime::timer::Due;
 
 pub struct Driver {
     pub module: policy::Gateway,
--- a/crates/gateway/src/book.rs
+++ b/crates/gateway/src/dispatch/request_table.rs
@@ -1,8 +1,8 @@
 //! What the driver's book holds of each txn, until it has had its answer and all its submissions have ended.
 
-use harrierdock::interface::{Key, ProductIx, ServerIx};
-use harrierdock::time::Point;
-use harrierdock_attempts::Condition;
+use harrierdock_attempt_guard::Condition;
+use harrierdock_types::interface::{Key, ProductIx, ServerIx};
+use harrierdock_types::time::Point;
 
 pub struct Sent {
     pub server: ServerIx,
--- a/crates/gateway/src/clients/standing.rs
+++ b/crates/gateway/src/downstream/idle_eviction.rs
@@ -1,12 +1,12 @@
 //! How connections stand on which no txn is under way: which give way to others, and which have had their time.
 
 use calloop::Readiness;
-use harrierdock::time::{Point, Span};
-use harrierdock_net::ConnectionNo;
+use harrierdock_event_loop::ConnectionNo;
+use harrierdock_types::time::{Point, Span};
 
 use super::{Client, Clients, Phase, UNUSED};
-use crate::counters::Count;
-use crate::room::Room;
+use crate::metrics::Count;
+use crate::runtime::context::Room;
 
 /// As though something had come in.
 pub(super) const WAITING: Readiness = Readiness { readable: true, writable: false, error: false };
--- a/crates/gateway/src/clients/listener.rs
+++ b/crates/gateway/src/downstream/listener.rs
@@ -5,14 +5,14 @@
 
 use calloop::generic::Generic;
 use calloop::{Interest, Mode, PostAction, Readiness};
+use harrierdock_event_loop::{Connection, ConnectionNo, Purse};
 use harrierdock_http::Intake;
-use harrierdock_net::{Connection, ConnectionNo, Purse};
 use socket2::{Domain, Protocol, Socket, Type};
 
 use super::{Client, Clients, Phase};
-use crate::counters::Count;
-use crate::gateway::Gateway;
-use crate::room::Room;
+use crate::metrics::Count;
+use crate::runtime::context::Room;
+use crate::runtime::gateway::Gateway;
 
 const BACKLOG: i32 = 1024;
 /// Connections taken in one go, so that a flood of them gives way to what is under way.
--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/downstream/mod.rs
@@ -1,7 +1,8 @@
 //! Clients: their connections, the requests on them and the answers.
 
+mod idle_eviction;
 mod listener;
-mod standing;
+pub mod request_parser;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -9,17 +10,17 @@
 use std::rc::Rc;
 
 use calloop::{Readiness, RegistrationToken};
-use harrierdock::interface::TxnId;
-use harrierdock::time::{Point, Span};
+use harrierdock_event_loop::{Connection, ConnectionNo, Filled, Flushed};
 use harrierdock_http::{write, Fault, Intake, Progress, RequestHead};
-use harrierdock_net::{Connection, ConnectionNo, Filled, Flushed};
+use harrierdock_types::interface::TxnId;
+use harrierdock_types::time::{Point, Span};
 use indexmap::IndexSet;
 
-use crate::counters::Count;
-use crate::request::{asked, Request};
-use crate::room::{Asked, Body, Notice, Room};
+use crate::downstream::request_parser::{asked, Request};
+use crate::metrics::Count;
+use crate::runtime::context::{Asked, Body, Notice, Room};
+use idle_eviction::{Standing, WAITING};
 use listener::{listen, Accepting};
-use standing::{Standing, WAITING};
 
 /// The protocol lets a connection without an open request be closed after this.
 pub const UNUSED: Span = Span(2_000_000);
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/downstream/request_parser.rs
@@ -1,11 +1,11 @@
 //! What a client's request is: a txn, a look at whether the gateway is ready, or neither.
 
-use harrierdock::interface::{Key, ProductIx};
-use harrierdock::time::Span;
 use harrierdock_http::RequestHead;
+use harrierdock_types::interface::{Key, ProductIx};
+use harrierdock_types::time::Span;
 use indexmap::IndexSet;
 
-use crate::room::Asked;
+use crate::runtime::context::Asked;
 
 /// The longest id that is passed on.
 const ID_MOST: usize = 64;
@@ -43,7 +43,7 @@
 /// A key is a small number at the door, whatever its text.
 fn key(text: &str) -> Key {
     let number = (text.len() == 16).then(|| u64::from_str_radix(text, 16).ok()).flatten();
-    Key(number.unwrap_or_else(|| harrierdock_terms::hash(text)))
+    Key(number.unwrap_or_else(|| harrierdock_config::hash(text)))
 }
 
 fn good_id(text: &str) -> bool {
--- a/crates/gateway/src/export.rs
+++ b/crates/gateway/src/flow_export/exporter.rs
@@ -1,4 +1,4 @@
-//! Flow export: what `crates/flows` has summed goes to collectors by UDP, TCP or TLS, and to a file. Nothing here
+//! Flow export: what `crates/flow-metering` has summed goes to collectors by UDP, TCP or TLS, and to a file. Nothing here
 //! waits: all is moved on at the wheel's turns, by sockets that never block and buffers of its own; files are
 //! written by a helper thread.
 
@@ -8,18 +8,20 @@
 use std::sync::Arc;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-use harrierdock::interface::{Outcome as Ended, ProductIx, StageNews};
-use harrierdock::time::{Point, Span};
-use harrierdock_flows::{Dropped, Flow, Flows, Kind, Outcome, Pending, Road as Way, Sums, BUCKETS, KEYS};
+use harrierdock_config::Names;
+use harrierdock_flow_metering::{
+    Dropped, Flow, Flows, Kind, Outcome, Pending, Road as Way, Sums, BUCKETS, KEYS,
+};
 use harrierdock_ipfix::{Element, Form, Kind as Type, Semantics, Template, Value, Writer, ENTERPRISE};
-use harrierdock_link::Credentials;
-use harrierdock_terms::Names;
+use harrierdock_site_transport::Credentials;
+use harrierdock_types::interface::{Outcome as Ended, ProductIx, StageNews};
+use harrierdock_types::time::{Point, Span};
 use nanorand::{Rng, WyRand};
 use rustls::{ClientConfig, ClientConnection, RootCertStore};
 use socket2::{Domain, Protocol, Socket, Type as SocketType};
 
-use crate::flow_file::FlowFile;
-use crate::with::{CollectorRoad, CollectorTold, FlowForm, FlowsTold, With};
+use crate::config::extensions::{CollectorRoad, CollectorTold, FlowForm, FlowsTold, With};
+use crate::flow_export::file::FlowFile;
 
 /// What an IPFIX message may take over UDP where the path's size is not known (RFC 7011, 10.3.3).
 const UDP_MOST: usize = 1400;
@@ -739,7 +741,7 @@
         let stage = if of.build == self.stage.0 { self.stage.1 } else { 0 };
         self.flows.record(
             now,
-            &harrierdock_flows::Ended {
+            &harrierdock_flow_metering::Ended {
                 kind: Kind::Submission,
                 build: of.build,
                 stage,
@@ -773,7 +775,7 @@
         self.count(Kind::Txn, 0, product);
         self.flows.record(
             now,
-            &harrierdock_flows::Ended {
+            &harrierdock_flow_metering::Ended {
                 kind: Kind::Txn,
                 build: 0,
                 stage: 0,
--- a/crates/gateway/src/flow_file.rs
+++ b/crates/gateway/src/flow_export/file.rs
@@ -7,12 +7,12 @@
 use std::sync::mpsc::{sync_channel, SyncSender, TrySendError};
 use std::thread::JoinHandle;
 
-use harrierdock::time::Point;
-use harrierdock_flows::Flow;
+use harrierdock_flow_metering::Flow;
 use harrierdock_ipfix::{split_file, Form, Torn};
+use harrierdock_types::time::Point;
 
-use crate::export::Outbox;
-use crate::with::FlowFileTold;
+use crate::config::extensions::FlowFileTold;
+use crate::flow_export::exporter::Outbox;
 
 /// Messages that wait for the disk, at the most; then flows wait, and are merged.
 const WAITING_MOST: usize = 64;
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/gossip.rs
@@ -6,13 +6,13 @@
 
 use calloop::generic::Generic;
 use calloop::{Interest, LoopHandle, Mode, PostAction};
-use harrierdock::interface::{Event, Message, PeerIx};
-use harrierdock::mail;
+use harrierdock_types::gossip as mail;
+use harrierdock_types::interface::{Event, Message, PeerIx};
 
-use crate::counters::Count;
-use crate::fleet::FLEET_FROM;
-use crate::room::{Notice, Room};
-use crate::told::Told;
+use crate::config::gateway::Told;
+use crate::lease::participant::FLEET_FROM;
+use crate::metrics::Count;
+use crate::runtime::context::{Notice, Room};
 
 /// The longest datagram that may be sent.
 const MOST: usize = 256;
--- a/crates/gateway/src/duties.rs
+++ b/crates/gateway/src/lease/handlers.rs
@@ -1,20 +1,20 @@
 //! Duties on sockets: what `fleet` and `steward` ask for is done here, with the peers' road and the loop's dues.
 
 use calloop::Readiness;
-use harrierdock::interface::{Build, Event as ModuleEvent, PeerIx, Phase, StageNews, Verdict, Word};
-use harrierdock::time::{Point, Span};
-use harrierdock_fleet::{Duty, Event};
-use harrierdock_net::ConnectionNo;
-use harrierdock_steward::{self as ballots, Action, Answer, Event as StewardEvent};
-
-use crate::counters::Count;
-use crate::due::Due;
-use crate::fleet::{Asked, Duties};
-use crate::gateway::Gateway;
-use crate::room::Notice;
-use crate::steward::{self, Ended, Spans, Stewarding};
-use crate::told::Told;
-use crate::with::With;
+use harrierdock_event_loop::ConnectionNo;
+use harrierdock_lease::{Duty, Event};
+use harrierdock_rollout_controller::{self as ballots, Action, Answer, Event as StewardEvent};
+use harrierdock_types::interface::{Build, Event as ModuleEvent, PeerIx, Phase, StageNews, Verdict, Word};
+use harrierdock_types::time::{Point, Span};
+
+use crate::config::extensions::With;
+use crate::config::gateway::Told;
+use crate::lease::participant::{Asked, Duties};
+use crate::metrics::Count;
+use crate::rollout::controller::{self, Ended, Spans, Stewarding};
+use crate::runtime::context::Notice;
+use crate::runtime::gateway::Gateway;
+use crate::runtime::timer::Due;
 
 impl Gateway {
     /// Begins this gateway's part in the fleet, where one is told.
@@ -32,7 +32,7 @@
         Ok(())
     }
 
-    /// Tells `crates/fleet`, and does what it asks for.
+    /// Tells `crates/lease`, and does what it asks for.
     pub fn fleet(&mut self, event: Event) {
         let now = self.room.now();
         let asked = self.duties.as_mut().map(|d| d.take(now, event));
@@ -102,7 +102,7 @@
             return false;
         }
         self.room.counters.add(Count::Votes);
-        self.steward(StewardEvent::Cast(steward::ballot(build, stage, verdict)));
+        self.steward(StewardEvent::Cast(controller::ballot(build, stage, verdict)));
         // To the module the vote stands: it renews it as it would at the platform.
         let news = StageNews {
             build,
@@ -119,7 +119,7 @@
 
     /// The platform has told how a build stands.
     pub fn steward_news(&mut self, news: &StageNews) {
-        if let Some(event) = steward::stage(news).filter(|_| self.stewarding.is_some()) {
+        if let Some(event) = controller::stage(news).filter(|_| self.stewarding.is_some()) {
             self.steward(event);
         }
     }
--- a/crates/gateway/src/fleet.rs
+++ b/crates/gateway/src/lease/participant.rs
@@ -1,11 +1,11 @@
-//! This gateway's part in a fleet: messages on the peers' road to `crates/fleet` and back, the times it asks for,
+//! This gateway's part in a fleet: messages on the peers' road to `crates/lease` and back, the times it asks for,
 //! and the lines that say who holds what. Knows no socket: it takes bytes and points, and gives back what to do.
 
-use harrierdock::interface::PeerIx;
-use harrierdock::time::{Point, Span};
-use harrierdock_fleet::{form, Action, Duty, Epoch, Event, Fleet, Terms, Unread, Why};
+use harrierdock_lease::{form, Action, Duty, Epoch, Event, Fleet, Terms, Unread, Why};
+use harrierdock_types::interface::PeerIx;
+use harrierdock_types::time::{Point, Span};
 
-use crate::fleet_told::{FleetMisfit, FleetTold};
+use crate::config::lease::{FleetMisfit, FleetTold};
 
 /// Messages that begin from here on are of a fleet; no text does.
 pub const FLEET_FROM: u8 = 0xF5;
@@ -31,7 +31,7 @@
     WakeAt(Point),
 }
 
-/// A clock that a rehearsal lets run fast or slow. Only what `crates/fleet` is told goes by it.
+/// A clock that a rehearsal lets run fast or slow. Only what `crates/lease` is told goes by it.
 #[derive(Clone, Copy, Debug)]
 struct Pace {
     start: Point,
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Tells `crates/fleet`, says what has changed, and gives back what is to be done.
+    /// Tells `crates/lease`, says what has changed, and gives back what is to be done.
     pub fn take(&mut self, now: Point, event: Event) -> Vec<Asked> {
         let actions = self.fleet.take(self.pace.told(now), event);
         actions.into_iter().map(|action| self.asked(now, action)).collect()
--- a/crates/gateway/src/control.rs
+++ b/crates/gateway/src/multi_site/control_socket.rs
@@ -8,9 +8,9 @@
 
 use calloop::generic::Generic;
 use calloop::{Interest, LoopHandle, Mode, PostAction, RegistrationToken};
-use harrierdock::time::{Point, Span};
+use harrierdock_types::time::{Point, Span};
 
-use crate::gateway::Gateway;
+use crate::runtime::gateway::Gateway;
 
 /// Callers at once, at the most, and how long one may say nothing.
 const MOST: usize = 4;
--- a/crates/gateway/src/across.rs
+++ b/crates/gateway/src/multi_site/forwarding.rs
@@ -1,5 +1,5 @@
 //! Between two sites on sockets: the link's UDP socket, the letters on it, and the txns that cross. What is to
-//! cross, and what becomes of it, is decided in `crates/sites`; this file obeys.
+//! cross, and what becomes of it, is decided in `crates/multi-site`; this file obeys.
 
 use std::collections::BTreeMap;
 use std::io::{self, ErrorKind};
@@ -9,21 +9,21 @@
 
 use calloop::generic::Generic;
 use calloop::{Interest, Mode, PostAction};
-use harrierdock::interface::{Event as ModuleEvent, Lifecycle, TxnId};
-use harrierdock::time::{Point, Span};
-use harrierdock_letters::{self as letters, Handover, Letter, Party, Verdict};
-use harrierdock_link::{Heard, Link, RoadNo};
-use harrierdock_net::Purse;
-use harrierdock_sites::{status, Action, Change, Event, Hand, InwardNo, Place, Product, Sites};
+use harrierdock_event_loop::Purse;
+use harrierdock_multi_site::{status, Action, Change, Event, Hand, InwardNo, Place, Product, Sites};
+use harrierdock_site_messages::{self as letters, Handover, Letter, Party, Verdict};
+use harrierdock_site_transport::{Heard, Link, RoadNo};
+use harrierdock_types::interface::{Event as ModuleEvent, Lifecycle, TxnId};
+use harrierdock_types::time::{Point, Span};
 use socket2::{Domain, Protocol, Socket, Type};
 
-use crate::clients::Answer;
-use crate::counters::Count;
-use crate::due::Due;
-use crate::gateway::Gateway;
-use crate::room::{Asked, Body, Notice, Room};
-use crate::told::Told;
-use crate::with::With;
+use crate::config::extensions::With;
+use crate::config::gateway::Told;
+use crate::downstream::Answer;
+use crate::metrics::Count;
+use crate::runtime::context::{Asked, Body, Notice, Room};
+use crate::runtime::gateway::Gateway;
+use crate::runtime::timer::Due;
 
 /// The longest datagram that is read, and how many in one go, so that a flood of them gives way to txns.
 const DATAGRAM_MOST: usize = 2048;
@@ -75,7 +75,7 @@
         let listens = |e: io::Error| format!("sites.listen: {}: {e}", between.listen);
         let socket = Rc::new(bind(between.listen).map_err(listens)?);
         let address = socket.local_addr().map_err(listens)?;
-        let product = |(name, told): (&String, &harrierdock::interface::ProductTerms)| Product {
+        let product = |(name, told): (&String, &harrierdock_types::interface::ProductTerms)| Product {
             name: name.clone(),
             repeat: told.repeat,
             sla: told.sla,
@@ -202,7 +202,7 @@
 }
 
 impl Gateway {
-    /// Tells `crates/sites`, and does what it asks for.
+    /// Tells `crates/multi-site`, and does what it asks for.
     pub fn sites(&mut self, now: Point, event: Event) {
         let Some(across) = &mut self.across else { return };
         for action in across.sites.take(now, event) {
--- a/crates/gateway/src/steward.rs
+++ b/crates/gateway/src/rollout/controller.rs
@@ -1,19 +1,21 @@
-//! The steward's calls of the installation: which call is due is decided in `crates/steward`, whether it may go out is
+//! The steward's calls of the installation: which call is due is decided in `crates/rollout-controller`, whether it may go out is
 //! asked in the moment before its bytes do.
 
 use std::net::SocketAddr;
 
 use calloop::Readiness;
-use harrierdock::interface::{Build, Phase};
-use harrierdock::interface::{StageNews, Verdict, Word};
-use harrierdock::time::{Point, Span};
-use harrierdock_fleet::Epoch;
-use harrierdock_net::{ConnectionNo, Errand, Net, Step};
-use harrierdock_steward::{Action, Answer, Ballot, Event, Said, Standing, Steward, Terms, Wave, Way};
+use harrierdock_event_loop::{ConnectionNo, Errand, Net, Step};
+use harrierdock_lease::Epoch;
+use harrierdock_rollout_controller::{
+    Action, Answer, Ballot, Event, Said, Standing, Steward, Terms, Wave, Way,
+};
+use harrierdock_types::interface::{Build, Phase};
+use harrierdock_types::interface::{StageNews, Verdict, Word};
+use harrierdock_types::time::{Point, Span};
 use serde::Deserialize;
 use serde_json::json;
 
-use crate::fleet_told::StewardTold;
+use crate::config::lease::StewardTold;
 
 const PATH: &str = "/waves";
 
@@ -130,7 +132,7 @@
         }
     }
 
-    /// Tells `crates/steward`, says what is worth a line, and gives back the rest.
+    /// Tells `crates/rollout-controller`, says what is worth a line, and gives back the rest.
     pub fn take(&mut self, now: Point, event: Event) -> Vec<Action> {
         let actions = self.steward.take(now, event);
         let said = |action: &Action| match action {
--- /dev/null
+++ b/crates/gateway/src/rollout/mod.rs
@@ -0,0 +1,3 @@
+//! The rollout controller: calls to the deployment controller.
+
+pub mod controller;
--- a/crates/gateway/src/room.rs
+++ b/crates/gateway/src/runtime/context.rs
@@ -4,14 +4,14 @@
 use std::collections::VecDeque;
 use std::ops::{Deref, DerefMut};
 
-use harrierdock::interface::{Event, Key, Outcome, PeerIx, ProductIx, TxnId};
-use harrierdock::time::{Point, Span};
-use harrierdock_net::{Buffer, Dues, Net};
-use harrierdock_sites::InwardNo;
+use harrierdock_event_loop::{Buffer, Dues, Net};
+use harrierdock_multi_site::InwardNo;
+use harrierdock_types::interface::{Event, Key, Outcome, PeerIx, ProductIx, TxnId};
+use harrierdock_types::time::{Point, Span};
 
-use crate::counters::Counters;
-use crate::due::Due;
-use crate::gateway::Gateway;
+use crate::metrics::Counters;
+use crate::runtime::gateway::Gateway;
+use crate::runtime::timer::Due;
 
 /// A txn as a client wrote it, to be passed on unchanged.
 pub struct Asked<'a> {
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/runtime/gateway.rs
@@ -4,25 +4,25 @@
 
 use calloop::signals::{Event, Signal, Signals};
 use calloop::EventLoop;
-use harrierdock::time::{Point, Span};
-use harrierdock_net::{logging, Descriptors, Net, Pool};
+use harrierdock_event_loop::{logging, Descriptors, Net, Pool};
+use harrierdock_types::time::{Point, Span};
 
-use crate::across::Across;
-use crate::clients::{Clients, Serving, UNUSED};
-use crate::control::Control;
-use crate::counters::Count;
-use crate::discovery::Discovery;
-use crate::driver::Driver;
-use crate::due::Due;
-use crate::export::Export;
-use crate::fleet::Duties;
-use crate::peers::Peers;
-use crate::platform::Platform;
-use crate::room::Room;
-use crate::servers::Servers;
-use crate::steward::{Spans, Stewarding};
-use crate::told::{RolloutsTold, Told};
-use crate::with::With;
+use crate::config::extensions::With;
+use crate::config::gateway::{RolloutsTold, Told};
+use crate::control_plane::discovery::Discovery;
+use crate::control_plane::rollout_platform::Platform;
+use crate::dispatch::dispatcher::Driver;
+use crate::downstream::{Clients, Serving, UNUSED};
+use crate::flow_export::exporter::Export;
+use crate::gossip::Peers;
+use crate::lease::participant::Duties;
+use crate::metrics::Count;
+use crate::multi_site::control_socket::Control;
+use crate::multi_site::forwarding::Across;
+use crate::rollout::controller::{Spans, Stewarding};
+use crate::runtime::context::Room;
+use crate::runtime::timer::Due;
+use crate::upstream::Servers;
 
 /// How long after a signal to end new requests may still come.
 const SHUTDOWN_GRACE: Span = Span(700_000);
@@ -164,7 +164,7 @@
             platform.learn(room, news, false);
         }
         let now = gateway.room.now();
-        gateway.sites(now, harrierdock_sites::Event::Wake);
+        gateway.sites(now, harrierdock_multi_site::Event::Wake);
         let heartbeat = with.fleet.as_ref().map_or(tending, |f| Span(i64::from(f.heartbeat_ms) * 1000));
         let spans = Spans { vote_life, call_wait: vote_wait.max(tending), heartbeat };
         gateway.begin_duties(told, &with, &spans)?;
@@ -328,12 +328,12 @@
         }
         tracing::info!("told to end");
         // Before clients are parted with, so that another has taken over while they still are.
-        self.fleet(harrierdock_fleet::Event::Ending);
+        self.fleet(harrierdock_lease::Event::Ending);
         self.shutdown_since = Some(self.room.now());
         self.room.due_in(SHUTDOWN_GRACE, Due::Shutdown);
         self.clients.turn(Serving::ShuttingDown);
         let now = self.room.now();
-        self.sites(now, harrierdock_sites::Event::Ending);
+        self.sites(now, harrierdock_multi_site::Event::Ending);
     }
 
     /// The last line on flows says what was recorded and what became of it.
--- a/crates/gateway/src/due.rs
+++ b/crates/gateway/src/runtime/timer.rs
@@ -1,7 +1,7 @@
 //! The kinds of what falls due in a gateway.
 
-use harrierdock::interface::TxnId;
-use harrierdock_net::ConnectionNo;
+use harrierdock_event_loop::ConnectionNo;
+use harrierdock_types::interface::TxnId;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Due {
--- a/crates/gateway/src/servers.rs
+++ b/crates/gateway/src/upstream/mod.rs
@@ -7,16 +7,16 @@
 use std::ops::Range;
 
 use calloop::Readiness;
-use harrierdock::interface::{Event, Load, Outcome, ServerIx, TxnId};
-use harrierdock::time::{Point, Span};
-use harrierdock_attempts::Pool;
+use harrierdock_attempt_guard::Pool;
+use harrierdock_event_loop::{Connection, ConnectionNo, Filled, Flushed, Purse};
 use harrierdock_http::{write, AnswerHead, Intake, Progress};
-use harrierdock_net::{Connection, ConnectionNo, Filled, Flushed, Purse};
+use harrierdock_types::interface::{Event, Load, Outcome, ServerIx, TxnId};
+use harrierdock_types::time::{Point, Span};
 
-use crate::counters::Count;
-use crate::due::Due;
-use crate::gateway::Gateway;
-use crate::room::{Asked, Body, Notice, Room};
+use crate::metrics::Count;
+use crate::runtime::context::{Asked, Body, Notice, Room};
+use crate::runtime::gateway::Gateway;
+use crate::runtime::timer::Due;
 use pool::Place;
 
 // The page's names end here.
--- a/crates/gateway/src/servers/pool.rs
+++ b/crates/gateway/src/upstream/pool.rs
@@ -1,14 +1,14 @@
 //! The connection pool: what runs where, and the connections kept to it between attempts.
 
-use harrierdock::interface::ServerIx;
-use harrierdock::time::Point;
-use harrierdock_attempts::Kept;
-use harrierdock_net::ConnectionNo;
+use harrierdock_attempt_guard::Kept;
+use harrierdock_event_loop::ConnectionNo;
+use harrierdock_types::interface::ServerIx;
+use harrierdock_types::time::Point;
 
 use super::{Exchange, Machine, Phase, PooledConnection, Servers};
-use crate::counters::Count;
-use crate::due::Due;
-use crate::room::Room;
+use crate::metrics::Count;
+use crate::runtime::context::Room;
+use crate::runtime::timer::Due;
 
 pub struct Place {
     pub machine: Machine,
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -8,11 +8,11 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use harrierdock::time::Span;
-use harrierdock_rehearse::fleet::crew::{Ending, Odd};
-use harrierdock_rehearse::fleet::installation::Seen;
-use harrierdock_rehearse::fleet::{Day, Stage};
-use harrierdock_rehearse::scripted::BOUND;
+use harrierdock_fault_injection::fleet::crew::{Ending, Odd};
+use harrierdock_fault_injection::fleet::installation::Seen;
+use harrierdock_fault_injection::fleet::{Day, Stage};
+use harrierdock_fault_injection::scripted::BOUND;
+use harrierdock_types::time::Span;
 use rustix::process::Signal;
 use serde_json::{json, Value};
 use socket2::{Domain, Socket, Type};
--- a/crates/gateway/tests/fleet_file.rs
+++ b/crates/gateway/tests/fleet_file.rs
@@ -5,7 +5,7 @@
 use std::process::Command;
 
 use expect_test::expect;
-use harrierdock_rehearse::scripted::{list, settings};
+use harrierdock_fault_injection::scripted::{list, settings};
 use serde_json::{json, Value};
 
 fn told(name: &str, ordinal: usize) -> Value {
--- a/crates/gateway/tests/with.rs
+++ b/crates/gateway/tests/with.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use expect_test::expect;
-use harrierdock_rehearse::scripted::{list, settings, BOUND};
+use harrierdock_fault_injection::scripted::{list, settings, BOUND};
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::{json, Value};
 
--- a/crates/fleet/src/elector.rs
+++ b/crates/lease/src/elector.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use harrierdock::time::{Point, Span};
+use harrierdock_types::time::{Point, Span};
 
 use crate::{Duty, Epoch, NodeIx};
 
--- a/crates/fleet/src/hear.rs
+++ b/crates/lease/src/hear.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeSet;
 
-use harrierdock::time::{Point, Span};
+use harrierdock_types::time::{Point, Span};
 use nanorand::Rng;
 
 use crate::elector::{Answer, Asker};
--- a/crates/fleet/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -17,7 +17,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt;
 
-use harrierdock::time::{Point, Span};
+use harrierdock_types::time::{Point, Span};
 use nanorand::{Rng, WyRand};
 use serde::{Deserialize, Serialize};
 
--- a/crates/fleet/src/seat.rs
+++ b/crates/lease/src/seat.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeSet, VecDeque};
 
-use harrierdock::time::{Point, Span};
+use harrierdock_types::time::{Point, Span};
 
 use crate::{Epoch, NodeIx};
 
--- a/crates/fleet/src/seek.rs
+++ b/crates/lease/src/seek.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use harrierdock::time::{Point, Span};
+use harrierdock_types::time::{Point, Span};
 use nanorand::Rng;
 
 use crate::elector::{Lasts, NEAR, WAITING};
--- a/crates/fleet/src/terms.rs
+++ b/crates/lease/src/terms.rs
@@ -4,7 +4,7 @@
 use std::fmt;
 use std::str::FromStr;
 
-use harrierdock::time::Span;
+use harrierdock_types::time::Span;
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
--- a/crates/fleet/src/voters.rs
+++ b/crates/lease/src/voters.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeSet;
 
-use harrierdock::time::{Point, Span};
+use harrierdock_types::time::{Point, Span};
 
 use crate::{Electorate, Misfit, NodeIx};
 
--- a/crates/fleet/tests/any.rs
+++ b/crates/lease/tests/any.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::Small;
-use harrierdock_fleet::Event;
+use harrierdock_lease::Event;
 use proptest::prelude::*;
 
 #[derive(Clone, Debug)]
--- a/crates/fleet/tests/common/mod.rs
+++ b/crates/lease/tests/common/mod.rs
@@ -4,8 +4,8 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-use harrierdock::time::{Point, Span};
-use harrierdock_fleet::{form, Action, Duty, Epoch, Event, Fleet, NodeIx, Terms, Told};
+use harrierdock_lease::{form, Action, Duty, Epoch, Event, Fleet, NodeIx, Terms, Told};
+use harrierdock_types::time::{Point, Span};
 
 pub const DUTY: Duty = Duty::Steward;
 /// Unix time at the start, in milliseconds. Lines count epochs from it.
--- a/crates/fleet/tests/small.rs
+++ b/crates/lease/tests/small.rs
@@ -6,9 +6,9 @@
 
 use std::collections::BTreeSet;
 
-use harrierdock::time::{Point, Span};
-use harrierdock_fleet::elector::{Answer, Asker, Elector};
-use harrierdock_fleet::{Duty, Epoch};
+use harrierdock_lease::elector::{Answer, Asker, Elector};
+use harrierdock_lease::{Duty, Epoch};
+use harrierdock_types::time::{Point, Span};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
 const LEASE: i64 = 2;
--- a/crates/fleet/tests/told.rs
+++ b/crates/lease/tests/told.rs
@@ -2,9 +2,9 @@
 //! read.
 
 use expect_test::expect;
-use harrierdock::time::Span;
-use harrierdock_fleet::form::{self, FIRST, MOST};
-use harrierdock_fleet::{Ballot, Body, Duty, Epoch, Guard, Holding, Message, Told};
+use harrierdock_lease::form::{self, FIRST, MOST};
+use harrierdock_lease::{Ballot, Body, Duty, Epoch, Guard, Holding, Message, Told};
+use harrierdock_types::time::Span;
 use proptest::prelude::*;
 
 fn told() -> Told {
--- a/crates/fleet/tests/traces.rs
+++ b/crates/lease/tests/traces.rs
@@ -4,9 +4,9 @@
 
 use common::{terms, told, Small, DUTY};
 use expect_test::expect;
-use harrierdock::time::{Point, Span};
-use harrierdock_fleet::elector::{Answer, Asker, Elector};
-use harrierdock_fleet::{form, Body, Epoch, Event, Message};
+use harrierdock_lease::elector::{Answer, Asker, Elector};
+use harrierdock_lease::{form, Body, Epoch, Event, Message};
+use harrierdock_types::time::{Point, Span};
 
 #[test]
 fn nothing_is_held_for_a_lease_after_the_start_then_one_holds_and_keeps_it() {
--- a/crates/sites/benches/decisions.rs
+++ b/crates/multi-site/benches/decisions.rs
@@ -4,10 +4,10 @@
 use std::hint::black_box;
 
 use criterion::{criterion_group, criterion_main, Criterion};
-use harrierdock::interface::{Repeat, TxnId};
-use harrierdock::time::{Point, Span};
-use harrierdock_letters::{read, write, Answer, Beat, Handover, Letter, Party, Verdict};
-use harrierdock_sites::{Action, Ending, Event, Hand, Place, Product, Sites};
+use harrierdock_multi_site::{Action, Ending, Event, Hand, Place, Product, Sites};
+use harrierdock_site_messages::{read, write, Answer, Beat, Handover, Letter, Party, Verdict};
+use harrierdock_types::interface::{Repeat, TxnId};
+use harrierdock_types::time::{Point, Span};
 
 const SLA: Span = Span(400_000);
 
--- a/crates/sites/src/bearing.rs
+++ b/crates/multi-site/src/bearing.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use harrierdock::interface::ProductIx;
+use harrierdock_types::interface::ProductIx;
 
 use crate::{Ending, Product, RoadNo};
 
--- a/crates/sites/src/crossing.rs
+++ b/crates/multi-site/src/crossing.rs
@@ -3,9 +3,9 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use harrierdock::interface::ProductIx;
-use harrierdock::time::{Point, Span};
-use harrierdock_letters::Standing;
+use harrierdock_site_messages::Standing;
+use harrierdock_types::interface::ProductIx;
+use harrierdock_types::time::{Point, Span};
 use nanorand::{Rng, WyRand};
 
 use crate::bearing::KEPT;
--- a/crates/sites/src/custody.rs
+++ b/crates/multi-site/src/custody.rs
@@ -3,9 +3,9 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use harrierdock::interface::{Build, ProductIx, Repeat, TxnId};
-use harrierdock::time::{Point, Span};
-use harrierdock_letters::{Party, Verdict};
+use harrierdock_site_messages::{Party, Verdict};
+use harrierdock_types::interface::{Build, ProductIx, Repeat, TxnId};
+use harrierdock_types::time::{Point, Span};
 
 use crate::{InwardNo, Members, RoadNo};
 
--- a/crates/sites/src/lib.rs
+++ b/crates/multi-site/src/lib.rs
@@ -12,9 +12,9 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use harrierdock::interface::{Build, Key, ProductIx, Repeat, TxnId};
-use harrierdock::time::{Point, Span};
-use harrierdock_letters::{Answer, Handover, Letter, Party, Record, Standing, Verdict};
+use harrierdock_site_messages::{Answer, Handover, Letter, Party, Record, Standing, Verdict};
+use harrierdock_types::interface::{Build, Key, ProductIx, Repeat, TxnId};
+use harrierdock_types::time::{Point, Span};
 use serde::Serialize;
 
 use bearing::Bearing;
--- a/crates/sites/src/members.rs
+++ b/crates/multi-site/src/members.rs
@@ -5,8 +5,8 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
-use harrierdock::time::{Point, Span};
-use harrierdock_letters::{Beat, Party, Record, Standing};
+use harrierdock_site_messages::{Beat, Party, Record, Standing};
+use harrierdock_types::time::{Point, Span};
 use nanorand::{Rng, WyRand};
 
 use crate::{Change, RoadNo, ROUND};
--- a/src/policy/mod.rs
+++ b/crates/policy/src/lib.rs
@@ -7,15 +7,18 @@
 mod judging;
 mod routing;
 mod servers;
+mod sliding_window;
+mod state;
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use nanorand::{Rng, WyRand};
 
-use crate::mail::{MOST_FATES, MOST_PACES};
 pub use crate::state::Gateway;
-use crate::time::{Point, Span};
-use crate::{interface::*, state::*};
+use crate::state::*;
+use harrierdock_types::gossip::{MOST_FATES, MOST_PACES};
+use harrierdock_types::interface::*;
+use harrierdock_types::time::{Point, Span};
 
 const ETA: f64 = 0.9; // this and the next two: the design page's starting values
 const DELTA: f64 = 0.05;
--- a/src/recent.rs
+++ b/crates/policy/src/sliding_window.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use crate::time::Point;
+use harrierdock_types::time::Point;
 
 #[derive(Clone, Debug)]
 pub struct Recent<T>(VecDeque<(Point, T)>);
--- a/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -4,10 +4,10 @@
 
 use nanorand::WyRand;
 
-use crate::interface::*;
-use crate::policy::FALLBACK;
-use crate::recent::Recent;
-use crate::time::{Point, Span};
+use crate::sliding_window::Recent;
+use crate::FALLBACK;
+use harrierdock_types::interface::*;
+use harrierdock_types::time::{Point, Span};
 
 #[derive(Default)]
 pub struct Server {
--- a/tests/decisions/circles.rs
+++ b/crates/policy/tests/decisions/circles.rs
@@ -1,8 +1,8 @@
 //! Many gateways: what a circle tells its speaker and hears from it.
 
 use expect_test::expect;
-use harrierdock::interface::*;
-use harrierdock::mail;
+use harrierdock_types::gossip as mail;
+use harrierdock_types::interface::*;
 
 use crate::desk::*;
 
--- a/tests/decisions/desk.rs
+++ b/crates/policy/tests/decisions/desk.rs
@@ -1,10 +1,10 @@
 //! A gateway at a desk: told events by hand at stated milliseconds, its decisions written down as a trace.
 
 use expect_test::Expect;
-use harrierdock::interface::*;
-use harrierdock::mail;
-use harrierdock::policy::Gateway;
-use harrierdock::time::{Point, Span};
+use harrierdock_policy::Gateway;
+use harrierdock_types::gossip as mail;
+use harrierdock_types::interface::*;
+use harrierdock_types::time::{Point, Span};
 
 pub const ASK: ProductIx = 0;
 pub const NOTE: ProductIx = 1;
--- a/tests/decisions/failures.rs
+++ b/crates/policy/tests/decisions/failures.rs
@@ -1,8 +1,8 @@
 //! Failures found, each as a small trace.
 
 use expect_test::expect;
-use harrierdock::interface::*;
-use harrierdock::time::Span;
+use harrierdock_types::interface::*;
+use harrierdock_types::time::Span;
 
 use crate::desk::*;
 
--- a/tests/decisions/keys.rs
+++ b/crates/policy/tests/decisions/keys.rs
@@ -1,7 +1,7 @@
 //! Keys: the build that one stays with, whatever news, lists and answers come in which order.
 
 use expect_test::expect;
-use harrierdock::interface::*;
+use harrierdock_types::interface::*;
 
 use crate::desk::*;
 
--- a/tests/decisions/rules.rs
+++ b/crates/policy/tests/decisions/rules.rs
@@ -1,8 +1,8 @@
 //! The five rules: answers, repeats, lists, cold servers, exposure and keys.
 
 use expect_test::expect;
-use harrierdock::interface::*;
-use harrierdock::time::Span;
+use harrierdock_types::interface::*;
+use harrierdock_types::time::Span;
 
 use crate::desk::*;
 
--- a/tests/decisions/votes.rs
+++ b/crates/policy/tests/decisions/votes.rs
@@ -1,7 +1,7 @@
 //! Elimination, drops and votes.
 
 use expect_test::expect;
-use harrierdock::interface::*;
+use harrierdock_types::interface::*;
 
 use crate::desk::*;
 
--- a/tests/fleet.rs
+++ b/crates/policy/tests/fleet.rs
@@ -4,7 +4,7 @@
 
 use expect_test::expect;
 use hall::*;
-use harrierdock::interface::*;
+use harrierdock_types::interface::*;
 
 /// A fleet of `count` that all want the same vote at one moment: how many votes stand at once at the most, and
 /// how many calls a second were accepted while they wanted it.
--- a/tests/hall/mod.rs
+++ b/crates/policy/tests/hall/mod.rs
@@ -3,10 +3,10 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use harrierdock::interface::*;
-use harrierdock::mail;
-use harrierdock::policy::Gateway;
-use harrierdock::time::{Point, Span};
+use harrierdock_policy::Gateway;
+use harrierdock_types::gossip as mail;
+use harrierdock_types::interface::*;
+use harrierdock_types::time::{Point, Span};
 
 pub fn ms(n: i64) -> Span {
     Span(n * 1000)
--- a/crates/steward/src/lib.rs
+++ b/crates/rollout-controller/src/lib.rs
@@ -7,8 +7,8 @@
 
 use std::collections::BTreeMap;
 
-use harrierdock::interface::{Build, PeerIx};
-use harrierdock::time::{Point, Span};
+use harrierdock_types::interface::{Build, PeerIx};
+use harrierdock_types::time::{Point, Span};
 
 pub use form::{read, write, FormError, FIRST, LENGTH};
 
--- a/crates/steward/tests/traces.rs
+++ b/crates/rollout-controller/tests/traces.rs
@@ -1,8 +1,8 @@
 //! Short traces of the steward, and what must hold whatever comes.
 
 use expect_test::{expect, Expect};
-use harrierdock::time::{Point, Span};
-use harrierdock_steward::*;
+use harrierdock_rollout_controller::*;
+use harrierdock_types::time::{Point, Span};
 use proptest::prelude::*;
 
 const SECOND: i64 = 1_000_000;
--- a/crates/drill/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -26,7 +26,7 @@
     match serve(io::stdin().lock(), io::BufWriter::new(io::stdout().lock())) {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
-            eprintln!("harrierdock-drill: {}", e.replace('\n', " "));
+            eprintln!("harrierdock-simulator-adapter: {}", e.replace('\n', " "));
             ExitCode::from(2)
         }
     }
--- a/crates/drill/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -2,13 +2,13 @@
 
 use std::collections::BTreeMap;
 
-use harrierdock::interface::*;
-use harrierdock::mail;
-use harrierdock::policy::Gateway;
-use harrierdock::time::{Point, Span};
+use harrierdock_policy::Gateway;
+use harrierdock_types::gossip as mail;
+use harrierdock_types::interface::*;
+use harrierdock_types::time::{Point, Span};
 use serde_json::{json, Value};
 
-use harrierdock_terms::{self as terms, mark, Names};
+use harrierdock_config::{self as terms, mark, Names};
 
 const ALARM: &str = "due";
 
--- a/crates/link/src/keys.rs
+++ b/crates/site-transport/src/keys.rs
@@ -4,7 +4,7 @@
 use std::fmt::Write;
 use std::time::SystemTime;
 
-use harrierdock_letters::Party;
+use harrierdock_site_messages::Party;
 use rcgen::{
     BasicConstraints, CertificateParams, DnType, ExtendedKeyUsagePurpose, IsCa, Issuer, KeyPair,
     KeyUsagePurpose,
--- a/crates/link/src/link.rs
+++ b/crates/site-transport/src/link.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::{Bytes, BytesMut};
-use harrierdock_letters::{Party, MOST};
+use harrierdock_site_messages::{Party, MOST};
 use quinn_proto::congestion::BbrConfig;
 use quinn_proto::crypto::rustls::{QuicClientConfig, QuicServerConfig};
 use quinn_proto::{
--- a/tests/golden_gossip.rs
+++ b/crates/types/tests/golden_gossip.rs
@@ -3,8 +3,8 @@
 mod golden;
 
 use golden::{check, exact, Case};
-use harrierdock::interface::{Arm, Fate, Hearsay, Message, Outcome};
-use harrierdock::mail;
+use harrierdock_types::interface::{Arm, Fate, Hearsay, Message, Outcome};
+use harrierdock_types::gossip as mail;
 
 const RESULTS: [(&str, Fate); 10] = [
     ("served", Fate::Ended(Outcome::Served)),
