--- a/crates/admission/src/fair.rs
+++ b/crates/admission/src/fair.rs
@@ -1,4 +1,4 @@
-//! Shares: how much of each tenant's txns passes where not all can, and how even shares are.
+//! Shares: how much of each tenant's requests passes where not all can, and how even shares are.
 
 /// The part that passes of each of these, where `part` of all can: those that want less than their share get
 /// what they want, the rest share what is left by their quotas. None told: all alike.
@@ -8,14 +8,22 @@
     if part >= 1.0 || all <= 0.0 || wants.len() < 2 {
         return;
     }
-    let quota =
-        |at: usize| quotas.get(at).copied().filter(|q| *q > 0.0 && q.is_finite()).unwrap_or(1.0) as f32;
+    let quota = |at: usize| {
+        quotas
+            .get(at)
+            .copied()
+            .filter(|q| *q > 0.0 && q.is_finite())
+            .unwrap_or(1.0) as f32
+    };
     // Each round, whoever wants no more than its share is served whole; the rest share anew. Ends after as
     // many rounds as there are tenants at the most.
     let mut whole = 0_u32;
     for _ in 0..wants.len() {
         let rest = |at: usize| whole >> at & 1 == 0;
-        let served: f32 = (0..wants.len()).filter(|at| !rest(*at)).map(|at| wants[at]).sum();
+        let served: f32 = (0..wants.len())
+            .filter(|at| !rest(*at))
+            .map(|at| wants[at])
+            .sum();
         let quotas: f32 = (0..wants.len()).filter(|at| rest(*at)).map(quota).sum();
         let level = (part * all - served).max(0.0) / quotas.max(f32::EPSILON);
         let mut more = 0;
--- a/crates/admission/src/news.rs
+++ b/crates/admission/src/news.rs
@@ -26,17 +26,23 @@
         "the message is no admission news (first byte {first:#04x}): look for a stray sender on this port"
     )]
     Other { first: u8 },
-    #[error("admission news of version {version}, this build reads {VERSION}: finish the roll-out")]
+    #[error(
+        "admission news of version {version}, this build reads {VERSION}: finish the roll-out"
+    )]
     Version { version: u8 },
     #[error("the message is garbled: look at the line to its sender if this goes on")]
     Garbled,
     #[error(
-        "news of {products} products, {zones} zones, {tenants} tenants: give all gateways the same settings"
+        "news of {classes} products, {zones} zones, {tenants} tenants: give all gateways the same settings"
     )]
-    Size { products: usize, zones: usize, tenants: usize },
+    Size {
+        classes: usize,
+        zones: usize,
+        tenants: usize,
+    },
 }
 
-/// What one gateway has seen lately of its own: decayed counts, and sketches by product and zone.
+/// What one gateway has seen lately of its own: decayed counts, and sketches by request class and zone.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Figures {
     pub offered: Vec<f32>,
@@ -44,18 +50,18 @@
     /// Submissions out now, and answers lately, by zone.
     pub open: Vec<f32>,
     pub answered: Vec<f32>,
-    /// By product, then zone.
+    /// By request class, then zone.
     pub sketches: Vec<Sketch>,
 }
 
 impl Figures {
-    pub fn new(products: usize, zones: usize, tenants: usize) -> Figures {
+    pub fn new(classes: usize, zones: usize, tenants: usize) -> Figures {
         Figures {
-            offered: vec![0.0; products],
+            offered: vec![0.0; classes],
             tenants: vec![0.0; tenants],
             open: vec![0.0; zones],
             answered: vec![0.0; zones],
-            sketches: vec![Sketch::default(); products * zones],
+            sketches: vec![Sketch::default(); classes * zones],
         }
     }
 }
@@ -64,7 +70,7 @@
 pub struct News {
     pub incarnation: u32,
     pub number: u32,
-    /// The part of all offered txns that its sender holds to be borne; none if it knows nothing.
+    /// The part of all offered requests that its sender holds to be borne; none if it knows nothing.
     pub view: Option<f32>,
     pub offered: Vec<f32>,
     pub tenants: Vec<f32>,
@@ -85,7 +91,11 @@
 
 /// Views lie between a hundredth and some tens; nothing known is 0.
 fn view_code(view: Option<f32>) -> u8 {
-    view.map_or(0, |v| (128.0 + STEPS * v.clamp(1e-3, 1e3).log2()).round().clamp(1.0, 255.0) as u8)
+    view.map_or(0, |v| {
+        (128.0 + STEPS * v.clamp(1e-3, 1e3).log2())
+            .round()
+            .clamp(1.0, 255.0) as u8
+    })
 }
 
 fn view_value(code: u8) -> Option<f32> {
@@ -103,7 +113,10 @@
 
 fn sketch_bytes(number: usize, sketch: &Sketch, out: &mut Vec<u8>) {
     let codes = sketch.counts.map(code);
-    let mask = codes.iter().enumerate().fold(0_u32, |m, (at, c)| m | u32::from(*c > 0) << at);
+    let mask = codes
+        .iter()
+        .enumerate()
+        .fold(0_u32, |m, (at, c)| m | u32::from(*c > 0) << at);
     out.push(number as u8);
     out.extend_from_slice(&mask.to_le_bytes()[..3]);
     out.extend(codes.iter().filter(|c| **c > 0));
@@ -115,9 +128,21 @@
     let mut out = vec![MARK, VERSION];
     out.extend_from_slice(&news.incarnation.to_le_bytes());
     out.extend_from_slice(&news.number.to_le_bytes());
-    out.extend([figures.offered.len(), figures.open.len(), figures.tenants.len()].map(|n| n as u8));
+    out.extend(
+        [
+            figures.offered.len(),
+            figures.open.len(),
+            figures.tenants.len(),
+        ]
+        .map(|n| n as u8),
+    );
     out.push(view_code(news.view));
-    let counts = [&figures.offered, &figures.tenants, &figures.open, &figures.answered];
+    let counts = [
+        &figures.offered,
+        &figures.tenants,
+        &figures.open,
+        &figures.answered,
+    ];
     out.extend(counts.into_iter().flatten().map(|c| code(*c)));
     let (all, mut one, mut next) = (figures.sketches.len().max(1), Vec::new(), turn);
     for n in 0..figures.sketches.len() {
@@ -143,13 +168,19 @@
 impl<'a> Reader<'a> {
     fn take(&mut self, count: usize) -> Result<&'a [u8], Unreadable> {
         let end = self.at + count;
-        let part = self.bytes.get(self.at..end).ok_or(Unreadable::Short { at: self.bytes.len() })?;
+        let part = self.bytes.get(self.at..end).ok_or(Unreadable::Short {
+            at: self.bytes.len(),
+        })?;
         self.at = end;
         Ok(part)
     }
 
     fn number(&mut self) -> Result<u32, Unreadable> {
-        Ok(self.take(4)?.iter().rev().fold(0, |all, b| all << 8 | u32::from(*b)))
+        Ok(self
+            .take(4)?
+            .iter()
+            .rev()
+            .fold(0, |all, b| all << 8 | u32::from(*b)))
     }
 
     fn counts(&mut self, count: usize) -> Result<Vec<f32>, Unreadable> {
@@ -158,34 +189,56 @@
 }
 
 pub fn read(bytes: &[u8]) -> Result<News, Unreadable> {
-    let [first, version, ..] = bytes else { return Err(Unreadable::Short { at: bytes.len() }) };
+    let [first, version, ..] = bytes else {
+        return Err(Unreadable::Short { at: bytes.len() });
+    };
     if *first != MARK {
         return Err(Unreadable::Other { first: *first });
     }
     if *version != VERSION {
         return Err(Unreadable::Version { version: *version });
     }
-    let body = bytes.len().checked_sub(CHECK).ok_or(Unreadable::Short { at: bytes.len() })?;
+    let body = bytes
+        .len()
+        .checked_sub(CHECK)
+        .ok_or(Unreadable::Short { at: bytes.len() })?;
     let (body, sum) = bytes.split_at(body);
     if bytes.len() > MOST_BYTES || check(body) != sum {
         return Err(Unreadable::Garbled);
     }
     let mut reader = Reader { bytes: body, at: 2 };
     let (incarnation, number) = (reader.number()?, reader.number()?);
-    let &[products, zones, tenants, view] = reader.take(4)? else { return Err(Unreadable::Garbled) };
-    let (products, zones, tenants) = (usize::from(products), usize::from(zones), usize::from(tenants));
-    if products > MOST_PRODUCTS || zones > MOST_ZONES || tenants > MOST_TENANTS {
-        return Err(Unreadable::Size { products, zones, tenants });
+    let &[classes, zones, tenants, view] = reader.take(4)? else {
+        return Err(Unreadable::Garbled);
+    };
+    let (classes, zones, tenants) = (
+        usize::from(classes),
+        usize::from(zones),
+        usize::from(tenants),
+    );
+    if classes > MOST_PRODUCTS || zones > MOST_ZONES || tenants > MOST_TENANTS {
+        return Err(Unreadable::Size {
+            classes,
+            zones,
+            tenants,
+        });
     }
-    let mut news = News { incarnation, number, view: view_value(view), ..News::default() };
-    news.offered = reader.counts(products)?;
+    let mut news = News {
+        incarnation,
+        number,
+        view: view_value(view),
+        ..News::default()
+    };
+    news.offered = reader.counts(classes)?;
     news.tenants = reader.counts(tenants)?;
     news.open = reader.counts(zones)?;
     news.answered = reader.counts(zones)?;
     while reader.at < body.len() {
-        let &[number, low, mid, high] = reader.take(4)? else { return Err(Unreadable::Garbled) };
+        let &[number, low, mid, high] = reader.take(4)? else {
+            return Err(Unreadable::Garbled);
+        };
         let (number, mask) = (usize::from(number), u32::from_le_bytes([low, mid, high, 0]));
-        if number >= products * zones {
+        if number >= classes * zones {
             return Err(Unreadable::Garbled);
         }
         let mut sketch = Sketch::default();
--- a/crates/admission/src/peers.rs
+++ b/crates/admission/src/peers.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
-use harrierdock_types::interface::PeerIx;
-use harrierdock_types::time::{Point, Span};
+use harrierdock_types::PeerId;
+use harrierdock_types::{TimeDelta, Timestamp};
 
 use crate::news::{Figures, News};
 use crate::sketch::Sketch;
@@ -21,7 +21,7 @@
 
 #[derive(Debug)]
 struct Heard {
-    at: Point,
+    at: Timestamp,
     view: Option<f32>,
     figures: Figures,
     /// What its age leaves of its weight at this beat.
@@ -31,8 +31,8 @@
 #[derive(Debug, Default)]
 pub struct Peers {
     /// The incarnation that counts of each member, and the last number read of it.
-    members: BTreeMap<PeerIx, (u32, Option<u32>)>,
-    heard: BTreeMap<PeerIx, Heard>,
+    members: BTreeMap<PeerId, (u32, Option<u32>)>,
+    heard: BTreeMap<PeerId, Heard>,
     /// For medians, kept to spare allocations.
     sorted: Vec<f32>,
 }
@@ -59,7 +59,7 @@
 
 impl Peers {
     /// A member is there, at this incarnation, or gone. What an earlier incarnation said is forgotten.
-    pub fn member(&mut self, peer: PeerIx, incarnation: Option<u32>) {
+    pub fn member(&mut self, peer: PeerId, incarnation: Option<u32>) {
         match incarnation {
             Some(incarnation) if self.members.get(&peer).is_some_and(|m| m.0 >= incarnation) => {}
             Some(incarnation) => {
@@ -83,14 +83,16 @@
         self.heard.len()
     }
 
-    pub fn nth(&self, at: usize) -> Option<PeerIx> {
+    pub fn nth(&self, at: usize) -> Option<PeerId> {
         self.members.keys().nth(at).copied()
     }
 
     /// Takes news in. What is old, doubled, of an unknown member or of another incarnation changes nothing,
-    /// nor does what was written for other products, zones or tenants.
-    pub fn hear(&mut self, now: Point, from: PeerIx, news: News, like: &Figures) -> bool {
-        let Some((incarnation, last)) = self.members.get_mut(&from) else { return false };
+    /// nor does what was written for other request classes, zones or tenants.
+    pub fn hear(&mut self, now: Timestamp, from: PeerId, news: News, like: &Figures) -> bool {
+        let Some((incarnation, last)) = self.members.get_mut(&from) else {
+            return false;
+        };
         let fits = news.offered.len() == like.offered.len()
             && news.open.len() == like.open.len()
             && news.answered.len() == like.answered.len()
@@ -100,7 +102,11 @@
         }
         *last = Some(news.number);
         if !self.heard.contains_key(&from) && self.heard.len() >= MOST_HEARD {
-            let oldest = self.heard.iter().min_by_key(|(_, h)| h.at).map(|(peer, _)| *peer);
+            let oldest = self
+                .heard
+                .iter()
+                .min_by_key(|(_, h)| h.at)
+                .map(|(peer, _)| *peer);
             oldest.and_then(|peer| self.heard.remove(&peer));
         }
         let blank = || Heard {
@@ -124,12 +130,12 @@
 
     /// Adds up own figures and what was heard: each by its counts, its age and at most its bounded part. News
     /// fades over `fades` and is forgotten after four of those.
-    pub fn sum(&mut self, now: Point, own: &Figures, fades: Span, sum: &mut Sum) {
+    pub fn sum(&mut self, now: Timestamp, own: &Figures, fades: TimeDelta, sum: &mut Sum) {
         self.heard.retain(|_, h| now - h.at < fades * 4.0);
         sum.figures.clone_from(own);
         let Peers { heard, sorted, .. } = self;
         for h in heard.values_mut() {
-            h.weight = (-(now - h.at).over(fades)).exp().min(1.0) as f32;
+            h.weight = (-(now - h.at).ratio_to(fades)).exp().min(1.0) as f32;
         }
         let mut bounded = |own: f32, of: &dyn Fn(&Figures) -> f32| {
             sorted.clear();
@@ -137,7 +143,10 @@
             sorted.extend(heard.values().map(|h| of(&h.figures)));
             let median = median(sorted);
             let most = MOST_TIMES * (median + median.sqrt() + 1.0);
-            own + heard.values().map(|h| h.weight * of(&h.figures).min(most)).sum::<f32>()
+            own + heard
+                .values()
+                .map(|h| h.weight * of(&h.figures).min(most))
+                .sum::<f32>()
         };
         for (at, of) in sum.figures.offered.iter_mut().enumerate() {
             *of = bounded(*of, &|f| f.offered[at]);
@@ -151,30 +160,41 @@
         for (at, of) in sum.figures.answered.iter_mut().enumerate() {
             *of = bounded(*of, &|f| f.answered[at]);
         }
-        // Guards against one that puts all it has into one product, whose chances would be mostly its own: bounded
-        // by product, not by its sketches together.
-        for product in 0..own.offered.len() {
-            let rows = product * own.open.len()..(product + 1) * own.open.len();
-            let total = |f: &Figures| f.sketches[rows.clone()].iter().map(Sketch::total).sum::<f32>();
+        // Guards against one that puts all it has into one request class, whose chances would be mostly its own: bounded
+        // by request class, not by its sketches together.
+        for class in 0..own.offered.len() {
+            let rows = class * own.open.len()..(class + 1) * own.open.len();
+            let total = |f: &Figures| {
+                f.sketches[rows.clone()]
+                    .iter()
+                    .map(Sketch::total)
+                    .sum::<f32>()
+            };
             sorted.clear();
             sorted.push(total(own));
             sorted.extend(heard.values().map(|h| total(&h.figures)));
             let most = median(sorted) + 1.0;
             for h in heard.values() {
                 let part = h.weight * (most / total(&h.figures).max(1.0)).min(1.0);
-                let kept =
-                    sum.figures.sketches[rows.clone()].iter_mut().zip(&h.figures.sketches[rows.clone()]);
+                let kept = sum.figures.sketches[rows.clone()]
+                    .iter_mut()
+                    .zip(&h.figures.sketches[rows.clone()]);
                 kept.for_each(|(k, s)| k.merge(s, part));
             }
         }
         let (mut weights, mut aged) = (1.0, 0.0);
         for h in heard.values() {
             weights += h.weight;
-            aged += h.weight * (now - h.at).as_secs() as f32;
+            aged += h.weight * (now - h.at).as_seconds() as f32;
         }
         sum.age = aged / weights;
         sorted.clear();
-        sorted.extend(heard.values().filter(|h| now - h.at < fades).filter_map(|h| h.view));
+        sorted.extend(
+            heard
+                .values()
+                .filter(|h| now - h.at < fades)
+                .filter_map(|h| h.view),
+        );
         sum.views = sorted.len();
         // Of one or two, one may be absurd: the fewer, the nearer to all that is offered.
         let sure = sum.views as f32 / (sum.views as f32 + 1.0);
--- a/crates/admission/src/sketch.rs
+++ b/crates/admission/src/sketch.rs
@@ -1,10 +1,10 @@
-//! Answer times of one product in one zone, as parts of its SLA time, in buckets a third of an octave wide.
-//! Slack is what is left of the SLA time (or of the expiry) at the answer. Sketches add up bucket by bucket,
+//! Answer times of one request class in one zone, as parts of its latency objective, in buckets a third of an octave wide.
+//! Slack is what is left of the latency objective (or of the expiry) at the answer. Sketches add up bucket by bucket,
 //! fade by a factor and widen by letting mass seep into the neighbours, each without allocating.
 
 use std::array::from_fn;
 
-/// Bucket 18 ends at the SLA time itself, the first at a sixty-fourth of it; the last is open at the top.
+/// Bucket 18 ends at the latency objective itself, the first at a sixty-fourth of it; the last is open at the top.
 pub const BUCKETS: usize = 24;
 const AT_SLA: f32 = 18.0;
 const AN_OCTAVE: f32 = 3.0;
@@ -14,14 +14,14 @@
     pub counts: [f32; BUCKETS],
 }
 
-/// Where a part of the SLA time lies: the bucket that ends above it, and how far into it.
+/// Where a part of the latency objective lies: the bucket that ends above it, and how far into it.
 fn place(part: f32) -> f32 {
     // Guards against NaN, nothing and below: they count as the shortest.
     let part = if part > 0.0 { part } else { 0.0 };
     (AT_SLA + 1.0 + AN_OCTAVE * part.log2()).clamp(0.0, BUCKETS as f32)
 }
 
-/// The part of the SLA time at which a place lies.
+/// The part of the latency objective at which a place lies.
 fn part(place: f32) -> f32 {
     ((place - AT_SLA - 1.0) / AN_OCTAVE).exp2()
 }
@@ -37,7 +37,10 @@
     }
 
     pub fn merge(&mut self, other: &Sketch, weight: f32) {
-        self.counts.iter_mut().zip(&other.counts).for_each(|(c, o)| *c += o * weight);
+        self.counts
+            .iter_mut()
+            .zip(&other.counts)
+            .for_each(|(c, o)| *c += o * weight);
     }
 
     /// What is old is less sure: the part `by` of each bucket, half at the most, goes to its neighbours. The
@@ -55,14 +58,19 @@
         self.counts.iter().sum()
     }
 
-    /// The mean answer time in SLA times.
+    /// The mean answer time in latency objectives.
     pub fn mean(&self) -> Option<f32> {
         let total = self.total();
-        let sum: f32 = self.counts.iter().enumerate().map(|(at, c)| c * part(at as f32 + 0.5)).sum();
+        let sum: f32 = self
+            .counts
+            .iter()
+            .enumerate()
+            .map(|(at, c)| c * part(at as f32 + 0.5))
+            .sum();
         (total > 0.0).then(|| sum / total)
     }
 
-    /// The answer time in SLA times that this part of answers keeps.
+    /// The answer time in latency objectives that this part of answers keeps.
     pub fn quantile(&self, of: f32) -> Option<f32> {
         let mut left = self.total() * of.clamp(0.0, 1.0);
         if left <= 0.0 {
@@ -102,7 +110,7 @@
 }
 
 impl Odds {
-    /// The chance that the answer takes no longer than this part of the SLA time.
+    /// The chance that the answer takes no longer than this part of the latency objective.
     pub fn within(&self, part: f32) -> f32 {
         let place = place(part);
         let at = (place as usize).min(BUCKETS - 1);
--- a/crates/admission/src/waiting.rs
+++ b/crates/admission/src/waiting.rs
@@ -1,23 +1,23 @@
-//! Txns that wait for a place: so many at the most, the dearest first, then those with the least slack.
+//! Requests that wait for a place: so many at the most, the dearest first, then those with the least slack.
 
-use harrierdock_types::interface::{ProductIx, TenantIx, TxnId};
-use harrierdock_types::time::Point;
+use harrierdock_types::Timestamp;
+use harrierdock_types::{ClassId, RequestId, TenantId};
 
 /// More are never kept; whoever comes then is told at once. Bounds what is kept and what a beat costs.
 pub const MOST_WAITING: usize = 256;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Waiter {
-    pub id: TxnId,
-    pub product: ProductIx,
-    pub tenant: Option<TenantIx>,
+    pub id: RequestId,
+    pub class: ClassId,
+    pub tenant: Option<TenantId>,
     pub zones: u8,
     /// The part that passed when it came.
     pub part: f32,
-    pub revenue: f64,
-    /// When its SLA time is up, and when its wait is.
-    pub deadline: Point,
-    pub until: Point,
+    pub priority_weight: f64,
+    /// When its latency objective is up, and when its wait is.
+    pub deadline: Timestamp,
+    pub until: Timestamp,
 }
 
 #[derive(Debug)]
@@ -27,7 +27,9 @@
 
 impl Waiting {
     pub fn new() -> Waiting {
-        Waiting { all: Vec::with_capacity(MOST_WAITING) }
+        Waiting {
+            all: Vec::with_capacity(MOST_WAITING),
+        }
     }
 
     /// Keeps it in order, without allocating. False if there is no room.
@@ -36,14 +38,18 @@
             return false;
         }
         let before = |w: &Waiter| {
-            w.revenue.total_cmp(&waiter.revenue).reverse().then(w.deadline.cmp(&waiter.deadline)).is_le()
+            w.priority_weight
+                .total_cmp(&waiter.priority_weight)
+                .reverse()
+                .then(w.deadline.cmp(&waiter.deadline))
+                .is_le()
         };
         let at = self.all.partition_point(before);
         self.all.insert(at, waiter);
         true
     }
 
-    pub fn remove(&mut self, id: TxnId) {
+    pub fn remove(&mut self, id: RequestId) {
         self.all.retain(|w| w.id != id);
     }
 
--- a/crates/attempt-guard/src/backoff.rs
+++ b/crates/attempt-guard/src/backoff.rs
@@ -1,52 +1,66 @@
-//! How long to wait before something that failed is tried again.
+//! Exponential backoff with jitter.
 
-use harrierdock_types::interface::{Discovery, Terms};
-use harrierdock_types::time::Span;
+use harrierdock_types::{DiscoveryMode, Parameters, TimeDelta};
 use nanorand::{Rng, WyRand};
 
-use crate::freshness::KEPT;
+use crate::list_freshness::CACHED_LIST_LIFETIME;
 
-/// Where lists are asked for: so many told times to ask may pass after calls that failed.
-const AFTER_FAILURES: f64 = 4.0;
+/// Where lists are polled, calls that failed may be this many poll intervals apart at the most.
+const MAX_DISCOVERY_BACKOFF_INTERVALS: f64 = 4.0;
 
-/// Waits that double from the least to the most, each drawn between its half and its whole. Guards a service that all
-/// gateways ask at once, and that turns away what is more than it can answer, against being asked by all in step.
+/// Waits between calls to a service that refuses them. Each is drawn from the upper half of a bound that doubles from the
+/// minimum to the maximum, so that gateways that failed together do not come back together.
 pub struct Backoff {
-    least: Span,
-    most: Span,
-    whole: Span,
-    chance: WyRand,
+    min: TimeDelta,
+    max: TimeDelta,
+    /// The upper bound of the last wait.
+    bound: TimeDelta,
+    rng: WyRand,
 }
 
 impl Backoff {
-    pub fn new(least: Span, most: Span, seed: u64) -> Backoff {
-        Backoff { least, most: most.max(least), whole: Span::ZERO, chance: WyRand::new_seed(seed) }
+    /// Waits between `min` and `max`. A `max` below `min` counts as `min`.
+    pub fn new(min: TimeDelta, max: TimeDelta, seed: u64) -> Backoff {
+        Backoff {
+            min,
+            max: max.max(min),
+            bound: TimeDelta::ZERO,
+            rng: WyRand::new_seed(seed),
+        }
     }
 
-    /// Of calls for lists. Where these are pushed, an agent of this gateway's own answers at once, at no cost, and there is
-    /// none; where they are asked for, all gateways share what discovery can do, and are told how long each may go without.
-    pub fn of_discovery(terms: &Terms, least: Span, seed: u64) -> Option<Backoff> {
-        let asks = terms.discovery == Discovery::OnRequest;
-        asks.then(|| Backoff::new(least, terms.rules.ask_within * AFTER_FAILURES, seed))
+    /// The waits between polls of discovery. `None` where lists are pushed: they come from an agent of this gateway's own, which
+    /// answers at once and at no cost to others.
+    pub fn of_discovery(parameters: &Parameters, min: TimeDelta, seed: u64) -> Option<Backoff> {
+        match parameters.discovery_mode {
+            DiscoveryMode::Push => None,
+            DiscoveryMode::Poll => {
+                let max = parameters.safety.max_poll_interval * MAX_DISCOVERY_BACKOFF_INTERVALS;
+                Some(Backoff::new(min, max, seed))
+            }
+        }
     }
 
-    /// It failed, after this long. Gives back how long to wait from now on. Guards a service with a queue: one that
-    /// turned the call away late has more waiting than it answers in that time, and works on calls that nobody waits
-    /// for any more until all have waited for longer than that.
-    pub fn failed(&mut self, took: Span) -> Span {
-        let (doubled, queued) = (self.whole * 2.0, took * 2.0);
-        self.whole = doubled.max(queued).max(self.least).min(self.most);
-        (self.whole * (0.5 + self.chance.generate::<f64>() / 2.0)).max(self.least)
+    /// Notes that a call has failed after this long, and returns how long to wait from now on.
+    ///
+    /// A service that refuses late has a queue. The wait is at least about as long as the call took, so that the service is
+    /// not kept busy with calls that nobody waits for any more.
+    pub fn next_wait(&mut self, call_duration: TimeDelta) -> TimeDelta {
+        let doubled = self.bound * 2.0;
+        let queued = call_duration * 2.0;
+        self.bound = doubled.max(queued).max(self.min).min(self.max);
+        let jitter = 0.5 + self.rng.generate::<f64>() / 2.0;
+        (self.bound * jitter).max(self.min)
     }
 
-    /// How long to wait where a list is held that may still be acted on. Guards a service against being asked by all at the
-    /// moment at which it is back, or at which all start.
-    pub fn spread(&mut self) -> Span {
-        KEPT * self.chance.generate::<f64>()
+    /// A wait for a call that is not urgent, as a list is held that may still be acted on. Spreads the calls of gateways that
+    /// start, or see a service return, at the same moment.
+    pub fn spread(&mut self) -> TimeDelta {
+        CACHED_LIST_LIFETIME * self.rng.generate::<f64>()
     }
 
-    /// It worked: the next failure is a first one again.
-    pub fn worked(&mut self) {
-        self.whole = Span::ZERO;
+    /// Notes that a call has succeeded: the next failure counts as the first.
+    pub fn reset(&mut self) {
+        self.bound = TimeDelta::ZERO;
     }
 }
--- a/crates/attempt-guard/src/lib.rs
+++ b/crates/attempt-guard/src/lib.rs
@@ -1,14 +1,17 @@
-//! Decides at the moment at which an attempt is about to be written, without I/O: whether that on which it was decided
-//! still holds. Between the decision and the first byte lies the making of a connection, in which a list, news,
-//! another txn's answer or the client's leaving may come. And which kept connection may carry it, how long to wait
-//! before a service that refused is asked again, and how long a list may be acted on that nothing confirms.
+//! Decisions at the edge of the network, without I/O: whether an attempt may still be written, which idle connection may carry
+//! it, how long an unconfirmed endpoint list may be acted on, and how long to wait before a failed call is made again.
+//!
+//! Time passes between the decision to make an attempt and its first byte, because a connection has to come up. The attempt
+//! therefore carries its precondition, which is checked again right before the write.
+
+#![warn(missing_docs, unreachable_pub)]
 
 mod backoff;
-mod condition;
-mod freshness;
-mod pool;
+mod connection_reuse;
+mod list_freshness;
+mod precondition;
 
 pub use backoff::Backoff;
-pub use condition::{Condition, Lapse, Standing};
-pub use freshness::{Freshness, TOLD_ANYWAY};
-pub use pool::{Kept, Pool};
+pub use connection_reuse::{IdleState, ReusePolicy};
+pub use list_freshness::{ListFreshness, NOTIFICATION_DEADLINE};
+pub use precondition::{CurrentState, ListedEndpoint, Precondition, Violation};
--- a/crates/event-loop/src/connection.rs
+++ b/crates/event-loop/src/connection.rs
@@ -1,191 +1,170 @@
-//! A connection: a socket that calls back when it is ready, a buffer for what comes in and one for what goes
-//! out. A buffer is held only while something is in it.
+//! A TCP connection that calls back when it is ready, with a buffer for input and one for output. A buffer is held only while
+//! something is in it.
 
 use std::cell::Cell;
 use std::io::{self, ErrorKind, Write};
-use std::net::{SocketAddr, TcpStream};
+use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::rc::Rc;
 
-use calloop::generic::Generic;
-use calloop::{
-    EventSource, Interest, Mode, Poll, PostAction, Readiness, RegistrationToken, Token, TokenFactory,
-};
+use calloop::{Interest, Readiness, RegistrationToken};
 use rustix::buffer::spare_capacity;
+use rustix::io::Errno;
 use rustix::net::{recv, RecvFlags};
 use socket2::{Domain, Protocol, Socket, Type};
 
-use crate::net::Net;
-use crate::pool::Buffer;
-
-/// A socket in the loop, whose interest can be changed from outside.
-struct Watched {
-    socket: Generic<Rc<TcpStream>>,
-    interest: Rc<Cell<Interest>>,
-}
-
-impl EventSource for Watched {
-    type Event = Readiness;
-    type Metadata = ();
-    type Ret = ();
-    type Error = io::Error;
-
-    fn process_events<F>(
-        &mut self,
-        readiness: Readiness,
-        token: Token,
-        mut callback: F,
-    ) -> io::Result<PostAction>
-    where
-        F: FnMut(Readiness, &mut ()),
-    {
-        self.socket.process_events(readiness, token, |readiness, _| {
-            callback(readiness, &mut ());
-            Ok(PostAction::Continue)
-        })
-    }
-
-    fn register(&mut self, poll: &mut Poll, tokens: &mut TokenFactory) -> calloop::Result<()> {
-        self.socket.interest = self.interest.get();
-        self.socket.register(poll, tokens)
-    }
-
-    fn reregister(&mut self, poll: &mut Poll, tokens: &mut TokenFactory) -> calloop::Result<()> {
-        self.socket.interest = self.interest.get();
-        self.socket.reregister(poll, tokens)
-    }
-
-    fn unregister(&mut self, poll: &mut Poll) -> calloop::Result<()> {
-        self.socket.unregister(poll)
-    }
-}
-
-/// Whose descriptor, and whose buffer to read into, a connection takes: those of the budget, or of the reserve.
-#[derive(Clone, Copy, PartialEq, Eq)]
-pub enum Purse {
-    Client,
-    Server,
-    Reserve,
-}
-
-#[derive(Clone, Copy, PartialEq, Eq)]
-pub enum Filled {
-    Some,
-    Nothing,
-    /// The buffer is full, or none is to be had.
-    Full,
-    Ended,
+use crate::buffer_pool::Buffer;
+use crate::interest::StreamSource;
+use crate::io_context::{IoContext, ResourceClass};
+
+/// What a read came to.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ReadResult {
+    /// Bytes were read.
+    Data,
+    /// There is nothing to read now.
+    WouldBlock,
+    /// The buffer is full, or none is available.
+    NoBuffer,
+    /// The other side has closed its sending side.
+    EndOfStream,
+    /// The connection broke.
     Failed,
 }
 
-#[derive(Clone, Copy, PartialEq, Eq)]
-pub enum Flushed {
-    All,
-    Part,
+/// What a write came to.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum WriteResult {
+    /// All output was written.
+    Complete,
+    /// The socket takes no more now.
+    Partial,
+    /// The connection broke.
     Failed,
 }
 
+/// A TCP connection in the loop. It has to be closed with `close`, which releases its buffers and descriptor.
 pub struct Connection {
     stream: Rc<TcpStream>,
     interest: Rc<Cell<Interest>>,
     token: RegistrationToken,
-    purse: Purse,
+    class: ResourceClass,
+    /// What was read and not yet consumed.
     pub input: Buffer,
+    /// What is to be written.
     pub output: Buffer,
+    /// Bytes of the output that are written.
     written: usize,
 }
 
 impl Connection {
-    pub fn adopt<D>(
-        net: &mut Net<D>,
+    /// Registers a stream that is open already.
+    ///
+    /// # Errors
+    ///
+    /// The loop cannot watch the socket.
+    pub fn register<D>(
+        context: &mut IoContext<D>,
         stream: TcpStream,
         interest: Interest,
-        purse: Purse,
+        class: ResourceClass,
         on_ready: impl Fn(&mut D, Readiness) + 'static,
     ) -> io::Result<Connection> {
-        let (stream, interest) = (Rc::new(stream), Rc::new(Cell::new(interest)));
-        let socket = Generic::new(stream.clone(), interest.get(), Mode::Level);
-        let watched = Watched { socket, interest: interest.clone() };
-        let call = move |readiness, _: &mut (), data: &mut D| on_ready(data, readiness);
-        let token = net.handle.insert_source(watched, call).map_err(|e| io::Error::other(e.error))?;
-        if purse != Purse::Reserve {
-            net.descriptors.held += 1;
+        let stream = Rc::new(stream);
+        let interest = Rc::new(Cell::new(interest));
+        let source = StreamSource::new(stream.clone(), interest.clone());
+        let callback = move |readiness, _: &mut (), data: &mut D| on_ready(data, readiness);
+        let token = context
+            .handle
+            .insert_source(source, callback)
+            .map_err(|e| io::Error::other(e.error))?;
+        if class != ResourceClass::Reserved {
+            context.descriptors.in_use += 1;
         }
-        let (input, output) = (Buffer::new(), Buffer::new());
-        Ok(Connection { stream, interest, token, purse, input, output, written: 0 })
+        Ok(Connection {
+            stream,
+            interest,
+            token,
+            class,
+            input: Buffer::new(),
+            output: Buffer::new(),
+            written: 0,
+        })
     }
 
-    /// Begins to connect; the callback comes once it is up or has failed.
-    pub fn dial<D>(
-        net: &mut Net<D>,
+    /// Begins to connect. The callback comes once the connection is up or has failed.
+    ///
+    /// # Errors
+    ///
+    /// There is no socket to be had, or the connection fails at once.
+    pub fn connect<D>(
+        context: &mut IoContext<D>,
         address: SocketAddr,
-        purse: Purse,
+        class: ResourceClass,
         on_ready: impl Fn(&mut D, Readiness) + 'static,
     ) -> io::Result<Connection> {
         let kind = Type::STREAM.nonblocking().cloexec();
         let socket = Socket::new(Domain::for_address(address), kind, Some(Protocol::TCP))?;
         socket.set_tcp_nodelay(true)?;
-        match socket.connect(&address.into()) {
-            Err(e) if e.raw_os_error() != Some(rustix::io::Errno::INPROGRESS.raw_os_error()) => {
-                return Err(e)
+        if let Err(error) = socket.connect(&address.into()) {
+            if error.raw_os_error() != Some(Errno::INPROGRESS.raw_os_error()) {
+                return Err(error);
             }
-            _ => {}
         }
-        Connection::adopt(net, socket.into(), Interest::WRITE, purse, on_ready)
+        Connection::register(context, socket.into(), Interest::WRITE, class, on_ready)
     }
 
-    /// Whether a connection that was dialled has come up.
-    pub fn is_up(&self) -> io::Result<()> {
+    /// Whether a connection that became writable has come up.
+    ///
+    /// # Errors
+    ///
+    /// Why it has not.
+    pub fn check_connected(&self) -> io::Result<()> {
         self.stream.take_error()?.map_or(Ok(()), Err)
     }
 
-    /// Reads once, so that a busy socket gives way to the others.
-    pub fn fill<D>(&mut self, net: &mut Net<D>) -> Filled {
+    /// Reads once into the input buffer, so that a busy socket gives way to the others.
+    pub fn read<D>(&mut self, context: &mut IoContext<D>) -> ReadResult {
         if self.input.capacity() == 0 {
-            let Some(buffer) = net.pool.lend(self.purse) else {
-                net.no_buffer += 1;
-                return Filled::Full;
+            let Some(buffer) = context.buffers.acquire(self.class) else {
+                context.buffer_shortages += 1;
+                return ReadResult::NoBuffer;
             };
             self.input = buffer;
         }
         if self.input.len() == self.input.capacity() {
-            return Filled::Full;
+            return ReadResult::NoBuffer;
         }
-        let read = recv(&self.stream, spare_capacity(&mut self.input), RecvFlags::empty());
-        let filled = match read {
-            Ok((0, _)) => Filled::Ended,
-            Ok(_) => Filled::Some,
-            Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => Filled::Nothing,
-            Err(_) => Filled::Failed,
-        };
-        self.release_empty(net);
-        filled
+        let received = recv(
+            &self.stream,
+            spare_capacity(&mut self.input),
+            RecvFlags::empty(),
+        );
+        let result = read_result(received.map(|(count, _)| count));
+        self.release_empty_buffers(context);
+        result
     }
 
-    /// Reads once what is of no use any more, without a buffer of its own.
-    pub fn pass_over<D>(&mut self, net: &mut Net<D>) -> Filled {
-        match recv(&self.stream, &mut net.sink[..], RecvFlags::empty()) {
-            Ok((0, _)) => Filled::Ended,
-            Ok(_) => Filled::Some,
-            Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => Filled::Nothing,
-            Err(_) => Filled::Failed,
-        }
+    /// Reads once and discards what was read. Needs no buffer.
+    pub fn discard_input<D>(&mut self, context: &mut IoContext<D>) -> ReadResult {
+        let received = recv(&self.stream, &mut context.discard[..], RecvFlags::empty());
+        read_result(received.map(|(count, _)| count))
     }
 
-    /// Gives back buffers that hold nothing.
-    pub fn release_empty<D>(&mut self, net: &mut Net<D>) {
+    /// Releases the buffers that hold nothing.
+    pub fn release_empty_buffers<D>(&mut self, context: &mut IoContext<D>) {
         if self.input.is_empty() {
-            net.pool.give_back(&mut self.input);
+            context.buffers.release(&mut self.input);
         }
         if self.output.is_empty() {
-            net.pool.give_back(&mut self.output);
+            context.buffers.release(&mut self.output);
         }
     }
 
-    /// The buffer for what goes out, if one is to be had.
-    pub fn out<D>(&mut self, net: &mut Net<D>) -> Option<&mut Buffer> {
+    /// The output buffer. `None` if none is available.
+    pub fn output_buffer<D>(&mut self, context: &mut IoContext<D>) -> Option<&mut Buffer> {
         if self.output.capacity() == 0 {
-            let Some(buffer) = net.pool.lend(Purse::Server) else {
-                net.no_buffer += 1;
+            let Some(buffer) = context.buffers.acquire(ResourceClass::Upstream) else {
+                context.buffer_shortages += 1;
                 return None;
             };
             self.output = buffer;
@@ -193,55 +172,73 @@
         Some(&mut self.output)
     }
 
-    pub fn flush<D>(&mut self, net: &mut Net<D>) -> Flushed {
+    /// Writes the output, as much of it as the socket takes.
+    pub fn flush<D>(&mut self, context: &mut IoContext<D>) -> WriteResult {
         while self.written < self.output.len() {
             match (&*self.stream).write(&self.output[self.written..]) {
-                Ok(0) => return Flushed::Failed,
-                Ok(n) => self.written += n,
-                Err(e) if e.kind() == ErrorKind::WouldBlock => return Flushed::Part,
-                Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                Err(_) => return Flushed::Failed,
+                Ok(0) => return WriteResult::Failed,
+                Ok(count) => self.written += count,
+                Err(error) if error.kind() == ErrorKind::WouldBlock => return WriteResult::Partial,
+                Err(error) if error.kind() == ErrorKind::Interrupted => {}
+                Err(_) => return WriteResult::Failed,
             }
         }
         self.written = 0;
         self.output.clear();
-        self.release_empty(net);
-        Flushed::All
+        self.release_empty_buffers(context);
+        WriteResult::Complete
     }
 
-    /// Whether a connection that was kept still stands, with nothing come in on it.
-    pub fn stands(&self) -> bool {
+    /// Whether an idle connection is still open, with nothing received on it.
+    pub fn is_open_and_quiet(&self) -> bool {
         let mut byte = [0_u8; 1];
-        let peeked = recv(&self.stream, &mut byte, RecvFlags::PEEK | RecvFlags::DONTWAIT);
-        matches!(peeked, Err(e) if e.kind() == ErrorKind::WouldBlock)
-    }
-
-    pub fn wants<D>(&self, net: &Net<D>, readable: bool, writable: bool) {
-        let wanted = Interest { readable, writable };
-        let now = self.interest.replace(wanted);
-        if (now.readable, now.writable) != (readable, writable) {
-            if let Err(e) = net.handle.update(&self.token) {
-                tracing::warn!("a socket cannot be watched: {e}");
+        let peeked = recv(
+            &self.stream,
+            &mut byte,
+            RecvFlags::PEEK | RecvFlags::DONTWAIT,
+        );
+        matches!(peeked, Err(error) if error.kind() == ErrorKind::WouldBlock)
+    }
+
+    /// Sets what the connection waits for.
+    pub fn set_interest<D>(&self, context: &IoContext<D>, readable: bool, writable: bool) {
+        let before = self.interest.replace(Interest { readable, writable });
+        if (before.readable, before.writable) != (readable, writable) {
+            if let Err(error) = context.handle.update(&self.token) {
+                tracing::warn!("a socket cannot be watched: {error}");
             }
         }
     }
 
-    pub fn reads(&self) -> bool {
+    /// Whether the connection waits for input.
+    pub fn is_reading(&self) -> bool {
         self.interest.get().readable
     }
 
-    /// Says that nothing more will be sent.
-    pub fn finish_sending(&self) {
-        // A connection that is gone already needs no such word.
-        let _ = self.stream.shutdown(std::net::Shutdown::Write);
+    /// Closes the sending side.
+    pub fn shut_down_sending(&self) {
+        // Nothing is lost if the connection is gone already.
+        let _ = self.stream.shutdown(Shutdown::Write);
+    }
+
+    /// Closes the connection and releases what it holds.
+    pub fn close<D>(mut self, context: &mut IoContext<D>) {
+        context.handle.remove(self.token);
+        context.buffers.release(&mut self.input);
+        context.buffers.release(&mut self.output);
+        if self.class != ResourceClass::Reserved {
+            context.descriptors.in_use = context.descriptors.in_use.saturating_sub(1);
+        }
     }
+}
 
-    pub fn close<D>(mut self, net: &mut Net<D>) {
-        net.handle.remove(self.token);
-        net.pool.give_back(&mut self.input);
-        net.pool.give_back(&mut self.output);
-        if self.purse != Purse::Reserve {
-            net.descriptors.held = net.descriptors.held.saturating_sub(1);
+fn read_result(received: Result<usize, Errno>) -> ReadResult {
+    match received {
+        Ok(0) => ReadResult::EndOfStream,
+        Ok(_) => ReadResult::Data,
+        Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => {
+            ReadResult::WouldBlock
         }
+        Err(_) => ReadResult::Failed,
     }
 }
--- a/crates/event-loop/src/lib.rs
+++ b/crates/event-loop/src/lib.rs
@@ -1,20 +1,26 @@
-//! Sockets on calloop, for any program: connections with their callbacks, pooled buffers, descriptors, what is
-//! due, streams of lines, and log lines that never hold anybody up. `D` is the data that the loop hands to
-//! callbacks; nothing here knows what a gateway is, and nothing here decides.
+//! Sockets on calloop, for any program: connections with callbacks, pooled buffers, a descriptor budget, timers, reconnecting
+//! streams of lines, and log lines that never block.
+//!
+//! `D` is the data that the loop hands to callbacks. Nothing here knows what a gateway is, and nothing here decides.
 
+#![warn(missing_docs, unreachable_pub)]
+
+mod buffer_pool;
 mod clock;
 mod connection;
-mod dues;
-mod errand;
-mod feed;
+mod descriptor_budget;
+mod interest;
+mod io_context;
+mod line_stream;
 pub mod logging;
-mod net;
-mod pool;
+mod request_exchange;
+mod timer_queue;
 
+pub use buffer_pool::{Buffer, BufferPool};
 pub use clock::Clock;
-pub use connection::{Connection, Filled, Flushed, Purse};
-pub use dues::Dues;
-pub use errand::{Errand, Step};
-pub use feed::{Asking, Feed, Heard};
-pub use net::{ConnectionNo, Net};
-pub use pool::{Buffer, Descriptors, Pool};
+pub use connection::{Connection, ReadResult, WriteResult};
+pub use descriptor_budget::DescriptorBudget;
+pub use io_context::{ConnectionId, IoContext, ResourceClass};
+pub use line_stream::{LineStream, ResponseMode, StreamEvent};
+pub use request_exchange::{ExchangeEvent, RequestExchange};
+pub use timer_queue::TimerQueue;
--- a/crates/event-loop/src/logging.rs
+++ b/crates/event-loop/src/logging.rs
@@ -1,5 +1,5 @@
-//! Log lines on standard error, plain or as JSON. A reader that is slow or gone holds nobody up: lines wait in
-//! a bounded queue, and those that find it full are counted and lost.
+//! Log lines on standard error, plain or as JSON. A slow or absent reader blocks nobody: lines wait in a bounded queue, and
+//! those that find it full are dropped and counted.
 
 use std::collections::VecDeque;
 use std::fmt;
@@ -9,6 +9,7 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
+use thiserror::Error;
 use tracing::{Event, Subscriber};
 use tracing_subscriber::filter::filter_fn;
 use tracing_subscriber::fmt::format::Writer;
@@ -18,72 +19,97 @@
 use tracing_subscriber::util::SubscriberInitExt;
 use tracing_subscriber::Layer;
 
-/// The least that is logged.
+/// The least severe level that is logged.
 pub type Level = tracing::level_filters::LevelFilter;
 
-/// How a line is written.
+/// How a log line is written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Form {
+pub enum Format {
+    /// Seconds since 1970, level and text.
     Plain,
+    /// One JSON object.
     Json,
 }
 
-impl FromStr for Form {
-    type Err = String;
-    fn from_str(text: &str) -> Result<Form, String> {
+/// A word that names no format.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+#[error("'{0}' is neither plain nor json")]
+pub struct UnknownFormat(String);
+
+impl FromStr for Format {
+    type Err = UnknownFormat;
+
+    fn from_str(text: &str) -> Result<Format, UnknownFormat> {
         match text {
-            "plain" => Ok(Form::Plain),
-            "json" => Ok(Form::Json),
-            odd => Err(format!("'{odd}' is neither plain nor json")),
+            "plain" => Ok(Format::Plain),
+            "json" => Ok(Format::Json),
+            other => Err(UnknownFormat(other.into())),
         }
     }
 }
 
-/// A pipe that takes anything takes this much without waiting.
-const LINE_MOST: usize = 4096;
-const WAITING_MOST: usize = 256;
+/// A pipe that is writable takes this many bytes without blocking.
+const MAX_LINE_BYTES: usize = 4096;
+const MAX_QUEUED_LINES: usize = 256;
 
-struct Waiting {
+struct LineQueue {
     lines: VecDeque<Vec<u8>>,
-    lost: u64,
+    dropped: u64,
 }
 
-static WAITING: Mutex<Waiting> = Mutex::new(Waiting { lines: VecDeque::new(), lost: 0 });
-
-/// Starts logging for the whole program; a second start changes nothing.
-pub fn start(level: Level, form: Form) {
-    let ours = filter_fn(|metadata| metadata.target().starts_with("harrierdock"));
-    let layer = tracing_subscriber::fmt::layer().with_writer(|| Line(Vec::new())).with_ansi(false);
-    let layer = match form {
-        Form::Plain => layer.event_format(Plain).boxed(),
-        Form::Json => layer.json().flatten_event(true).with_current_span(false).with_span_list(false).boxed(),
+static QUEUE: Mutex<LineQueue> = Mutex::new(LineQueue {
+    lines: VecDeque::new(),
+    dropped: 0,
+});
+
+/// Starts logging for the whole program. A second start changes nothing.
+pub fn start(level: Level, format: Format) {
+    let own_targets = filter_fn(|metadata| metadata.target().starts_with("harrierdock"));
+    let layer = tracing_subscriber::fmt::layer()
+        .with_writer(|| Line(Vec::new()))
+        .with_ansi(false);
+    let layer = match format {
+        Format::Plain => layer.event_format(PlainFormat).boxed(),
+        Format::Json => layer
+            .json()
+            .flatten_event(true)
+            .with_current_span(false)
+            .with_span_list(false)
+            .boxed(),
     };
-    let _ = tracing_subscriber::registry().with(layer.with_filter(ours).with_filter(level)).try_init();
+    let _ = tracing_subscriber::registry()
+        .with(layer.with_filter(own_targets).with_filter(level))
+        .try_init();
 }
 
-/// How many lines were lost so far.
-pub fn lost() -> u64 {
-    WAITING.lock().map_or(0, |w| w.lost)
+/// How many lines have been dropped so far.
+pub fn dropped_lines() -> u64 {
+    QUEUE.lock().map_or(0, |queue| queue.dropped)
 }
 
-/// Writes what waits, as far as it is taken without waiting.
+/// Writes queued lines, as many as standard error takes without blocking.
 pub fn flush() {
-    let Ok(mut waiting) = WAITING.lock() else { return };
-    while !waiting.lines.is_empty() && takes_a_line() {
-        if let Some(line) = waiting.lines.pop_front() {
+    let Ok(mut queue) = QUEUE.lock() else {
+        return;
+    };
+    while !queue.lines.is_empty() && stderr_is_writable() {
+        if let Some(line) = queue.lines.pop_front() {
             let _ = io::stderr().write_all(&line);
         }
     }
 }
 
-fn takes_a_line() -> bool {
-    let error = io::stderr();
-    let mut watched = [PollFd::new(&error, PollFlags::OUT)];
-    let at_once = Timespec { tv_sec: 0, tv_nsec: 0 };
-    poll(&mut watched, Some(&at_once)).is_ok() && watched[0].revents().contains(PollFlags::OUT)
+fn stderr_is_writable() -> bool {
+    let stderr = io::stderr();
+    let mut watched = [PollFd::new(&stderr, PollFlags::OUT)];
+    let no_wait = Timespec {
+        tv_sec: 0,
+        tv_nsec: 0,
+    };
+    poll(&mut watched, Some(&no_wait)).is_ok() && watched[0].revents().contains(PollFlags::OUT)
 }
 
-/// One event's line as it is written; it joins those that wait once it is whole.
+/// One event's line while it is written. It is queued when it is dropped.
 struct Line(Vec<u8>);
 
 impl Write for Line {
@@ -103,15 +129,15 @@
         if line.is_empty() {
             return;
         }
-        line.truncate(LINE_MOST - 1);
+        line.truncate(MAX_LINE_BYTES - 1);
         if line.last() != Some(&b'\n') {
             line.push(b'\n');
         }
-        if let Ok(mut waiting) = WAITING.lock() {
-            if waiting.lines.len() < WAITING_MOST {
-                waiting.lines.push_back(line);
+        if let Ok(mut queue) = QUEUE.lock() {
+            if queue.lines.len() < MAX_QUEUED_LINES {
+                queue.lines.push_back(line);
             } else {
-                waiting.lost += 1;
+                queue.dropped += 1;
             }
         }
         flush();
@@ -119,9 +145,9 @@
 }
 
 /// Seconds since 1970, level, text: `1764600000.123 info n0 serves on 127.0.0.1:8443`.
-struct Plain;
+struct PlainFormat;
 
-impl<S, N> FormatEvent<S, N> for Plain
+impl<S, N> FormatEvent<S, N> for PlainFormat
 where
     S: Subscriber + for<'a> LookupSpan<'a>,
     N: for<'a> FormatFields<'a> + 'static,
@@ -132,11 +158,20 @@
         mut to: Writer<'_>,
         event: &Event<'_>,
     ) -> fmt::Result {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
         let level = event.metadata().level().as_str().to_ascii_lowercase();
-        let mut said = String::new();
-        context.field_format().format_fields(Writer::new(&mut said), event)?;
-        let said = said.replace(['\n', '\r'], " ");
-        writeln!(to, "{}.{:03} {level} {said}", unix.as_secs(), unix.subsec_millis())
+        let mut text = String::new();
+        context
+            .field_format()
+            .format_fields(Writer::new(&mut text), event)?;
+        let text = text.replace(['\n', '\r'], " ");
+        writeln!(
+            to,
+            "{}.{:03} {level} {text}",
+            unix.as_secs(),
+            unix.subsec_millis()
+        )
     }
 }
--- /dev/null
+++ b/crates/event-loop/src/request_exchange.rs
@@ -0,0 +1,138 @@
+//! One request on a connection of its own, and its response.
+//!
+//! The request is written only once the connection is up, at the moment before its bytes go out, so that its sender can check
+//! then whether it still may be sent.
+
+use std::net::SocketAddr;
+
+use calloop::Readiness;
+use harrierdock_http::{write, MessageReader, Progress, ResponseHead};
+
+use crate::connection::{Connection, ReadResult, WriteResult};
+use crate::io_context::{IoContext, ResourceClass};
+
+/// What has become of an exchange.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum ExchangeEvent {
+    /// The connection is up: now is the time to write the request, or to close.
+    Connected,
+    /// Nothing new.
+    Pending,
+    /// The response has arrived.
+    Responded {
+        /// Its status.
+        status: u16,
+        /// Its body.
+        body: Vec<u8>,
+    },
+    /// The connection broke, or the response is unreadable.
+    Failed,
+}
+
+/// A request on a connection of its own.
+pub struct RequestExchange {
+    address: SocketAddr,
+    connection: Connection,
+    reader: MessageReader,
+    is_composed: bool,
+    is_written: bool,
+}
+
+impl RequestExchange {
+    /// Begins to connect. `None` if no connection can be had.
+    pub fn connect<D>(
+        context: &mut IoContext<D>,
+        address: SocketAddr,
+        on_ready: impl Fn(&mut D, Readiness) + 'static,
+    ) -> Option<RequestExchange> {
+        let connection =
+            Connection::connect(context, address, ResourceClass::Reserved, on_ready).ok()?;
+        Some(RequestExchange {
+            address,
+            connection,
+            reader: MessageReader::default(),
+            is_composed: false,
+            is_written: false,
+        })
+    }
+
+    /// Writes a POST request with a JSON body. Returns whether any of it may have been sent.
+    pub fn post<D>(&mut self, context: &mut IoContext<D>, path: &str, body: &[u8]) -> bool {
+        let address = self.address;
+        let Some(out) = self.connection.output_buffer(context) else {
+            return false;
+        };
+        write::request_line(out, "POST", path);
+        write::field(out, "Host", address);
+        write::field(out, "Connection", "close");
+        write::field(out, "Content-Type", "application/json");
+        write::body(out, body);
+        self.is_composed = true;
+        self.flush(context) != WriteResult::Failed
+    }
+
+    /// What has become of the exchange, now that its connection is ready for something.
+    pub fn handle_readiness<D>(
+        &mut self,
+        context: &mut IoContext<D>,
+        readiness: Readiness,
+    ) -> ExchangeEvent {
+        if !self.is_composed {
+            return self.handle_connecting(readiness);
+        }
+        if !self.is_written && readiness.writable && self.flush(context) == WriteResult::Failed {
+            return ExchangeEvent::Failed;
+        }
+        if !readiness.readable || !self.is_written {
+            return ExchangeEvent::Pending;
+        }
+        self.read_response(context)
+    }
+
+    /// Closes the connection.
+    pub fn close<D>(self, context: &mut IoContext<D>) {
+        self.connection.close(context);
+    }
+
+    fn handle_connecting(&self, readiness: Readiness) -> ExchangeEvent {
+        match self.connection.check_connected() {
+            Ok(()) if readiness.writable => ExchangeEvent::Connected,
+            Ok(()) => ExchangeEvent::Pending,
+            Err(_) => ExchangeEvent::Failed,
+        }
+    }
+
+    fn flush<D>(&mut self, context: &mut IoContext<D>) -> WriteResult {
+        let result = self.connection.flush(context);
+        if result == WriteResult::Complete {
+            self.is_written = true;
+            self.connection.set_interest(context, true, false);
+        }
+        result
+    }
+
+    fn read_response<D>(&mut self, context: &mut IoContext<D>) -> ExchangeEvent {
+        let read = self.connection.read(context);
+        let progress = self.reader.read_response(&mut self.connection.input);
+        let ends_here =
+            read == ReadResult::EndOfStream && progress.is_ok() && self.reader.end_of_input();
+        if progress == Ok(Progress::Complete) || ends_here {
+            return self.response();
+        }
+        match read {
+            ReadResult::Data | ReadResult::WouldBlock if progress.is_ok() => ExchangeEvent::Pending,
+            _ => ExchangeEvent::Failed,
+        }
+    }
+
+    fn response(&self) -> ExchangeEvent {
+        let input = &self.connection.input;
+        match ResponseHead::parse(input) {
+            Ok(Some(head)) => ExchangeEvent::Responded {
+                status: head.status,
+                body: input[self.reader.body()].to_vec(),
+            },
+            _ => ExchangeEvent::Failed,
+        }
+    }
+}
--- /dev/null
+++ b/crates/event-loop/tests/clock.rs
@@ -0,0 +1,13 @@
+//! Timestamps of the clock.
+
+use harrierdock_event_loop::Clock;
+use harrierdock_types::{TimeDelta, Timestamp};
+
+#[test]
+fn a_point_before_the_start_has_one_timestamp_whenever_it_is_given() {
+    let clock = Clock::start();
+    assert!(clock.now() - TimeDelta::from_seconds(3600.0) > Timestamp::default());
+    let at = clock.at_unix_ms(1_700_000_000_000);
+    let ages = [clock.now(), clock.now() + TimeDelta::from_seconds(1.0)].map(|now| (now, now - at));
+    assert!(ages.iter().all(|(now, age)| *now - *age == at));
+}
--- a/crates/fault-injection/src/admission/txns.rs
+++ b/crates/fault-injection/src/admission/txns.rs
@@ -1,8 +1,11 @@
-//! What becomes of one txn in simulated time, from its coming to its end, at its gateway and at its server.
+//! What becomes of one request in simulated time, from its coming to its end, at its gateway and at its server.
 
 use harrierdock_admission::{Ask, Decision, Event};
-use harrierdock_types::interface::{Outcome, TxnId};
-use harrierdock_types::time::Span;
+use harrierdock_types::ClassId;
+use harrierdock_types::TenantId;
+use harrierdock_types::TimeDelta;
+use harrierdock_types::ZoneId;
+use harrierdock_types::{AttemptOutcome, RequestId};
 use nanorand::Rng;
 
 use super::day::{COUNTED, FASTEST, QUEUE, SLOTS, TROUBLE};
@@ -24,33 +27,47 @@
         let come = self.day.comes[txn];
         // Clients of a gateway that is down turn to the next.
         let of = self.day.gateways;
-        let gateway = (0..of).map(|n| (come.gateway + n) % of).find(|g| self.gateways[*g].up);
+        let gateway = (0..of)
+            .map(|n| (come.gateway + n) % of)
+            .find(|g| self.gateways[*g].up);
         let Some(gateway) = gateway else { return };
         let incarnation = self.gateways[gateway].incarnation;
-        self.txns[txn] = Txn { gateway, incarnation, ..Txn::default() };
+        self.txns[txn] = Txn {
+            gateway,
+            incarnation,
+            ..Txn::default()
+        };
         if self.troubled(txn) {
-            self.sums.tenants[self.day.level(come.product)][come.tenant].0 += 1.0;
+            self.sums.tenants[self.day.level(come.class)][come.tenant].0 += 1.0;
             self.sums.gateways[come.gateway].0 += 1.0;
         }
-        let expiry = self.day.products[come.product].expiry;
+        let expiry = self.day.classes[come.class].timeout;
         match self.way {
             Way::Alone => self.place(txn),
             Way::Shed => {
                 let circle = &mut self.gateways[gateway].circle;
                 circle.taken += 1;
                 for (of, share) in circle.share.iter_mut().enumerate() {
-                    *share += 0.01 * (f64::from(of == come.product) - *share);
+                    *share += 0.01 * (f64::from(of == come.class) - *share);
                 }
-                let part = circle.shed_of(self.day, come.product);
+                let part = circle.shed_of(self.day, come.class);
                 if self.chance.generate::<f64>() < part {
                     return self.decline(txn);
                 }
                 self.place(txn);
             }
             Way::Shared => {
-                let (id, product) = (TxnId(txn as u64), come.product);
-                let (tenant, zones, age, left) = (Some(come.tenant), 0, Span::ZERO, expiry);
-                let ask = Ask { id, product, tenant, zones, age, left, ran: false };
+                let (id, class) = (RequestId(txn as u64), come.class);
+                let (tenant, zones, age, left) = (Some(come.tenant), 0, TimeDelta::ZERO, expiry);
+                let ask = Ask {
+                    id,
+                    class: ClassId(class),
+                    tenant: tenant.map(TenantId),
+                    zones,
+                    age,
+                    left,
+                    ran: false,
+                };
                 let (now, admission) = (self.point(), self.gateways[gateway].admission.as_mut());
                 match admission.map(|a| a.decide(now, &ask)) {
                     Some(Decision::Wait { .. }) => {
@@ -62,10 +79,12 @@
                     _ => self.place(txn),
                 }
             }
-            Way::Bound { cheap, dear } => match choose(self.day, &self.loads, come.product, cheap, dear) {
-                Some(server) => self.send(txn, server),
-                None => self.decline(txn),
-            },
+            Way::Bound { cheap, dear } => {
+                match choose(self.day, &self.loads, come.class, cheap, dear) {
+                    Some(server) => self.send(txn, server),
+                    None => self.decline(txn),
+                }
+            }
         }
     }
 
@@ -103,12 +122,17 @@
         if let Some(server) = found {
             return self.send(txn, server);
         }
-        let (come, sla) = (self.day.comes[txn], self.day.products[self.day.comes[txn].product].sla.0);
-        if self.now - come.at >= sla / 10 {
+        let (come, latency_objective) = (
+            self.day.comes[txn],
+            self.day.classes[self.day.comes[txn].class]
+                .latency_objective
+                .0,
+        );
+        if self.now - come.at >= latency_objective / 10 {
             return self.decline(txn);
         }
         self.txns[txn].state = State::Waits;
-        self.at(self.now + sla / 25, Due::Look { txn });
+        self.at(self.now + latency_objective / 25, Due::Look { txn });
     }
 
     fn send(&mut self, txn: usize, server: usize) {
@@ -124,8 +148,19 @@
         (kept.state, kept.server, kept.sent) = (State::Out, server, self.now);
         let (gateway, incarnation, attempt) = (kept.gateway, kept.incarnation, kept.attempts);
         self.gateways[gateway].kept[server].out += 1;
-        self.tell(gateway, Event::Sent { zone: self.day.zone(server) });
-        let job = Job { txn, gateway, incarnation, attempt, sent: self.now };
+        self.tell(
+            gateway,
+            Event::Sent {
+                zone: ZoneId(self.day.zone(server)),
+            },
+        );
+        let job = Job {
+            txn,
+            gateway,
+            incarnation,
+            attempt,
+            sent: self.now,
+        };
         if self.running[server] < SLOTS {
             self.start(server, job);
         } else if self.queues[server].len() < QUEUE {
@@ -135,7 +170,7 @@
         }
         self.loads[server] = self.running[server] + self.queues[server].len();
         if attempt == 1 {
-            let expiry = self.day.products[come.product].expiry.0;
+            let expiry = self.day.classes[come.class].timeout.0;
             self.at(come.at + expiry, Due::Expire { txn, attempt });
         }
     }
@@ -147,9 +182,13 @@
     }
 
     fn full(&mut self, job: Job, server: usize) {
-        self.end(job, server, Outcome::Full);
+        self.end(job, server, AttemptOutcome::Rejected);
         let kept = &mut self.gateways[job.gateway].kept[server];
-        kept.shut = self.now + self.day.products[self.day.comes[job.txn].product].sla.0 / 2;
+        kept.shut = self.now
+            + self.day.classes[self.day.comes[job.txn].class]
+                .latency_objective
+                .0
+                / 2;
         kept.lost();
         if job.attempt < ATTEMPTS {
             self.place(job.txn);
@@ -158,50 +197,67 @@
         }
     }
 
-    /// A submission is no longer out, if its gateway still knows of it.
-    fn end(&mut self, job: Job, server: usize, outcome: Outcome) -> bool {
+    /// A attempt is no longer out, if its gateway still knows of it.
+    fn end(&mut self, job: Job, server: usize, outcome: AttemptOutcome) -> bool {
         let gateway = &mut self.gateways[job.gateway];
         if gateway.incarnation != job.incarnation || !gateway.up {
             return false;
         }
         gateway.kept[server].out = gateway.kept[server].out.saturating_sub(1);
-        let (product, zone, took) =
-            (self.day.comes[job.txn].product, self.day.zone(server), Span(self.now - job.sent));
-        self.tell(job.gateway, Event::Ended { product, zone, outcome, took });
+        let (class, zone, took) = (
+            self.day.comes[job.txn].class,
+            self.day.zone(server),
+            TimeDelta(self.now - job.sent),
+        );
+        self.tell(
+            job.gateway,
+            Event::Ended {
+                class: ClassId(class),
+                zone: ZoneId(zone),
+                outcome,
+                took,
+            },
+        );
         true
     }
 
     pub(super) fn done(&mut self, server: usize, job: Job) {
         self.running[server] -= 1;
         while self.running[server] < SLOTS {
-            let Some(next) = self.queues[server].pop_front() else { break };
+            let Some(next) = self.queues[server].pop_front() else {
+                break;
+            };
             let come = self.day.comes[next.txn];
             // Dropped as expired: whoever sent it has given up on it.
-            if self.now < come.at + self.day.products[come.product].expiry.0 {
+            if self.now < come.at + self.day.classes[come.class].timeout.0 {
                 self.start(server, next);
             }
         }
         self.loads[server] = self.running[server] + self.queues[server].len();
         let txn = self.txns[job.txn];
-        if txn.state != State::Out || txn.attempts != job.attempt || !self.end(job, server, Outcome::Served) {
+        if txn.state != State::Out
+            || txn.attempts != job.attempt
+            || !self.end(job, server, AttemptOutcome::Succeeded)
+        {
             return;
         }
         self.txns[job.txn].state = State::Ended;
         let come = self.day.comes[job.txn];
-        let (terms, took) = (&self.day.products[come.product], self.now - come.at);
+        let (terms, took) = (&self.day.classes[come.class], self.now - come.at);
         let gateway = &mut self.gateways[job.gateway];
         gateway.circle.answered += 1;
-        gateway.kept[server].served(lag(self.day, come.product, self.now - job.sent));
-        let in_time = took <= terms.sla.0;
-        let revenue = terms.revenue * if in_time { 1.0 } else { terms.late_worth };
+        gateway.kept[server].served(lag(self.day, come.class, self.now - job.sent));
+        let in_time = took <= terms.latency_objective.0;
+        let priority_weight =
+            terms.priority_weight * if in_time { 1.0 } else { terms.late_value_ratio };
         if self.counted(job.txn) {
-            self.sums.revenue += revenue;
+            self.sums.priority_weight += priority_weight;
             self.sums.late += usize::from(!in_time);
             self.sums.waited_in_time += usize::from(in_time && self.waits[job.txn]);
         }
         if self.troubled(job.txn) {
-            self.sums.revenue_in_trouble += revenue;
-            self.sums.tenants[self.day.level(come.product)][come.tenant].1 += f64::from(in_time);
+            self.sums.revenue_in_trouble += priority_weight;
+            self.sums.tenants[self.day.level(come.class)][come.tenant].1 += f64::from(in_time);
             self.sums.gateways[come.gateway].1 += f64::from(in_time);
         }
     }
@@ -212,8 +268,25 @@
             return;
         }
         self.txns[txn].state = State::Ended;
-        let Txn { gateway, incarnation, attempts, server, sent, .. } = kept;
-        if self.end(Job { txn, gateway, incarnation, attempt: attempts, sent }, server, Outcome::TimedOut) {
+        let Txn {
+            gateway,
+            incarnation,
+            attempts,
+            server,
+            sent,
+            ..
+        } = kept;
+        if self.end(
+            Job {
+                txn,
+                gateway,
+                incarnation,
+                attempt: attempts,
+                sent,
+            },
+            server,
+            AttemptOutcome::TimedOut,
+        ) {
             self.gateways[gateway].kept[server].lost();
         }
         self.sums.late += usize::from(self.counted(txn));
--- a/crates/fault-injection/src/admission/ways.rs
+++ b/crates/fault-injection/src/admission/ways.rs
@@ -4,7 +4,7 @@
 use std::collections::VecDeque;
 
 use harrierdock_admission::Admission;
-use harrierdock_types::time::Span;
+use harrierdock_types::TimeDelta;
 
 use super::day::{Day, SLOTS};
 
@@ -35,9 +35,14 @@
 }
 
 impl Kept {
-    pub const NEW: Kept = Kept { out: 0, limit: 3.0, lag: 0.0, shut: 0 };
-
-    /// An answer after so many SLA times.
+    pub const NEW: Kept = Kept {
+        out: 0,
+        limit: 3.0,
+        lag: 0.0,
+        shut: 0,
+    };
+
+    /// An answer after so many latency objectives.
     pub fn served(&mut self, lag: f64) {
         self.lag += 0.2 * (lag - self.lag);
         if self.lag > 0.25 {
@@ -65,7 +70,7 @@
     pub lowered: i64,
     /// When, taken and answered, of the circle.
     pub flow: VecDeque<(i64, usize, usize)>,
-    /// Each member's open submissions, since when it tells and when it did last.
+    /// Each member's open attempts, since when it tells and when it did last.
     pub members: Vec<(usize, i64, i64, usize)>,
 }
 
@@ -75,7 +80,11 @@
         self.flow.push_back((now, taken, answered));
         match self.members.iter_mut().find(|m| m.0 == from) {
             Some(member) => {
-                let since = if now - member.2 < SHORTEST { member.1 } else { now };
+                let since = if now - member.2 < SHORTEST {
+                    member.1
+                } else {
+                    now
+                };
                 *member = (from, since, now, open);
             }
             None => self.members.push((from, now, now, open)),
@@ -89,8 +98,14 @@
             while self.flow.front().is_some_and(|f| now - f.0 > SHORTEST) {
                 self.flow.pop_front();
             }
-            let (taken, answered) = self.flow.iter().fold((0, 0), |(t, a), f| (t + f.1, a + f.2));
-            let known = self.members.iter().filter(|m| now - m.1 > SHORTEST * 3 / 2 && now - m.2 < SHORTEST);
+            let (taken, answered) = self
+                .flow
+                .iter()
+                .fold((0, 0), |(t, a), f| (t + f.1, a + f.2));
+            let known = self
+                .members
+                .iter()
+                .filter(|m| now - m.1 > SHORTEST * 3 / 2 && now - m.2 < SHORTEST);
             let open: usize = known.map(|m| m.3).sum();
             let most = 0.6 * answered as f64;
             room = 1.0 - open as f64 / (most + 2.0 * most.sqrt() + 5.0);
@@ -103,12 +118,19 @@
         self.shed = (1.0 - (1.0 - self.shed) * (1.0 + 0.12 * room.max(0.0))).max(0.0);
     }
 
-    /// The part of a product's txns given up on: the cheapest go first, each to nine tenths.
-    pub fn shed_of(&self, day: &Day, product: usize) -> f64 {
-        let revenue = |p: usize| day.products[p].revenue;
-        let share =
-            |of: &dyn Fn(f64) -> bool| (0..3).filter(|p| of(revenue(*p))).map(|p| self.share[p]).sum::<f64>();
-        let (below, level) = (share(&|r| r < revenue(product)), share(&|r| r == revenue(product)));
+    /// The part of a request class's requests given up on: the cheapest go first, each to nine tenths.
+    pub fn shed_of(&self, day: &Day, class: usize) -> f64 {
+        let priority_weight = |p: usize| day.classes[p].priority_weight;
+        let share = |of: &dyn Fn(f64) -> bool| {
+            (0..3)
+                .filter(|p| of(priority_weight(*p)))
+                .map(|p| self.share[p])
+                .sum::<f64>()
+        };
+        let (below, level) = (
+            share(&|r| r < priority_weight(class)),
+            share(&|r| r == priority_weight(class)),
+        );
         ((self.shed - below * 0.9) / level.max(0.01)).clamp(0.0, 0.9)
     }
 }
@@ -122,13 +144,13 @@
 }
 
 /// The one dispatcher's choice: the shortest queue, and whether what comes may stand behind it.
-pub fn choose(day: &Day, queues: &[usize], product: usize, cheap: f64, dear: f64) -> Option<usize> {
+pub fn choose(day: &Day, queues: &[usize], class: usize, cheap: f64, dear: f64) -> Option<usize> {
     let wait = |s: usize| (queues[s] as f64 + 1.0 - SLOTS as f64) / (SLOTS as f64 * day.speeds[s]);
     let best = (0..queues.len()).min_by(|a, b| wait(*a).total_cmp(&wait(*b)))?;
-    let most = [cheap, dear][day.level(product)];
+    let most = [cheap, dear][day.level(class)];
     (wait(best) <= most).then_some(best)
 }
 
-pub fn lag(day: &Day, product: usize, took: i64) -> f64 {
-    Span(took).over(day.products[product].sla)
+pub fn lag(day: &Day, class: usize, took: i64) -> f64 {
+    TimeDelta(took).ratio_to(day.classes[class].latency_objective)
 }
--- a/crates/fault-injection/src/collector.rs
+++ b/crates/fault-injection/src/collector.rs
@@ -32,7 +32,7 @@
     }
 }
 
-/// Kind, build, product.
+/// Kind, build, request class.
 pub type Row = (String, u64, String);
 
 /// What one exporter's domain has told.
@@ -42,7 +42,7 @@
     pub records: u64,
     /// Records (IPFIX) or messages (v9) that the sequence numbers show to be missing.
     pub gap: u64,
-    /// What it last said that it had dropped: submissions, txns.
+    /// What it last said that it had dropped: attempts, requests.
     pub dropped: [u64; 2],
 }
 
@@ -88,9 +88,19 @@
         *self.octets.entry((message.domain, second)).or_default() += bytes.len() as u64;
         let domain = self.domains.entry(message.domain).or_default();
         // A session that begins anew counts from nought.
-        let gap = domain.next.map_or(0, |next| message.sequence.wrapping_sub(next));
-        domain.gap += u64::from(if message.sequence == 0 || gap > u32::MAX / 2 { 0 } else { gap });
-        let count = if message.version == 10 { message.records.len() as u32 } else { 1 };
+        let gap = domain
+            .next
+            .map_or(0, |next| message.sequence.wrapping_sub(next));
+        domain.gap += u64::from(if message.sequence == 0 || gap > u32::MAX / 2 {
+            0
+        } else {
+            gap
+        });
+        let count = if message.version == 10 {
+            message.records.len() as u32
+        } else {
+            1
+        };
         domain.next = Some(message.sequence.wrapping_add(count));
         domain.records += message.records.len() as u64;
         for record in &message.records {
@@ -110,8 +120,11 @@
             if kind == "share" {
                 continue;
             }
-            let row =
-                (kind.to_string(), number(1).unwrap_or(0), record.text(ENTERPRISE, 3).unwrap_or_default());
+            let row = (
+                kind.to_string(),
+                number(1).unwrap_or(0),
+                record.text(ENTERPRISE, 3).unwrap_or_default(),
+            );
             *self.sums.entry(row).or_default() += number(7).unwrap_or(0);
         }
     }
@@ -124,8 +137,8 @@
 }
 
 pub const NUMBERS: [&str; 11] = [
-    "domain", "start_ms", "end_ms", "build", "stage", "count", "second", "late", "time_us", "taken",
-    "cap_ppm",
+    "domain", "start_ms", "end_ms", "build", "stage", "count", "second", "late", "time_us",
+    "taken", "cap_ppm",
 ];
 pub const TEXTS: [&str; 4] = ["kind", "product", "outcome", "road"];
 
@@ -133,10 +146,34 @@
     let own = |id| record.number(ENTERPRISE, id).unwrap_or(0);
     let text = |id| record.text(ENTERPRISE, id).unwrap_or_default();
     let point = |id| record.number(0, id).unwrap_or(0);
-    let sums = [own(1), own(2), own(7), own(8), own(9), own(10), own(14), own(13)];
-    let mut numbers = [u64::from(domain), point(152), point(153), 0, 0, 0, 0, 0, 0, 0, 0];
+    let sums = [
+        own(1),
+        own(2),
+        own(7),
+        own(8),
+        own(9),
+        own(10),
+        own(14),
+        own(13),
+    ];
+    let mut numbers = [
+        u64::from(domain),
+        point(152),
+        point(153),
+        0,
+        0,
+        0,
+        0,
+        0,
+        0,
+        0,
+        0,
+    ];
     numbers[3..].copy_from_slice(&sums);
-    Told { numbers, texts: [kind.into(), text(3), text(4), text(5)] }
+    Told {
+        numbers,
+        texts: [kind.into(), text(3), text(4), text(5)],
+    }
 }
 
 impl Collector {
@@ -164,7 +201,9 @@
         if road == Road::Udp {
             let socket = UdpSocket::bind(listen).map_err(wrong)?;
             collector.address = socket.local_addr().map_err(wrong)?;
-            socket.set_read_timeout(Some(Duration::from_millis(20))).map_err(wrong)?;
+            socket
+                .set_read_timeout(Some(Duration::from_millis(20)))
+                .map_err(wrong)?;
             let collector = Arc::new(collector);
             let own = collector.clone();
             thread::spawn(move || own.datagrams(&socket));
@@ -205,10 +244,13 @@
 
     /// While it is away nobody answers; the system's word that the port is closed is not imitated.
     fn datagrams(&self, socket: &UdpSocket) {
-        let (mut readers, mut chance) = (BTreeMap::<SocketAddr, Reader>::new(), WyRand::new_seed(7));
+        let (mut readers, mut chance) =
+            (BTreeMap::<SocketAddr, Reader>::new(), WyRand::new_seed(7));
         let mut bytes = vec![0; 65_536];
         while !self.is_over() {
-            let Ok((size, from)) = socket.recv_from(&mut bytes) else { continue };
+            let Ok((size, from)) = socket.recv_from(&mut bytes) else {
+                continue;
+            };
             if !self.is_up() || chance.generate::<f64>() < self.loss {
                 if let Ok(mut counted) = self.counted.lock() {
                     counted.lost_here += 1;
@@ -242,7 +284,10 @@
     fn stream(&self, mut stream: TcpStream) {
         let _ = stream.set_nonblocking(false);
         let _ = stream.set_read_timeout(Some(Duration::from_millis(50)));
-        let mut tls = self.tls.clone().and_then(|config| ServerConnection::new(config).ok());
+        let mut tls = self
+            .tls
+            .clone()
+            .and_then(|config| ServerConnection::new(config).ok());
         let (mut reader, mut held) = (Reader::default(), Vec::new());
         let mut bytes = vec![0; if self.slow { 1 } else { 16 * 1024 }];
         loop {
--- a/crates/fault-injection/src/duties/mod.rs
+++ b/crates/fault-injection/src/duties/mod.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeSet;
 
 use harrierdock_lease::NodeIx;
-use harrierdock_types::time::{Point, Span};
+use harrierdock_types::{TimeDelta, Timestamp};
 use hdrhistogram::Histogram;
 use nanorand::{Rng, WyRand};
 use serde::Serialize;
@@ -57,8 +57,8 @@
     pub ok: bool,
 }
 
-fn at(seconds: f64) -> Point {
-    Point(0) + Span::secs(seconds)
+fn at(seconds: f64) -> Timestamp {
+    Timestamp(0) + TimeDelta::from_seconds(seconds)
 }
 
 fn electors(seed: u64, gateways: usize) -> usize {
@@ -80,14 +80,17 @@
         1 => world.electors()[chance.generate_range(0..world.electors().len())],
         _ => world.holder(duty).unwrap_or(0),
     };
-    let back = Span::secs(0.05 + 3.0 * chance.generate::<f64>());
-    let lasts = Span::secs((until - world.now.as_secs()).max(0.1));
+    let back = TimeDelta::from_seconds(0.05 + 3.0 * chance.generate::<f64>());
+    let lasts = TimeDelta::from_seconds((until - world.now.as_seconds()).max(0.1));
     match chance.generate_range(0..10) {
         0 => world.kill(one, Some(back)),
         1 => {
             let part = 0.4 + 0.6 * chance.generate::<f64>();
             for node in some(&mut chance, n, part) {
-                world.kill(node, Some(Span::secs(0.02 + chance.generate::<f64>())));
+                world.kill(
+                    node,
+                    Some(TimeDelta::from_seconds(0.02 + chance.generate::<f64>())),
+                );
             }
         }
         2 | 3 => world.nodes[one].still_until = world.now + lasts * chance.generate::<f64>(),
@@ -109,12 +112,12 @@
 }
 
 trait Seconds {
-    fn as_secs(&self) -> f64;
+    fn as_seconds(&self) -> f64;
 }
 
-impl Seconds for Point {
-    fn as_secs(&self) -> f64 {
-        (*self - Point(0)).as_secs()
+impl Seconds for Timestamp {
+    fn as_seconds(&self) -> f64 {
+        (*self - Timestamp(0)).as_seconds()
     }
 }
 
@@ -132,12 +135,21 @@
         last += 0.1 + 2.0 * chance.generate::<f64>();
         world.run(at(last));
         if chance.generate::<f64>() < 0.4 {
-            world.roads = Roads { delay: 0.002, ..Roads::default() };
+            world.roads = Roads {
+                delay: 0.002,
+                ..Roads::default()
+            };
         }
     }
-    world.roads = Roads { delay: 0.002, ..Roads::default() };
+    world.roads = Roads {
+        delay: 0.002,
+        ..Roads::default()
+    };
     world.run(at(last + QUIET));
-    let unheld = DUTIES.iter().filter(|duty| world.holder(**duty).is_none()).count() as u64;
+    let unheld = DUTIES
+        .iter()
+        .filter(|duty| world.holder(**duty).is_none())
+        .count() as u64;
     let bad = world.two_holders + world.epochs_back + world.guard_saw_two + unheld;
     if bad > 0 && found.first_bad_seed.is_none() {
         found.first_bad_seed = Some(seed);
@@ -171,17 +183,21 @@
     } else {
         world.restart(holder, None);
     }
-    world.run(from + Span::secs(10.0));
+    world.run(from + TimeDelta::from_seconds(10.0));
     let next = |t: &&Turn| t.duty == duty && t.held && t.node != holder;
     let next = world.turns[turns..].iter().find(next);
-    let gap = next.map_or(Span::secs(10.0), |t| t.at - from);
+    let gap = next.map_or(TimeDelta::from_seconds(10.0), |t| t.at - from);
     gaps.saturating_record((gap.0 / 1000) as u64);
     collect(&world, found);
 }
 
 /// Half the electors are killed one after another, and stay away; how much of the time each duty was held.
 fn halved(seed: u64, gateways: usize, found: &mut Found) {
-    let mut world = World::new(seed, gateways, electors(seed, gateways).max(5).min(gateways));
+    let mut world = World::new(
+        seed,
+        gateways,
+        electors(seed, gateways).max(5).min(gateways),
+    );
     world.run(at(CALM));
     let from = world.now;
     let electors = world.electors();
@@ -193,7 +209,7 @@
     world.run(to);
     let mut shares = 0.0;
     for duty in DUTIES {
-        let (mut held, mut since): (Span, Option<Point>) = (Span::ZERO, None);
+        let (mut held, mut since): (TimeDelta, Option<Timestamp>) = (TimeDelta::ZERO, None);
         for turn in world.turns.iter().filter(|t| t.duty == duty) {
             match (turn.held, since.take()) {
                 (true, before) => since = before.or(Some(turn.at.max(from))),
@@ -201,9 +217,9 @@
                 (false, None) => {}
             }
         }
-        held = held + since.map_or(Span::ZERO, |since| to - since);
-        shares += held.over(to - from) / DUTIES.len() as f64;
-        found.held_share_worst_duty = found.held_share_worst_duty.min(held.over(to - from));
+        held = held + since.map_or(TimeDelta::ZERO, |since| to - since);
+        shares += held.ratio_to(to - from) / DUTIES.len() as f64;
+        found.held_share_worst_duty = found.held_share_worst_duty.min(held.ratio_to(to - from));
     }
     found.held_share = found.held_share.min(shares);
     collect(&world, found);
@@ -231,13 +247,24 @@
 
 fn gaps(of: &Histogram<u64>) -> Gaps {
     let quantile = |q| of.value_at_quantile(q);
-    Gaps { n: of.len(), p50_ms: quantile(0.5), p99_ms: quantile(0.99), max_ms: of.max() }
+    Gaps {
+        n: of.len(),
+        p50_ms: quantile(0.5),
+        p99_ms: quantile(0.99),
+        max_ms: of.max(),
+    }
 }
 
 pub fn play(seed: u64, seeds: u64, gateways: usize, mut done: impl FnMut()) -> Found {
     let gateways = gateways.max(5);
-    let mut found =
-        Found { seed, seeds, gateways, held_share: 1.0, held_share_worst_duty: 1.0, ..Found::default() };
+    let mut found = Found {
+        seed,
+        seeds,
+        gateways,
+        held_share: 1.0,
+        held_share_worst_duty: 1.0,
+        ..Found::default()
+    };
     let histogram = || Histogram::<u64>::new_with_bounds(1, 60_000, 3).expect("bounds that fit");
     let (mut deaths, mut ends) = (histogram(), histogram());
     for s in seed..seed.saturating_add(seeds) {
--- a/crates/fault-injection/src/fleet/crew.rs
+++ b/crates/fault-injection/src/fleet/crew.rs
@@ -6,7 +6,7 @@
 use std::sync::mpsc::Sender;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use harrierdock_types::time::Point;
+use harrierdock_types::Timestamp;
 use nanorand::{Rng, WyRand};
 use rustix::process::Signal;
 use serde_json::{json, Value};
@@ -54,7 +54,7 @@
     /// Log lines on the fleet of all lives, and Unix time in seconds at which one was killed or stalled.
     pub lines: Vec<String>,
     pub stops: Vec<f64>,
-    pub stalls: Vec<(Point, Option<Point>)>,
+    pub stalls: Vec<(Timestamp, Option<Timestamp>)>,
     pub cpu: f64,
 }
 
@@ -77,7 +77,10 @@
 }
 
 pub fn unix() -> f64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64()
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_secs_f64()
 }
 
 fn settings(gateways: usize, ordinal: usize) -> Value {
@@ -156,7 +159,10 @@
             })
             .collect();
         let gateway = &self.gateways[ix];
-        let seed = format!("{:016x}", self.day.seed.wrapping_mul(31).wrapping_add(ix as u64));
+        let seed = format!(
+            "{:016x}",
+            self.day.seed.wrapping_mul(31).wrapping_add(ix as u64)
+        );
         let doors = &self.relay.doors[ix];
         let told = json!({"name": gateway.name, "listen": "127.0.0.1:0", "discovery": gateway.discovery,
             "seed": seed, "limits": {"memory_mb": 192, "sockets": 1024}, "peer_listen": "127.0.0.1:0",
@@ -169,7 +175,8 @@
             self.relay.lead(ix, peers);
         }
         let door = &mut world.doors[ix];
-        (door.address, door.life, door.alive, door.open) = (Some(process.serves), door.life + 1, true, true);
+        (door.address, door.life, door.alive, door.open) =
+            (Some(process.serves), door.life + 1, true, true);
         self.gateways[ix].process = Some(process);
         Ok(())
     }
@@ -177,10 +184,15 @@
     /// Gathers what a life leaves behind.
     fn bury(&mut self, ix: usize) {
         let gateway = &mut self.gateways[ix];
-        let Some(mut process) = gateway.process.take() else { return };
+        let Some(mut process) = gateway.process.take() else {
+            return;
+        };
         process.listen();
         self.broken += process.broken.len() as u64;
-        process.broken.iter().for_each(|line| eprintln!("{}: {line}", gateway.name));
+        process
+            .broken
+            .iter()
+            .for_each(|line| eprintln!("{}: {line}", gateway.name));
         gateway.lines.append(&mut process.fleet);
     }
 
@@ -202,7 +214,13 @@
     pub fn stall(&mut self, world: &mut World, ix: usize) {
         let now = world.now();
         let gateway = &mut self.gateways[ix];
-        let Some(process) = gateway.process.as_mut().filter(|_| gateway.ending.is_none()) else { return };
+        let Some(process) = gateway
+            .process
+            .as_mut()
+            .filter(|_| gateway.ending.is_none())
+        else {
+            return;
+        };
         process.signal(Signal::STOP);
         gateway.stops.push(unix());
         gateway.stalls.push((now, None));
@@ -210,7 +228,10 @@
     }
 
     fn resume_mark(&mut self, world: &World, ix: usize) {
-        let open = self.gateways[ix].stalls.last_mut().filter(|s| s.1.is_none());
+        let open = self.gateways[ix]
+            .stalls
+            .last_mut()
+            .filter(|s| s.1.is_none());
         open.into_iter().for_each(|s| s.1 = Some(world.now()));
     }
 
@@ -225,7 +246,11 @@
     /// Tells it to end in order; `look` starts it again where that is wanted.
     pub fn end(&mut self, world: &mut World, ix: usize, ending: Ending) {
         let gateway = &mut self.gateways[ix];
-        if let Some(process) = gateway.process.as_ref().filter(|_| gateway.ending.is_none()) {
+        if let Some(process) = gateway
+            .process
+            .as_ref()
+            .filter(|_| gateway.ending.is_none())
+        {
             process.signal(Signal::TERM);
             gateway.ending = Some(ending);
             world.doors[ix].open = false;
@@ -236,22 +261,34 @@
     pub fn logged(&self, ix: usize, part: &str) -> bool {
         let gateway = &self.gateways[ix];
         let now = gateway.process.iter().flat_map(|p| &p.fleet);
-        gateway.lines.iter().chain(now).any(|line| line.contains(part))
+        gateway
+            .lines
+            .iter()
+            .chain(now)
+            .any(|line| line.contains(part))
     }
 
     /// Who holds a duty by its own log, of those that run.
     pub fn holder(&self, duty: &str) -> Option<usize> {
-        let (holds, ended) = (format!(" fleet: holds {duty},"), format!(" fleet: {duty} ended,"));
+        let (holds, ended) = (
+            format!(" fleet: holds {duty},"),
+            format!(" fleet: {duty} ended,"),
+        );
         let holding = |gateway: &Gateway| {
             let lines = gateway.process.as_ref()?.fleet.iter().rev();
-            let last = lines.into_iter().find(|l| l.contains(&holds) || l.contains(&ended))?;
+            let last = lines
+                .into_iter()
+                .find(|l| l.contains(&holds) || l.contains(&ended))?;
             Some(last.contains(&holds))
         };
         (0..self.gateways.len()).find(|ix| holding(&self.gateways[*ix]) == Some(true))
     }
 
     fn count(&mut self, ix: usize) {
-        let used = self.gateways[ix].process.as_ref().map_or(0.0, |p| p.use_of().1);
+        let used = self.gateways[ix]
+            .process
+            .as_ref()
+            .map_or(0.0, |p| p.use_of().1);
         self.gateways[ix].cpu += used;
     }
 
@@ -259,9 +296,13 @@
     pub fn look(&mut self, world: &mut World) -> Result<(), String> {
         for ix in 0..self.gateways.len() {
             let gateway = &mut self.gateways[ix];
-            let Some(process) = &mut gateway.process else { continue };
+            let Some(process) = &mut gateway.process else {
+                continue;
+            };
             process.listen();
-            let Some(well) = process.ended() else { continue };
+            let Some(well) = process.ended() else {
+                continue;
+            };
             self.crashes += u64::from(!well || gateway.ending.is_none());
             let ending = gateway.ending.take();
             self.bury(ix);
@@ -277,8 +318,13 @@
     fn target(&mut self) -> usize {
         let any = self.chance.generate_range(0..self.gateways.len());
         let last = self.installation.calls().last().map(|c| c.gateway.clone());
-        let holder = self.gateways.iter().position(|g| Some(&g.name) == last.as_ref());
-        holder.filter(|_| self.chance.generate::<f64>() < 0.7).unwrap_or(any)
+        let holder = self
+            .gateways
+            .iter()
+            .position(|g| Some(&g.name) == last.as_ref());
+        holder
+            .filter(|_| self.chance.generate::<f64>() < 0.7)
+            .unwrap_or(any)
     }
 
     /// Nothing passes any more into these from all others, or out of them.
@@ -297,7 +343,8 @@
     pub fn befall(&mut self, world: &mut World, kind: Kind) -> Vec<usize> {
         let all = self.gateways.len();
         let first = self.target();
-        let others = |from: usize, many: usize| (0..many).map(|n| (from + n) % all).collect::<Vec<usize>>();
+        let others =
+            |from: usize, many: usize| (0..many).map(|n| (from + n) % all).collect::<Vec<usize>>();
         match kind {
             Kind::Stall => {
                 self.stall(world, first);
@@ -333,7 +380,8 @@
             }
             Kind::Mixed => {
                 let half: Vec<usize> = (0..all).step_by(2).collect();
-                half.iter().for_each(|ix| self.gateways[*ix].odd.other_form = true);
+                half.iter()
+                    .for_each(|ix| self.gateways[*ix].odd.other_form = true);
                 half
             }
             Kind::Restart => (0..all).collect(),
@@ -353,7 +401,8 @@
             }
             // Whatever else is cut between these is over as well.
             Kind::Cut | Kind::CutHalf | Kind::CutOneWay => self.relay.change(|now| {
-                now.cut.retain(|(a, b)| whom.contains(a) == whom.contains(b));
+                now.cut
+                    .retain(|(a, b)| whom.contains(a) == whom.contains(b));
             }),
             Kind::Slow => self.relay.change(|now| {
                 now.slow.clear();
@@ -363,7 +412,9 @@
                 self.gateways[*ix].odd.rate = None;
                 self.end(world, *ix, Ending::Restarts);
             }),
-            Kind::Mixed => whom.iter().for_each(|ix| self.gateways[*ix].odd.other_form = false),
+            Kind::Mixed => whom
+                .iter()
+                .for_each(|ix| self.gateways[*ix].odd.other_form = false),
             Kind::Restart => {}
         }
         Ok(())
@@ -380,7 +431,7 @@
         let from = world.now();
         while self.gateways.iter().any(|g| g.process.is_some()) {
             self.look(world)?;
-            if (world.now() - from).as_secs() > 20.0 {
+            if (world.now() - from).as_seconds() > 20.0 {
                 return Err("a gateway told to end did not: look at its log".into());
             }
             std::thread::sleep(Duration::from_millis(5));
--- a/crates/fault-injection/src/fleet/faults.rs
+++ b/crates/fault-injection/src/fleet/faults.rs
@@ -64,10 +64,25 @@
         let wrong = || NoFault::Form(text.into());
         let (name, times) = text.split_once('@').ok_or_else(wrong)?;
         let (second, seconds) = times.split_once('+').ok_or_else(wrong)?;
-        let number = |text: &str| text.parse().ok().filter(|n: &f64| n.is_finite() && *n >= 0.0);
-        let kind = KINDS.iter().find(|k| k.1 == name).ok_or_else(|| NoFault::Kind { kind: name.into() })?.0;
-        let (second, seconds) = (number(second).ok_or_else(wrong)?, number(seconds).ok_or_else(wrong)?);
-        Ok(Fault { kind, second, seconds })
+        let number = |text: &str| {
+            text.parse()
+                .ok()
+                .filter(|n: &f64| n.is_finite() && *n >= 0.0)
+        };
+        let kind = KINDS
+            .iter()
+            .find(|k| k.1 == name)
+            .ok_or_else(|| NoFault::Kind { kind: name.into() })?
+            .0;
+        let (second, seconds) = (
+            number(second).ok_or_else(wrong)?,
+            number(seconds).ok_or_else(wrong)?,
+        );
+        Ok(Fault {
+            kind,
+            second,
+            seconds,
+        })
     }
 }
 
--- a/crates/fault-injection/src/fleet/installation.rs
+++ b/crates/fault-injection/src/fleet/installation.rs
@@ -99,7 +99,10 @@
 
     fn called(&mut self, asked: &Asked) -> Seen {
         let by = (asked.gateway.clone(), asked.start);
-        let holder = self.holders.entry(asked.epoch).or_insert_with(|| by.clone());
+        let holder = self
+            .holders
+            .entry(asked.epoch)
+            .or_insert_with(|| by.clone());
         self.judged.two_holders += u64::from(*holder != by);
         if asked.epoch < self.latest {
             self.judged.epochs_back += 1;
@@ -126,7 +129,11 @@
     fn go_on(&mut self) {
         let last = self.stage + 1 >= STAGES || !self.goes_on;
         if last {
-            self.progress = if self.goes_on { "released" } else { "withdrawn" };
+            self.progress = if self.goes_on {
+                "released"
+            } else {
+                "withdrawn"
+            };
             self.tell();
             (self.build, self.stage) = (self.build + 1, 0);
         } else {
@@ -150,7 +157,11 @@
     if request.head.starts_with("GET /apis/fleet/events") {
         let (say, lines) = channel();
         let mut state = locked(state);
-        let _ = say.send(if state.held_back { "{}".into() } else { state.line() });
+        let _ = say.send(if state.held_back {
+            "{}".into()
+        } else {
+            state.line()
+        });
         state.streams.push(say);
         drop(state);
         return request.stream(&Mutex::new(lines), Some("{}"));
@@ -159,17 +170,32 @@
         locked(state).judged.votes += 1;
         return request.answer("409 No", "");
     }
-    let asked = request.head.starts_with(&format!("POST {PATH} ")).then(|| request.body.clone());
+    let asked = request
+        .head
+        .starts_with(&format!("POST {PATH} "))
+        .then(|| request.body.clone());
     let Some(asked) = asked.and_then(|body| serde_json::from_str::<Asked>(&body).ok()) else {
         return request.answer("400 No", "");
     };
     let mut state = locked(state);
     let seen = state.called(&asked);
     let (at, gateway, epoch) = (Instant::now(), asked.gateway, asked.epoch);
-    state.calls.push(Call { at, gateway, epoch, seen });
+    state.calls.push(Call {
+        at,
+        gateway,
+        epoch,
+        seen,
+    });
     let latest = json!({"epoch": state.latest, "done": seen == Seen::Repeated}).to_string();
     drop(state);
-    request.answer(if seen == Seen::Advanced { "200 OK" } else { "409 No" }, &latest)
+    request.answer(
+        if seen == Seen::Advanced {
+            "200 OK"
+        } else {
+            "409 No"
+        },
+        &latest,
+    )
 }
 
 impl Installation {
@@ -224,9 +250,17 @@
     pub fn judged(&self) -> Judged {
         let state = locked(&self.state);
         let mut judged = state.judged.clone();
-        let moved: Vec<Instant> =
-            state.calls.iter().filter(|c| c.seen == Seen::Advanced).map(|c| c.at).collect();
-        judged.pause_most = moved.windows(2).map(|w| w[1] - w[0]).max().unwrap_or_default();
+        let moved: Vec<Instant> = state
+            .calls
+            .iter()
+            .filter(|c| c.seen == Seen::Advanced)
+            .map(|c| c.at)
+            .collect();
+        judged.pause_most = moved
+            .windows(2)
+            .map(|w| w[1] - w[0])
+            .max()
+            .unwrap_or_default();
         judged
     }
 }
