--- a/crates/fault-injection/src/fleet/mod.rs
+++ b/crates/fault-injection/src/fleet/mod.rs
@@ -10,8 +10,8 @@
 use std::path::{Path, PathBuf};
 
 use calloop::EventLoop;
-use harrierdock_event_loop::{Descriptors, Net, Pool};
-use harrierdock_types::time::{Point, Span};
+use harrierdock_event_loop::{BufferPool, DescriptorBudget, IoContext};
+use harrierdock_types::{TimeDelta, Timestamp};
 use nanorand::WyRand;
 
 use crate::processes::program;
@@ -29,7 +29,7 @@
     /// Drawn by the seed where none is named.
     pub faults: Vec<Fault>,
     pub servers: usize,
-    /// Txns a second.
+    /// Requests a second.
     pub rate: f64,
     pub lease_ms: u32,
     pub heartbeat_ms: u32,
@@ -69,7 +69,11 @@
 }
 
 pub fn play(day: &Day, progress: impl FnMut(f64)) -> Result<Report, String> {
-    let folder = std::env::temp_dir().join(format!("harrierdock-lease-{}-{}", std::process::id(), day.seed));
+    let folder = std::env::temp_dir().join(format!(
+        "harrierdock-lease-{}-{}",
+        std::process::id(),
+        day.seed
+    ));
     std::fs::create_dir_all(&folder).map_err(|e| format!("{}: {e}", folder.display()))?;
     let played = on_stage(day, &folder, progress);
     let _ = std::fs::remove_dir_all(&folder);
@@ -84,7 +88,7 @@
 }
 
 /// How often gateways are looked after at the least.
-const NAP: Span = Span(20_000);
+const NAP: TimeDelta = TimeDelta(20_000);
 
 impl Stage {
     /// All but the gateways stand.
@@ -93,23 +97,38 @@
     /// No sockets are to be had.
     pub fn new(day: &Day, program: PathBuf, folder: &Path) -> Result<Stage, String> {
         let event_loop: EventLoop<World> = EventLoop::try_new().map_err(|e| e.to_string())?;
-        let net = Net::new(event_loop.handle(), Pool::new(2048), Descriptors::new(4096, 0));
+        let net = IoContext::new(
+            event_loop.handle(),
+            BufferPool::new(2048),
+            DescriptorBudget::new(4096, 0),
+        );
         let mut world = World::new(net, day.seed, true);
         world.rate = [day.rate, 0.0];
         (0..day.servers).try_for_each(|_| world.add_server(0))?;
-        let door = Door { site: 0, address: None, life: 0, alive: false, open: false, weight: 1.0 };
+        let door = Door {
+            site: 0,
+            address: None,
+            life: 0,
+            alive: false,
+            open: false,
+            weight: 1.0,
+        };
         world.doors = vec![door; day.gateways];
         let crew = Crew::new(program, folder.into(), day).map_err(|e| e.to_string())?;
-        Ok(Stage { event_loop, world, crew })
+        Ok(Stage {
+            event_loop,
+            world,
+            crew,
+        })
     }
 
     /// Starts all gateways, and clients a lease later: until then electors are silent.
     ///
     /// # Errors
     /// A gateway does not start.
-    pub fn start(&mut self) -> Result<Point, String> {
+    pub fn start(&mut self) -> Result<Timestamp, String> {
         (0..self.crew.gateways.len()).try_for_each(|ix| self.crew.start(&mut self.world, ix))?;
-        let from = self.world.now() + Span(i64::from(self.crew.day.lease_ms) * 1000);
+        let from = self.world.now() + TimeDelta(i64::from(self.crew.day.lease_ms) * 1000);
         self.world.arriving = true;
         self.world.dues.set(from, Due::Arrival(0));
         Ok(from)
@@ -119,11 +138,17 @@
     ///
     /// # Errors
     /// The loop fails, or a gateway does not start again.
-    pub fn turn(&mut self, until: Point) -> Result<(), String> {
+    pub fn turn(&mut self, until: Timestamp) -> Result<(), String> {
         let wait = until.min(self.world.now() + NAP);
-        let wait = self.world.dues.next().map_or(wait, |due| due.min(wait));
-        let wait = self.world.net.clock.until(wait);
-        self.event_loop.dispatch(wait, &mut self.world).map_err(|e| e.to_string())?;
+        let wait = self
+            .world
+            .dues
+            .next_deadline()
+            .map_or(wait, |due| due.min(wait));
+        let wait = self.world.net.clock.duration_until(wait);
+        self.event_loop
+            .dispatch(wait, &mut self.world)
+            .map_err(|e| e.to_string())?;
         self.world.fall_due();
         self.crew.look(&mut self.world)
     }
@@ -134,11 +159,17 @@
     day.gateways.div_ceil(day.gateways.div_ceil(10))
 }
 
-fn script(day: &Day, faults: &[Fault], from: Point) -> Vec<(Point, Step)> {
-    let at = |second: f64| from + Span::secs(second);
-    let mut steps = vec![(at(day.seconds), Step::StopArrivals), (at(day.seconds + 2.2), Step::Over)];
+fn script(day: &Day, faults: &[Fault], from: Timestamp) -> Vec<(Timestamp, Step)> {
+    let at = |second: f64| from + TimeDelta::from_seconds(second);
+    let mut steps = vec![
+        (at(day.seconds), Step::StopArrivals),
+        (at(day.seconds + 2.2), Step::Over),
+    ];
     for (ix, fault) in faults.iter().enumerate() {
-        let (begin, end) = (fault.second, (fault.second + fault.seconds).min(day.seconds));
+        let (begin, end) = (
+            fault.second,
+            (fault.second + fault.seconds).min(day.seconds),
+        );
         steps.push((at(begin), Step::Begin(ix)));
         steps.push((at(end), Step::End(ix)));
         // Restarts go through the fleet within the fault's time; another form comes by restarts, and goes so.
@@ -161,7 +192,10 @@
 
 fn on_stage(day: &Day, folder: &Path, mut progress: impl FnMut(f64)) -> Result<Report, String> {
     let faults = match &day.faults[..] {
-        [] => faults::draw(&mut WyRand::new_seed(day.seed ^ 0x4641_554c_5453), day.seconds),
+        [] => faults::draw(
+            &mut WyRand::new_seed(day.seed ^ 0x4641_554c_5453),
+            day.seconds,
+        ),
         told => told.to_vec(),
     };
     let mut stage = Stage::new(day, program()?, folder)?;
@@ -173,21 +207,28 @@
         stage.turn(steps.peek().map_or(from, |s| s.0))?;
         let Stage { world, crew, .. } = &mut stage;
         let now = world.now();
-        progress((now - from).as_secs() / (day.seconds + 2.2));
-        let Some((_, step)) = steps.next_if(|s| s.0 <= now) else { continue };
+        progress((now - from).as_seconds() / (day.seconds + 2.2));
+        let Some((_, step)) = steps.next_if(|s| s.0 <= now) else {
+            continue;
+        };
         match step {
             Step::Begin(ix) => whom[ix] = crew.befall(world, faults[ix].kind),
             Step::End(ix) => crew.relent(world, faults[ix].kind, &whom[ix])?,
             Step::Restart(ix, group) => {
                 let some = (group..day.gateways).step_by(groups);
-                some.filter(|g| whom[ix].contains(g)).for_each(|g| crew.end(world, g, Ending::Restarts));
+                some.filter(|g| whom[ix].contains(g))
+                    .for_each(|g| crew.end(world, g, Ending::Restarts));
             }
             Step::StopArrivals => world.arriving = false,
             Step::Over => break,
         }
     }
-    let Stage { mut world, mut crew, .. } = stage;
-    let ran = (world.now() - from).as_secs();
+    let Stage {
+        mut world,
+        mut crew,
+        ..
+    } = stage;
+    let ran = (world.now() - from).as_seconds();
     crew.close(&mut world)?;
     let told: Vec<String> = faults.iter().map(Fault::to_string).collect();
     Ok(judge::judge(day, &crew, &world, told, ran))
--- a/crates/fault-injection/src/fleet/relay.rs
+++ b/crates/fault-injection/src/fleet/relay.rs
@@ -77,10 +77,21 @@
             socket.set_nonblocking(true)?;
             Ok(socket)
         };
-        let sockets: Vec<UdpSocket> = (0..gateways * gateways).map(|_| bind()).collect::<io::Result<_>>()?;
-        let addresses = sockets.iter().map(UdpSocket::local_addr).collect::<io::Result<Vec<_>>>()?;
-        let doors = addresses.chunks(gateways.max(1)).map(<[SocketAddr]>::to_vec).collect();
-        let (shared, over) = (Arc::new(Mutex::new(Shared::default())), Arc::new(AtomicBool::new(false)));
+        let sockets: Vec<UdpSocket> = (0..gateways * gateways)
+            .map(|_| bind())
+            .collect::<io::Result<_>>()?;
+        let addresses = sockets
+            .iter()
+            .map(UdpSocket::local_addr)
+            .collect::<io::Result<Vec<_>>>()?;
+        let doors = addresses
+            .chunks(gateways.max(1))
+            .map(<[SocketAddr]>::to_vec)
+            .collect();
+        let (shared, over) = (
+            Arc::new(Mutex::new(Shared::default())),
+            Arc::new(AtomicBool::new(false)),
+        );
         locked(&shared).leads = vec![None; gateways];
         locked(&shared).counted.fleet_bytes = vec![0; gateways];
         let mut road = Road {
@@ -97,7 +108,12 @@
                 road.turn();
             }
         });
-        Ok(Relay { doors, shared, over, thread: Some(thread) })
+        Ok(Relay {
+            doors,
+            shared,
+            over,
+            thread: Some(thread),
+        })
     }
 
     /// Where a gateway hears its peers from now on.
@@ -137,21 +153,38 @@
 impl Road {
     /// Waits for what comes next, takes it in, and sends what is due.
     fn turn(&mut self) {
-        let next = self.packets.peek().map(|p| p.0 .0.saturating_duration_since(Instant::now()));
+        let next = self
+            .packets
+            .peek()
+            .map(|p| p.0 .0.saturating_duration_since(Instant::now()));
         let wait = next.unwrap_or(NAP).min(NAP);
-        let wait = Timespec { tv_sec: 0, tv_nsec: wait.subsec_nanos().into() };
-        let mut watched: Vec<PollFd> = self.sockets.iter().map(|s| PollFd::new(s, PollFlags::IN)).collect();
+        let wait = Timespec {
+            tv_sec: 0,
+            tv_nsec: wait.subsec_nanos().into(),
+        };
+        let mut watched: Vec<PollFd> = self
+            .sockets
+            .iter()
+            .map(|s| PollFd::new(s, PollFlags::IN))
+            .collect();
         if poll(&mut watched, Some(&wait)).is_err() {
             return;
         }
-        let ready: Vec<usize> =
-            (0..watched.len()).filter(|ix| watched[*ix].revents().contains(PollFlags::IN)).collect();
+        let ready: Vec<usize> = (0..watched.len())
+            .filter(|ix| watched[*ix].revents().contains(PollFlags::IN))
+            .collect();
         for ix in ready {
             self.take_in(ix);
         }
         let shared = self.shared.clone();
-        while self.packets.peek().is_some_and(|p| p.0 .0 <= Instant::now()) {
-            let Some(Reverse((_, _, from, to, bytes))) = self.packets.pop() else { return };
+        while self
+            .packets
+            .peek()
+            .is_some_and(|p| p.0 .0 <= Instant::now())
+        {
+            let Some(Reverse((_, _, from, to, bytes))) = self.packets.pop() else {
+                return;
+            };
             let lead = locked(&shared).leads[to];
             if let Some(lead) = lead {
                 // It comes from the socket by which its receiver knows its sender.
@@ -165,7 +198,9 @@
         let mut bytes = [0_u8; DATAGRAM_MOST];
         let shared = self.shared.clone();
         for _ in 0..32 {
-            let Ok((size, _)) = self.sockets[ix].recv_from(&mut bytes) else { return };
+            let Ok((size, _)) = self.sockets[ix].recv_from(&mut bytes) else {
+                return;
+            };
             let mut shared = locked(&shared);
             if bytes[0] >= FLEET_FROM {
                 shared.counted.fleet_bytes[from] += size as u64;
@@ -182,14 +217,19 @@
     }
 
     fn carry(&mut self, shared: &mut Shared, from: usize, to: usize, bytes: &[u8]) {
-        let Shared { conditions: now, counted, .. } = shared;
+        let Shared {
+            conditions: now,
+            counted,
+            ..
+        } = shared;
         let mut falls = |part: f64| part > 0.0 && self.chance.generate::<f64>() < part;
         counted.datagrams += 1;
         if now.cut.contains(&(from, to)) || falls(now.lost) {
             counted.not_passed += 1;
             return;
         }
-        let (twice, overtaken, garbled) = (falls(now.doubled), falls(now.overtaken), falls(now.garbled));
+        let (twice, overtaken, garbled) =
+            (falls(now.doubled), falls(now.overtaken), falls(now.garbled));
         let slow: Duration = [from, to].iter().filter_map(|g| now.slow.get(g)).sum();
         for _ in 0..1 + usize::from(twice) {
             let mut bytes = bytes.to_vec();
@@ -199,7 +239,9 @@
                 bytes[at] ^= 1 << self.chance.generate_range(0..8_u8);
             }
             // Half a millisecond there; one that is overtaken takes up to eighty.
-            let micros = self.chance.generate_range(if overtaken { 500..80_000 } else { 300..700_u64 });
+            let micros =
+                self.chance
+                    .generate_range(if overtaken { 500..80_000 } else { 300..700_u64 });
             self.last += 1;
             let at = Instant::now() + slow + Duration::from_micros(micros);
             self.packets.push(Reverse((at, self.last, from, to, bytes)));
--- a/crates/fault-injection/src/flows.rs
+++ b/crates/fault-injection/src/flows.rs
@@ -30,7 +30,7 @@
     pub slow: bool,
     pub churn: bool,
     pub surge: bool,
-    /// The part of txns that a build fails which half of the servers get at a third of the time.
+    /// The part of requests that a build fails which half of the servers get at a third of the time.
     pub bad: f64,
     pub loss: f64,
     pub rate: f64,
@@ -71,13 +71,22 @@
 fn tls(folder: &Path) -> Result<Arc<ServerConfig>, String> {
     let keys = folder.join("keys");
     let run = |arguments: &[&str]| {
-        let output = Command::new(program()?).args(arguments).output().map_err(|e| e.to_string())?;
+        let output = Command::new(program()?)
+            .args(arguments)
+            .output()
+            .map_err(|e| e.to_string())?;
         let said = String::from_utf8_lossy(&output.stderr).trim().to_string();
         output.status.success().then_some(()).ok_or(said)
     };
     let path = keys.display().to_string();
     run(&["keys", "authority", &path])?;
-    run(&["keys", "issue", &path, "hobart/collector", "hobart/exporter"])?;
+    run(&[
+        "keys",
+        "issue",
+        &path,
+        "hobart/collector",
+        "hobart/exporter",
+    ])?;
     let read = |name: &str| std::fs::read(keys.join(name)).map_err(|e| format!("{name}: {e}"));
     let own = Credentials::read(
         &read("authority.pem")?,
@@ -85,9 +94,13 @@
         &read("hobart-collector.key")?,
     )?;
     let mut roots = RootCertStore::empty();
-    own.authority.iter().try_for_each(|c| roots.add(c.clone())).map_err(|e| e.to_string())?;
+    own.authority
+        .iter()
+        .try_for_each(|c| roots.add(c.clone()))
+        .map_err(|e| e.to_string())?;
     let provider = Arc::new(rustls::crypto::ring::default_provider());
-    let verifier = WebPkiClientVerifier::builder_with_provider(Arc::new(roots), provider.clone()).build();
+    let verifier =
+        WebPkiClientVerifier::builder_with_provider(Arc::new(roots), provider.clone()).build();
     let config = ServerConfig::builder_with_provider(provider)
         .with_protocol_versions(&[&rustls::version::TLS13])
         .map_err(|e| e.to_string())?
@@ -104,18 +117,24 @@
 
 /// `to NAME: recorded [a, b] dropped [c, d] in-doubt e messages f records g`
 fn said(line: &str, of: &str) -> Vec<u64> {
-    let Some((_, rest)) = line.split_once(&format!(" {of} ")) else { return Vec::new() };
-    let rest = rest
-        .strip_prefix('[')
-        .map_or_else(|| rest.split(' ').next().unwrap_or(""), |list| list.split(']').next().unwrap_or(""));
+    let Some((_, rest)) = line.split_once(&format!(" {of} ")) else {
+        return Vec::new();
+    };
+    let rest = rest.strip_prefix('[').map_or_else(
+        || rest.split(' ').next().unwrap_or(""),
+        |list| list.split(']').next().unwrap_or(""),
+    );
     rest.split(", ").filter_map(|n| n.parse().ok()).collect()
 }
 
 const KINDS: [&str; 2] = ["submission", "txn"];
 
 pub fn play(day: &Day, progress: impl FnMut(f64)) -> Result<Report, String> {
-    let folder =
-        std::env::temp_dir().join(format!("harrierdock-flow-metering-{}-{}", std::process::id(), day.seed));
+    let folder = std::env::temp_dir().join(format!(
+        "harrierdock-flow-metering-{}-{}",
+        std::process::id(),
+        day.seed
+    ));
     std::fs::create_dir_all(&folder).map_err(|e| format!("{}: {e}", folder.display()))?;
     let played = on_stage(day, &folder, progress);
     let _ = std::fs::remove_dir_all(&folder);
@@ -123,11 +142,16 @@
 }
 
 fn on_stage(day: &Day, folder: &Path, mut progress: impl FnMut(f64)) -> Result<Report, String> {
-    let config = if day.road == Road::Tls { Some(tls(folder)?) } else { None };
+    let config = if day.road == Road::Tls {
+        Some(tls(folder)?)
+    } else {
+        None
+    };
     let listen = SocketAddr::from(([127, 0, 0, 1], 0));
     let collector = Collector::start(listen, day.road, day.slow, day.loss, config)?;
     let road = format!("{:?}", day.road).to_lowercase();
-    let mut told = json!({"name": "main", "address": collector.address, "road": road, "form": day.form});
+    let mut told =
+        json!({"name": "main", "address": collector.address, "road": road, "form": day.form});
     if day.road == Road::Tls {
         let key = |name: &str| folder.join("keys").join(name).display().to_string();
         told["keys"] = json!({"authority": key("authority.pem"), "certificate": key("hobart-exporter.pem"),
@@ -137,11 +161,14 @@
     let mut told_flows = json!({"active_ms": 1000, "collectors": [told]});
     if let Some(keep) = &day.keep {
         std::fs::create_dir_all(keep).map_err(|e| format!("{}: {e}", keep.display()))?;
-        let keep = keep.canonicalize().map_err(|e| format!("{}: {e}", keep.display()))?;
+        let keep = keep
+            .canonicalize()
+            .map_err(|e| format!("{}: {e}", keep.display()))?;
         told_flows["keep"] = json!(keep);
     }
-    let mut more: Vec<(f64, Step)> =
-        (0..=(day.seconds / 2.0) as u32).map(|n| (f64::from(n) * 2.0, Step::Mark)).collect();
+    let mut more: Vec<(f64, Step)> = (0..=(day.seconds / 2.0) as u32)
+        .map(|n| (f64::from(n) * 2.0, Step::Mark))
+        .collect();
     if let Some(down) = day.collector_down {
         more.push((down.second, Step::Collector { up: false }));
         more.push((down.second + down.seconds, Step::Collector { up: true }));
@@ -154,8 +181,20 @@
     }
     if day.surge {
         // Of a site's two gateways the first gets a hundredth, and from half-time on a fifth.
-        more.push((0.0, Step::Weigh { gateway: 0, weight: 0.0101 }));
-        more.push((day.seconds / 2.0, Step::Weigh { gateway: 0, weight: 0.25 }));
+        more.push((
+            0.0,
+            Step::Weigh {
+                gateway: 0,
+                weight: 0.0101,
+            },
+        ));
+        more.push((
+            day.seconds / 2.0,
+            Step::Weigh {
+                gateway: 0,
+                weight: 0.25,
+            },
+        ));
     }
     let on_sites = sites::Day {
         seed: day.seed,
@@ -190,22 +229,36 @@
         if let Some(tally) = line.strip_prefix("tally ") {
             let rows: Vec<(String, u64, String, u64)> =
                 serde_json::from_str(tally).map_err(|e| e.to_string())?;
-            for (kind, build, product, count) in rows {
-                *recorded.entry((kind, build, product)).or_default() += count;
+            for (kind, build, class, count) in rows {
+                *recorded.entry((kind, build, class)).or_default() += count;
             }
         }
         let of = said(line, "dropped");
-        dropped.iter_mut().zip(of).for_each(|(sum, more)| *sum += more);
+        dropped
+            .iter_mut()
+            .zip(of)
+            .for_each(|(sum, more)| *sum += more);
         report.in_doubt += said(line, "in-doubt").iter().sum::<u64>();
         report.messages += said(line, "messages").iter().sum::<u64>();
         report.records_sent += said(line, "records").iter().sum::<u64>();
     }
-    let name = |(kind, build, product): &Row| format!("{kind} {build} {product}");
+    let name = |(kind, build, class): &Row| format!("{kind} {build} {class}");
     report.gateway_tally = recorded.iter().map(|(row, n)| (name(row), *n)).collect();
-    report.collector_tally = counted.sums.iter().map(|(row, n)| (name(row), *n)).collect();
-    report.reported_dropped = KINDS.iter().zip(dropped).map(|(kind, n)| (kind.to_string(), n)).collect();
+    report.collector_tally = counted
+        .sums
+        .iter()
+        .map(|(row, n)| (name(row), *n))
+        .collect();
+    report.reported_dropped = KINDS
+        .iter()
+        .zip(dropped)
+        .map(|(kind, n)| (kind.to_string(), n))
+        .collect();
     let total = |sums: &BTreeMap<Row, u64>, kind: &str| {
-        sums.iter().filter(|(r, _)| r.0 == kind).map(|(_, n)| n).sum::<u64>()
+        sums.iter()
+            .filter(|(r, _)| r.0 == kind)
+            .map(|(_, n)| n)
+            .sum::<u64>()
     };
     report.records_collected = counted.domains.values().map(|d| d.records).sum();
     report.sequence_gap = counted.domains.values().map(|d| d.gap).sum();
@@ -219,10 +272,31 @@
     // Over UDP what was lost is seen in the sequence numbers, up to the last message.
     let missing = report.records_sent.saturating_sub(report.records_collected);
     let lossy = counted.lost_here > 0;
-    let gap = if day.form == "v9" { counted.lost_here } else { missing };
-    report.agree = if lossy { gap.abs_diff(report.sequence_gap) <= gap / 20 + 60 } else { whole && exact };
-    let seen = |pattern: &[u8]| counted.raw.windows(pattern.len()).filter(|w| *w == pattern).count() as u64;
-    let patterns: [&[u8]; 6] = [b"hobart-", b"launceston-", b"key-", b"obj=", b"/api", b"lines"];
+    let gap = if day.form == "v9" {
+        counted.lost_here
+    } else {
+        missing
+    };
+    report.agree = if lossy {
+        gap.abs_diff(report.sequence_gap) <= gap / 20 + 60
+    } else {
+        whole && exact
+    };
+    let seen = |pattern: &[u8]| {
+        counted
+            .raw
+            .windows(pattern.len())
+            .filter(|w| *w == pattern)
+            .count() as u64
+    };
+    let patterns: [&[u8]; 6] = [
+        b"hobart-",
+        b"launceston-",
+        b"key-",
+        b"obj=",
+        b"/api",
+        b"lines",
+    ];
     report.client_data_found = patterns.into_iter().map(seen).sum();
     // The first gateway of each site exports, the second does not.
     let with = |g: usize| g < 2;
@@ -236,12 +310,18 @@
             .collect();
         some.iter().sum::<f64>() / some.len().max(1) as f64
     };
-    (report.late_share_with, report.late_share_without) = (mean(&|g| g.0, true), mean(&|g| g.0, false));
+    (report.late_share_with, report.late_share_without) =
+        (mean(&|g| g.0, true), mean(&|g| g.0, false));
     (report.p99_ms_with, report.p99_ms_without) = (mean(&|g| g.1, true), mean(&|g| g.1, false));
-    (report.memory_mb_with, report.memory_mb_without) = (mean(&|g| g.2, true), mean(&|g| g.2, false));
+    (report.memory_mb_with, report.memory_mb_without) =
+        (mean(&|g| g.2, true), mean(&|g| g.2, false));
     let ratios = played.by_gateway.iter().filter_map(|span| {
         let of = |exports: bool| {
-            let some = span.iter().enumerate().filter(|(g, _)| with(*g) == exports).map(|(_, s)| *s);
+            let some = span
+                .iter()
+                .enumerate()
+                .filter(|(g, _)| with(*g) == exports)
+                .map(|(_, s)| *s);
             let (ticks, txns) = some.fold((0.0, 0), |sum, s| (sum.0 + s.0, sum.1 + s.1));
             (txns > 0).then(|| ticks / txns as f64)
         };
@@ -286,9 +366,15 @@
     while from.elapsed().as_secs_f64() < seconds {
         std::thread::sleep(Duration::from_secs(1));
         let counted = collector.counted.lock().map_err(|e| e.to_string())?;
-        let sums: BTreeMap<String, u64> =
-            counted.sums.iter().map(|((k, b, p), n)| (format!("{k} {b} {p}"), *n)).collect();
-        println!("{}", json!({"messages": counted.messages, "faults": counted.faults, "sums": sums}));
+        let sums: BTreeMap<String, u64> = counted
+            .sums
+            .iter()
+            .map(|((k, b, p), n)| (format!("{k} {b} {p}"), *n))
+            .collect();
+        println!(
+            "{}",
+            json!({"messages": counted.messages, "faults": counted.faults, "sums": sums})
+        );
     }
     collector.stop();
     let counted = collector.counted.lock().map_err(|e| e.to_string())?;
--- a/crates/fault-injection/src/main.rs
+++ b/crates/fault-injection/src/main.rs
@@ -29,7 +29,7 @@
         #[bpaf(long("gateways"), argument("N"), fallback(3))]
         gateways: usize,
     },
-    /// Admission in simulated time: the same days in four ways, by revenue against a dispatcher that sees all queues.
+    /// Admission in simulated time: the same days in four ways, by priority weight against a dispatcher that sees all queues.
     #[bpaf(command)]
     Admission {
         /// The first seed
@@ -82,7 +82,7 @@
         /// Servers a site
         #[bpaf(long("servers"), argument("K"), fallback(4))]
         servers: usize,
-        /// Txns a second that come to each site
+        /// Requests a second that come to each site
         #[bpaf(long("rate"), argument("R"), fallback(150.0))]
         rate: f64,
         /// How many times as many come to site A
@@ -92,7 +92,7 @@
         #[bpaf(long("no-span"))]
         no_span: bool,
     },
-    /// What a crossing costs beside a txn served at home, on sockets, in one run.
+    /// What a crossing costs beside a request served at home, on sockets, in one run.
     #[bpaf(command)]
     Cost {
         #[bpaf(long("seed"), argument("N"), fallback(1))]
@@ -100,7 +100,7 @@
         /// How often the site is drained and comes home (17 s each)
         #[bpaf(long("periods"), argument("N"), fallback(4))]
         periods: usize,
-        /// Txns a second that come to each site
+        /// Requests a second that come to each site
         #[bpaf(long("rate"), argument("R"), fallback(150.0))]
         rate: f64,
     },
@@ -130,13 +130,13 @@
         /// One gateway jumps from a hundredth of its site's traffic to a fifth
         #[bpaf(long("surge"))]
         surge: bool,
-        /// The part of txns that a build fails which half of the servers get at a third of the time
+        /// The part of requests that a build fails which half of the servers get at a third of the time
         #[bpaf(long("bad"), argument("P"), fallback(0.0))]
         bad: f64,
         /// The part of datagrams that the collector loses
         #[bpaf(long("loss"), argument("P"), fallback(0.0))]
         loss: f64,
-        /// Txns a second that come to each site
+        /// Requests a second that come to each site
         #[bpaf(long("rate"), argument("R"), fallback(150.0))]
         rate: f64,
         /// A folder for each exporting gateway's file of flows, and the collector's tables
@@ -176,7 +176,7 @@
         /// Two or three are drawn by the seed where none is named
         #[bpaf(long("fault"), argument("KIND@T+D"))]
         fault: Vec<Fault>,
-        /// Txns a second
+        /// Requests a second
         #[bpaf(long("rate"), argument("R"), fallback(60.0))]
         rate: f64,
         /// The duties' lease in milliseconds; a quarter of it is the heartbeat
@@ -214,7 +214,10 @@
 }
 
 fn end(found: &impl Serialize, ok: bool) -> Result<bool, String> {
-    println!("{}", serde_json::to_string(found).map_err(|e| e.to_string())?);
+    println!(
+        "{}",
+        serde_json::to_string(found).map_err(|e| e.to_string())?
+    );
     Ok(ok)
 }
 
@@ -224,14 +227,26 @@
 
 fn run(command: Command) -> Result<bool, String> {
     match command {
-        Command::Core { seed, seeds, gateways } => {
+        Command::Core {
+            seed,
+            seeds,
+            gateways,
+        } => {
             let bar = bar(seeds);
             let found = core::play(seed, seeds, gateways.max(1), |_| bar.inc(1));
             end(&found, found.ok)
         }
-        Command::Admission { seed, seeds, gateways, fault } => {
+        Command::Admission {
+            seed,
+            seeds,
+            gateways,
+            fault,
+        } => {
             if seeds == 0 || !(1..=admission::MOST_GATEWAYS).contains(&gateways) {
-                return Err(format!("--seeds is above 0, --gateways from 1 to {}", admission::MOST_GATEWAYS));
+                return Err(format!(
+                    "--seeds is above 0, --gateways from 1 to {}",
+                    admission::MOST_GATEWAYS
+                ));
             }
             let bar = bar(seeds);
             let found = admission::play(seed, seeds, gateways, fault, |n| bar.set_position(n));
@@ -273,7 +288,11 @@
                 spans,
                 ..Day::default()
             };
-            if !(0.0..=1.0).contains(&loss) || seconds <= 0.0 || rate <= 0.0 || gateways == 0 || servers == 0
+            if !(0.0..=1.0).contains(&loss)
+                || seconds <= 0.0
+                || rate <= 0.0
+                || gateways == 0
+                || servers == 0
             {
                 return Err(
                     "--loss is from 0 to 1; --seconds, --rate, --gateways and --servers are above 0".into()
@@ -283,7 +302,11 @@
             let found = sites::play(&day, |part| bar.set_position((part * 1000.0) as u64))?;
             end(&found, found.ok)
         }
-        Command::Cost { seed, periods, rate } => {
+        Command::Cost {
+            seed,
+            periods,
+            rate,
+        } => {
             let bar = bar(1000);
             let found = sites::cost(seed, periods.max(1), rate.max(1.0), |part| {
                 bar.set_position((part * 1000.0) as u64)
@@ -326,14 +349,35 @@
             let found = flows::play(&day, |part| bar.set_position((part * 1000.0) as u64))?;
             end(&found, found.ok)
         }
-        Command::Collector { road, seconds, csv, parquet, listen } => {
-            flows::collect(listen, road.parse()?, seconds, csv.as_deref(), parquet.as_deref())?;
+        Command::Collector {
+            road,
+            seconds,
+            csv,
+            parquet,
+            listen,
+        } => {
+            flows::collect(
+                listen,
+                road.parse()?,
+                seconds,
+                csv.as_deref(),
+                parquet.as_deref(),
+            )?;
             Ok(true)
         }
-        Command::Fleet { seed, gateways, seconds, fault, rate, lease, off } => {
+        Command::Fleet {
+            seed,
+            gateways,
+            seconds,
+            fault,
+            rate,
+            lease,
+            off,
+        } => {
             if gateways < 3 || seconds <= 0.0 || rate <= 0.0 || lease < 100 {
                 return Err(
-                    "--gateways is 3 or more, --lease 100 or more, --seconds and --rate above 0".into()
+                    "--gateways is 3 or more, --lease 100 or more, --seconds and --rate above 0"
+                        .into(),
                 );
             }
             let (faults, heartbeat_ms) = (fault, lease / 4);
@@ -352,12 +396,20 @@
             let found = fleet::play(&day, |part| bar.set_position((part * 1000.0) as u64))?;
             end(&found, found.ok)
         }
-        Command::Duties { seed, seeds, gateways } => {
+        Command::Duties {
+            seed,
+            seeds,
+            gateways,
+        } => {
             let bar = bar(seeds);
             let found = duties::play(seed, seeds, gateways, || bar.inc(1));
             end(&found, found.ok)
         }
-        Command::Membership { seed, gateways, bound } => {
+        Command::Membership {
+            seed,
+            gateways,
+            bound,
+        } => {
             let bar = bar(30);
             let found = membership::play(gateways.max(1), seed, bound, || bar.inc(1));
             end(&found, found.ok)
--- a/crates/fault-injection/src/membership.rs
+++ b/crates/fault-injection/src/membership.rs
@@ -5,7 +5,7 @@
 
 use harrierdock_multi_site::{Asked, Members, ROUND};
 use harrierdock_site_messages::{write, Beat, Letter, Party, Record, Standing};
-use harrierdock_types::time::Point;
+use harrierdock_types::Timestamp;
 use nanorand::{Rng, WyRand};
 use serde::Serialize;
 
@@ -41,7 +41,7 @@
 }
 
 struct World {
-    now: Point,
+    now: Timestamp,
     chance: WyRand,
     loss: f64,
     all: Vec<Members>,
@@ -52,7 +52,10 @@
 }
 
 fn party(ix: usize) -> Party {
-    Party { site: SITES[ix % 2].into(), gateway: format!("gateway-{:03}", ix / 2) }
+    Party {
+        site: SITES[ix % 2].into(),
+        gateway: format!("gateway-{:03}", ix / 2),
+    }
 }
 
 fn address(ix: usize) -> SocketAddr {
@@ -62,7 +65,7 @@
 impl World {
     fn new(each: usize, seed: u64, loss: f64) -> World {
         let mut world = World {
-            now: Point(1_000_000_000),
+            now: Timestamp(1_000_000_000),
             chance: WyRand::new_seed(seed),
             loss,
             all: Vec::new(),
@@ -83,15 +86,28 @@
             .map(|ix| (party(ix), address(ix)))
             .collect();
         let (incarnation, address) = (self.now.0 as u64, Some(address(ix)));
-        let own = Record { party: party(ix), address, incarnation, version: 1, standing: Standing::Serving };
-        Members::new(own, SITES[other].into(), &seeds, self.now.0 as u64 ^ ix as u64)
+        let own = Record {
+            party: party(ix),
+            address,
+            incarnation,
+            version: 1,
+            standing: Standing::Serving,
+        };
+        Members::new(
+            own,
+            SITES[other].into(),
+            &seeds,
+            self.now.0 as u64 ^ ix as u64,
+        )
     }
 
     fn obey(&mut self, ix: usize, asked: Vec<Asked>) {
         for asked in asked {
             match asked {
                 Asked::Dial { peer, .. } => {
-                    let Some(to) = self.by_party.get(&peer).copied() else { continue };
+                    let Some(to) = self.by_party.get(&peer).copied() else {
+                        continue;
+                    };
                     self.last += 1;
                     let (now, mut more) = (self.now, Vec::new());
                     self.links.insert(self.last, (ix, to));
@@ -109,7 +125,9 @@
     }
 
     fn drop_link(&mut self, link: u64, orderly: bool) {
-        let Some((a, b)) = self.links.remove(&link) else { return };
+        let Some((a, b)) = self.links.remove(&link) else {
+            return;
+        };
         let now = self.now;
         for ix in [a, b] {
             let mut asked = Vec::new();
@@ -129,7 +147,9 @@
             beats.extend(sent.into_iter().map(|(link, beat)| (ix, link, beat)));
         }
         for (ix, link, beat) in beats {
-            let Some((a, b)) = self.links.get(&link).copied() else { continue };
+            let Some((a, b)) = self.links.get(&link).copied() else {
+                continue;
+            };
             let letter = Letter::Beat(beat);
             self.bytes += write(&letter).map_or(0, |bytes| bytes.len());
             if self.chance.generate::<f64>() < self.loss {
@@ -148,7 +168,9 @@
         for rounds in 1..=MOST {
             self.round();
             let all_know = self.all.iter().enumerate().all(|(ix, members)| {
-                of.iter().filter(|o| **o != ix).all(|o| members.record(&party(*o)).is_some_and(&holds))
+                of.iter()
+                    .filter(|o| **o != ix)
+                    .all(|o| members.record(&party(*o)).is_some_and(&holds))
             });
             if all_know {
                 return rounds;
@@ -165,25 +187,38 @@
 fn at(each: usize, seed: u64, loss: f64, mut progress: impl FnMut()) -> AtLoss {
     let mut world = World::new(each, seed, loss);
     (0..SETTLE).for_each(|_| world.round());
-    let mut found = AtLoss { loss, ..AtLoss::default() };
+    let mut found = AtLoss {
+        loss,
+        ..AtLoss::default()
+    };
     let mut all_rounds = Vec::new();
     for n in 0..9_usize {
         let ix = (n * 37 + 5) % (2 * each);
-        let standing = if n.is_multiple_of(2) { Standing::Draining } else { Standing::Serving };
+        let standing = if n.is_multiple_of(2) {
+            Standing::Draining
+        } else {
+            Standing::Serving
+        };
         world.all[ix].stand(standing);
         let version = world.all[ix].own().version;
         all_rounds.push(world.known(&[ix], |r| r.version >= version));
         progress();
     }
     all_rounds.sort_unstable();
-    (found.rounds_median, found.rounds_most) =
-        (all_rounds[all_rounds.len() / 2], all_rounds[all_rounds.len() - 1]);
+    (found.rounds_median, found.rounds_most) = (
+        all_rounds[all_rounds.len() / 2],
+        all_rounds[all_rounds.len() - 1],
+    );
     (0..SETTLE).for_each(|_| world.round());
     found.bytes_quiet = world.per_gateway();
     // Every other pair of gateways, at both sites.
     let again: Vec<usize> = (0..2 * each).filter(|ix| (ix / 2) % 2 == 0).collect();
     for ix in &again {
-        let ends = world.links.iter().filter(|(_, e)| e.0 == *ix || e.1 == *ix).map(|(no, _)| *no);
+        let ends = world
+            .links
+            .iter()
+            .filter(|(_, e)| e.0 == *ix || e.1 == *ix)
+            .map(|(no, _)| *no);
         for link in ends.collect::<Vec<u64>>() {
             world.drop_link(link, false);
         }
@@ -192,23 +227,36 @@
     let from = world.now.0 as u64;
     world.round();
     found.bytes_restart = world.per_gateway();
-    found.rounds_after_restart =
-        world.known(&again, |r| r.incarnation >= from && r.standing < Standing::Suspected) + 1;
+    found.rounds_after_restart = world.known(&again, |r| {
+        r.incarnation >= from && r.standing < Standing::Suspected
+    }) + 1;
     progress();
     (0..SETTLE).for_each(|_| world.round());
     let roads: Vec<usize> = world.all.iter().map(|m| m.roads.len()).collect();
     found.roads_mean = roads.iter().sum::<usize>() as f64 / roads.len() as f64;
     found.roads_most = roads.iter().copied().max().unwrap_or(0);
-    let wrong = world.all.iter().flat_map(|m| m.records()).filter(|(r, _)| r.standing >= Standing::Suspected);
+    let wrong = world
+        .all
+        .iter()
+        .flat_map(|m| m.records())
+        .filter(|(r, _)| r.standing >= Standing::Suspected);
     found.wrongly_suspected = wrong.count();
     found
 }
 
 /// Plays at three rates of loss. `bound` is the most rounds that one gateway's change may take.
 pub fn play(gateways: usize, seed: u64, bound: usize, mut progress: impl FnMut()) -> Found {
-    let at: Vec<AtLoss> = [0.0, 0.1, 0.3].map(|loss| at(gateways, seed, loss, &mut progress)).into();
-    let ok = at
-        .iter()
-        .all(|a| a.rounds_most <= bound && a.rounds_after_restart <= 4 * bound && a.roads_most <= 24);
-    Found { gateways_a_site: gateways, seed, bound_rounds: bound, at, ok }
+    let at: Vec<AtLoss> = [0.0, 0.1, 0.3]
+        .map(|loss| at(gateways, seed, loss, &mut progress))
+        .into();
+    let ok = at.iter().all(|a| {
+        a.rounds_most <= bound && a.rounds_after_restart <= 4 * bound && a.roads_most <= 24
+    });
+    Found {
+        gateways_a_site: gateways,
+        seed,
+        bound_rounds: bound,
+        at,
+        ok,
+    }
 }
--- a/crates/fault-injection/src/processes.rs
+++ b/crates/fault-injection/src/processes.rs
@@ -37,7 +37,10 @@
     if beside.exists() {
         return Ok(beside);
     }
-    Err(format!("{} is not there: build it, or name it by HARRIERDOCK", beside.display()))
+    Err(format!(
+        "{} is not there: build it, or name it by HARRIERDOCK",
+        beside.display()
+    ))
 }
 
 pub fn write_file(folder: &Path, name: &str, text: &str) -> Result<PathBuf, String> {
@@ -62,14 +65,26 @@
     ) -> Result<Process, String> {
         let config = write_file(folder, &format!("{name}.json"), &told.to_string())?;
         let mut command = Command::new(program);
-        command.arg("serve").arg("--config").arg(config).args(["--log", "info"]);
+        command
+            .arg("serve")
+            .arg("--config")
+            .arg(config)
+            .args(["--log", "info"]);
         if let Some(with) = with {
-            command.arg("--with").arg(write_file(folder, &format!("{name}-sites.json"), &with.to_string())?);
+            command.arg("--with").arg(write_file(
+                folder,
+                &format!("{name}-sites.json"),
+                &with.to_string(),
+            )?);
         }
         for variable in ["LB_NAME", "LB_LISTEN", "LB_DISCOVERY", "LB_CONFIG"] {
             command.env_remove(variable);
         }
-        let started = command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped()).spawn();
+        let started = command
+            .stdin(Stdio::null())
+            .stdout(Stdio::null())
+            .stderr(Stdio::piped())
+            .spawn();
         let mut child = started.map_err(|e| format!("{}: {e}", program.display()))?;
         let (say, log) = channel();
         if let Some(error) = child.stderr.take() {
@@ -78,12 +93,23 @@
         }
         let serves = SocketAddr::from(([127, 0, 0, 1], 0));
         let (broken, fleet) = (Vec::new(), Vec::new());
-        let mut process = Process { child, log, serves, links: None, peers: None, broken, fleet };
+        let mut process = Process {
+            child,
+            log,
+            serves,
+            links: None,
+            peers: None,
+            broken,
+            fleet,
+        };
         let until = Instant::now() + START;
         loop {
             let left = until.saturating_duration_since(Instant::now());
             let Ok(line) = process.log.recv_timeout(left) else {
-                return Err(format!("{name} does not start: see {name}.json in {}", folder.display()));
+                return Err(format!(
+                    "{name} does not start: see {name}.json in {}",
+                    folder.display()
+                ));
             };
             if let Some(links) = address_in(&line, " listens on ") {
                 process.links = Some(links);
@@ -120,7 +146,11 @@
 
     /// How it ended; none while it runs.
     pub fn ended(&mut self) -> Option<bool> {
-        self.child.try_wait().ok().flatten().map(|status| status.success())
+        self.child
+            .try_wait()
+            .ok()
+            .flatten()
+            .map(|status| status.success())
     }
 
     /// Whether it runs.
@@ -133,7 +163,10 @@
         kill_process(Pid::from_child(&self.child), Signal::TERM).map_err(|e| e.to_string())?;
         let until = Instant::now() + START;
         let mut lines = Vec::new();
-        while let Ok(line) = self.log.recv_timeout(until.saturating_duration_since(Instant::now())) {
+        while let Ok(line) = self
+            .log
+            .recv_timeout(until.saturating_duration_since(Instant::now()))
+        {
             lines.extend(line.split_once("flows: ").map(|(_, said)| said.to_string()));
         }
         let code = self.child.wait().map_err(|e| e.to_string())?;
@@ -150,14 +183,22 @@
 
     /// Resident memory in MB, and processor time so far in microseconds, as the system tells.
     pub fn use_of(&self) -> (f64, f64) {
-        let read =
-            |file: &str| fs::read_to_string(format!("/proc/{}/{file}", self.child.id())).unwrap_or_default();
+        let read = |file: &str| {
+            fs::read_to_string(format!("/proc/{}/{file}", self.child.id())).unwrap_or_default()
+        };
         let status = read("status");
-        let kb = status
-            .lines()
-            .find_map(|l| l.strip_prefix("VmRSS:")?.split_whitespace().next()?.parse::<f64>().ok());
+        let kb = status.lines().find_map(|l| {
+            l.strip_prefix("VmRSS:")?
+                .split_whitespace()
+                .next()?
+                .parse::<f64>()
+                .ok()
+        });
         // Time on a processor, in nanoseconds: finer than the ticks of `stat`.
-        let spent = read("schedstat").split_whitespace().next().and_then(|n| n.parse::<f64>().ok());
+        let spent = read("schedstat")
+            .split_whitespace()
+            .next()
+            .and_then(|n| n.parse::<f64>().ok());
         (kb.unwrap_or(0.0) / 1024.0, spent.unwrap_or(0.0) / 1000.0)
     }
 }
--- a/crates/flow-metering/src/lib.rs
+++ b/crates/flow-metering/src/lib.rs
@@ -1,4 +1,4 @@
-//! Flows: sums over a gateway's submissions and txns by release, stage, product, outcome and road, for export.
+//! Flows: sums over a gateway's attempts and requests by release, stage, request class, outcome and road, for export.
 //! `Flows` is told what ended and gives back sums that are due; each collector's `Pending` merges what waits for
 //! it and decides what is given up when it cannot all be kept. No I/O, no clock of its own.
 
@@ -14,7 +14,7 @@
 pub use table::Table;
 pub use wheel::Wheel;
 
-use harrierdock_types::time::{Point, Span};
+use harrierdock_types::{TimeDelta, Timestamp};
 
 /// Servers that have rows of their own.
 pub const SERVERS: usize = 64;
@@ -31,15 +31,15 @@
     pub kind: Kind,
     pub build: u32,
     pub stage: u8,
-    pub product: u8,
+    pub class: u8,
     pub outcome: Outcome,
     pub road: Road,
-    /// The server's small index; none for txns.
-    pub server: Option<u32>,
-    /// It was not the txn's first submission.
+    /// The server's small index; none for requests.
+    pub endpoint: Option<u32>,
+    /// It was not the request's first attempt.
     pub second: bool,
-    pub took: Span,
-    pub sla: Span,
+    pub took: TimeDelta,
+    pub sla: TimeDelta,
     /// Octets of the request's body, and of the answer's.
     pub out: u64,
     pub back: u64,
@@ -48,13 +48,13 @@
 /// A row of the table, with since when its sums are.
 struct Row {
     sums: Sums,
-    from: Point,
+    from: Timestamp,
     idle: u32,
 }
 
 /// All that is recorded of one gateway.
 pub struct Flows {
-    active: Span,
+    active: TimeDelta,
     rows: Table<Row>,
     wheel: Wheel<Key>,
     busiest: Busiest,
@@ -66,7 +66,7 @@
 
 impl Flows {
     /// `active` is the time after which a row that goes on is told.
-    pub fn new(now: Point, active: Span) -> Flows {
+    pub fn new(now: Timestamp, active: TimeDelta) -> Flows {
         Flows {
             active,
             rows: Table::new(),
@@ -90,13 +90,19 @@
     }
 
     /// Adds one that ended.
-    pub fn record(&mut self, now: Point, ended: &Ended) {
+    pub fn record(&mut self, now: Timestamp, ended: &Ended) {
         self.recorded[ended.kind as usize] += 1;
         // A server that is not among the busiest has no row of its own, nor has any while keys are scarce.
-        let server = ended.server.filter(|s| self.busiest.touch(*s) && self.rows.len() < KEYS);
-        let mut key = Key::of(ended, server);
+        let endpoint = ended
+            .endpoint
+            .filter(|s| self.busiest.touch(*s) && self.rows.len() < KEYS);
+        let mut key = Key::of(ended, endpoint);
         if !self.rows.contains(&key) && self.rows.len() >= KEYS {
-            key = Key { server: None, stage: 0, ..key };
+            key = Key {
+                endpoint: None,
+                stage: 0,
+                ..key
+            };
             if !self.rows.contains(&key) && self.rows.len() >= 2 * KEYS {
                 self.ignored[ended.kind as usize] += 1;
                 return;
@@ -109,18 +115,32 @@
         }
         let mut sums = Sums::default();
         sums.add(ended);
-        self.rows.insert(key, Row { sums, from: now, idle: 0 });
+        self.rows.insert(
+            key,
+            Row {
+                sums,
+                from: now,
+                idle: 0,
+            },
+        );
         self.wheel.set(now + self.active, key);
     }
 
     /// What is due by now, each with the interval that its sums are over.
-    pub fn due(&mut self, now: Point) -> Vec<Flow> {
+    pub fn due(&mut self, now: Timestamp) -> Vec<Flow> {
         let mut flows = Vec::new();
         for key in self.wheel.turn(now) {
-            let Some(row) = self.rows.get_mut(&key) else { continue };
+            let Some(row) = self.rows.get_mut(&key) else {
+                continue;
+            };
             if row.sums.count > 0 {
                 let sums = std::mem::take(&mut row.sums);
-                flows.push(Flow { key, sums, from: row.from, until: now });
+                flows.push(Flow {
+                    key,
+                    sums,
+                    from: row.from,
+                    until: now,
+                });
                 (row.from, row.idle) = (now, 0);
             } else {
                 row.idle += 1;
@@ -136,17 +156,27 @@
     }
 
     /// Everything that has not been told, at the end.
-    pub fn flush(&mut self, now: Point) -> Vec<Flow> {
-        let rows = self.rows.drain().into_iter().filter(|(_, row)| row.sums.count > 0);
-        let mut flows: Vec<Flow> =
-            rows.map(|(key, row)| Flow { key, sums: row.sums, from: row.from, until: now }).collect();
+    pub fn flush(&mut self, now: Timestamp) -> Vec<Flow> {
+        let rows = self
+            .rows
+            .drain()
+            .into_iter()
+            .filter(|(_, row)| row.sums.count > 0);
+        let mut flows: Vec<Flow> = rows
+            .map(|(key, row)| Flow {
+                key,
+                sums: row.sums,
+                from: row.from,
+                until: now,
+            })
+            .collect();
         flows.sort_by_key(|f| f.key);
         self.wheel.clear();
         flows
     }
 
     /// When the wheel turns next.
-    pub fn next(&self) -> Point {
+    pub fn next(&self) -> Timestamp {
         self.wheel.next()
     }
 }
--- a/crates/flow-metering/src/pending.rs
+++ b/crates/flow-metering/src/pending.rs
@@ -25,8 +25,15 @@
     fn key(self, key: Key) -> Key {
         match self {
             Fold::Nothing => key,
-            Fold::Servers => Key { server: None, ..key },
-            Fold::Stages => Key { server: None, stage: 0, ..key },
+            Fold::Servers => Key {
+                endpoint: None,
+                ..key
+            },
+            Fold::Stages => Key {
+                endpoint: None,
+                stage: 0,
+                ..key
+            },
         }
     }
 }
--- a/crates/flow-metering/src/sketch.rs
+++ b/crates/flow-metering/src/sketch.rs
@@ -13,7 +13,12 @@
 
 impl Busiest {
     pub fn new(most: usize) -> Busiest {
-        Busiest { most: most.max(1), counts: BTreeMap::new(), least: BTreeSet::new(), total: 0 }
+        Busiest {
+            most: most.max(1),
+            counts: BTreeMap::new(),
+            least: BTreeSet::new(),
+            total: 0,
+        }
     }
 
     /// Counts one, and gives back whether it is among the busiest now: it has a counter, and more than the least
@@ -26,13 +31,19 @@
             self.least.insert((*count, who));
             return true;
         }
-        let (count, room) = if self.counts.len() < self.most { (1, true) } else { (0, false) };
+        let (count, room) = if self.counts.len() < self.most {
+            (1, true)
+        } else {
+            (0, false)
+        };
         if room {
             self.counts.insert(who, count);
             self.least.insert((count, who));
             return true;
         }
-        let Some((least, out)) = self.least.pop_first() else { return false };
+        let Some((least, out)) = self.least.pop_first() else {
+            return false;
+        };
         self.counts.remove(&out);
         self.counts.insert(who, least + 1);
         self.least.insert((least + 1, who));
--- a/crates/flow-metering/src/sums.rs
+++ b/crates/flow-metering/src/sums.rs
@@ -1,10 +1,10 @@
 //! What is summed, and under which key.
 
-use harrierdock_types::time::{Point, Span};
+use harrierdock_types::{TimeDelta, Timestamp};
 
 use crate::Ended;
 
-/// What is counted: submissions to servers, or txns of clients.
+/// What is counted: attempts to servers, or requests of clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Kind {
     Submission = 0,
@@ -22,7 +22,7 @@
     }
 }
 
-/// How it ended: a submission (the first eight), or a txn.
+/// How it ended: a attempt (the first eight), or a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Outcome {
     Served = 0,
@@ -98,46 +98,46 @@
     /// 0 where no build is known.
     pub build: u32,
     pub stage: u8,
-    pub product: u8,
+    pub class: u8,
     pub outcome: Outcome,
     pub road: Road,
     /// None for all servers that have no row of their own.
-    pub server: Option<u32>,
+    pub endpoint: Option<u32>,
 }
 
 impl Key {
-    pub fn of(ended: &Ended, server: Option<u32>) -> Key {
+    pub fn of(ended: &Ended, endpoint: Option<u32>) -> Key {
         Key {
             kind: ended.kind,
             build: ended.build,
             stage: ended.stage,
-            product: ended.product,
+            class: ended.class,
             outcome: ended.outcome,
             road: ended.road,
-            server,
+            endpoint,
         }
     }
 
     /// The key in one number, for tables.
     pub fn packed(&self) -> u128 {
-        let server = self.server.map_or(0, |s| u128::from(s) + 1);
+        let endpoint = self.endpoint.map_or(0, |s| u128::from(s) + 1);
         let small = (self.kind as u128) << 24
             | u128::from(self.stage) << 16
-            | u128::from(self.product) << 8
+            | u128::from(self.class) << 8
             | (self.outcome as u128) << 2
             | self.road as u128;
-        server << 72 | u128::from(self.build) << 32 | small
+        endpoint << 72 | u128::from(self.build) << 32 | small
     }
 }
 
-/// Classes of time taken, as parts of the SLA time: up to 1/8, 1/4, 1/2, 1, 2, 4, 8, and beyond.
+/// Classes of time taken, as parts of the latency objective: up to 1/8, 1/4, 1/2, 1, 2, 4, 8, and beyond.
 pub const BUCKETS: usize = 8;
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Sums {
     pub count: u64,
     pub second: u64,
-    /// Those that took longer than the SLA time.
+    /// Those that took longer than the latency objective.
     pub late: u64,
     /// Microseconds.
     pub time: u64,
@@ -167,14 +167,21 @@
             (&mut self.out, other.out),
             (&mut self.back, other.back),
         ];
-        pairs.into_iter().for_each(|(sum, more)| *sum = sum.saturating_add(more));
-        self.times.iter_mut().zip(other.times).for_each(|(sum, more)| *sum = sum.saturating_add(more));
+        pairs
+            .into_iter()
+            .for_each(|(sum, more)| *sum = sum.saturating_add(more));
+        self.times
+            .iter_mut()
+            .zip(other.times)
+            .for_each(|(sum, more)| *sum = sum.saturating_add(more));
     }
 }
 
-fn bucket(took: Span, sla: Span) -> usize {
+fn bucket(took: TimeDelta, sla: TimeDelta) -> usize {
     let eighth = (sla.0 / 8).max(1);
-    (0..BUCKETS - 1).find(|n| took.0 <= eighth << n).unwrap_or(BUCKETS - 1)
+    (0..BUCKETS - 1)
+        .find(|n| took.0 <= eighth << n)
+        .unwrap_or(BUCKETS - 1)
 }
 
 /// Sums of one key over an interval.
@@ -182,6 +189,6 @@
 pub struct Flow {
     pub key: Key,
     pub sums: Sums,
-    pub from: Point,
-    pub until: Point,
+    pub from: Timestamp,
+    pub until: Timestamp,
 }
--- a/crates/flow-metering/src/table.rs
+++ b/crates/flow-metering/src/table.rs
@@ -20,7 +20,10 @@
 fn hash(key: &Key) -> u64 {
     let packed = key.packed();
     // Multiply and fold, over both halves.
-    let (low, high) = (packed as u64 ^ 0x9e37_79b9_7f4a_7c15, (packed >> 64) as u64 ^ 0xd6e8_feb8_6659_fd93);
+    let (low, high) = (
+        packed as u64 ^ 0x9e37_79b9_7f4a_7c15,
+        (packed >> 64) as u64 ^ 0xd6e8_feb8_6659_fd93,
+    );
     let wide = u128::from(low) * u128::from(high | 1);
     let folded = wide as u64 ^ (wide >> 64) as u64;
     folded.wrapping_mul(0xff51_afd7_ed55_8ccd) ^ folded >> 32
@@ -28,7 +31,10 @@
 
 impl<T> Table<T> {
     pub fn new() -> Table<T> {
-        Table { slots: vec![(0, EMPTY); 64], rows: Vec::new() }
+        Table {
+            slots: vec![(0, EMPTY); 64],
+            rows: Vec::new(),
+        }
     }
 
     pub fn len(&self) -> usize {
@@ -72,7 +78,10 @@
         }
         let (at, held) = self.find(&key);
         if held {
-            return Some(std::mem::replace(&mut self.rows[self.slots[at].1 as usize].1, value));
+            return Some(std::mem::replace(
+                &mut self.rows[self.slots[at].1 as usize].1,
+                value,
+            ));
         }
         self.slots[at] = ((hash(&key) >> 32) as u32, self.rows.len() as u32);
         self.rows.push((key, value));
--- a/crates/gateway/src/cli/arguments.rs
+++ b/crates/gateway/src/cli/arguments.rs
@@ -4,21 +4,21 @@
 use std::str::FromStr;
 
 use bpaf::Bpaf;
-use harrierdock_event_loop::logging::{Form, Level};
+use harrierdock_event_loop::logging::{Format, Level};
 
-/// The gateway that routes txns and votes on staged releases.
+/// The gateway that routes requests and votes on staged releases.
 #[derive(Bpaf, Clone, Debug)]
 #[bpaf(options, generate(command_line))]
 pub enum Command {
-    /// Serves txns until it is told to end (SIGTERM, SIGINT).
+    /// Serves requests until it is told to end (SIGTERM, SIGINT).
     #[bpaf(command)]
     Serve {
         /// The least that is logged: error, warn, info, debug or trace; or off
         #[bpaf(long("log"), argument("LEVEL"), fallback(Level::INFO))]
         log: Level,
         /// How log lines are written: plain, or json (one object a line)
-        #[bpaf(long("log-form"), argument("FORM"), fallback(Form::Plain))]
-        form: Form,
+        #[bpaf(long("log-form"), argument("FORM"), fallback(Format::Plain))]
+        form: Format,
         /// The configuration, instead of the file that LB_CONFIG names
         #[bpaf(long("config"), argument("FILE"))]
         config: Option<PathBuf>,
@@ -42,7 +42,7 @@
     /// Makes and shows the keys of links between sites.
     #[bpaf(command)]
     Keys(#[bpaf(external(keys))] Keys),
-    /// Prints files of exported flows by release, stage and product, and draws them.
+    /// Prints files of exported flows by release, stage and request class, and draws them.
     #[bpaf(command)]
     Flows {
         /// Where a chart is drawn, as SVG
@@ -58,7 +58,7 @@
         /// The gateway's control socket, as `sites.control` names it
         #[bpaf(long("control"), argument("SOCKET"))]
         control: PathBuf,
-        /// drain: hand this site's txns over and take none; resume: end that; status: how things stand
+        /// drain: hand this site's requests over and take none; resume: end that; status: how things stand
         #[bpaf(positional("WORD"))]
         word: Word,
     },
--- a/crates/gateway/src/cli/flow_report.rs
+++ b/crates/gateway/src/cli/flow_report.rs
@@ -1,4 +1,4 @@
-//! `harrierdock flows`: reads files of exported flows, prints them by release, stage and product beside the caps told,
+//! `harrierdock flows`: reads files of exported flows, prints them by release, stage and request class beside the caps told,
 //! and draws the releases' shares and failures over time.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -43,7 +43,7 @@
 struct Share {
     submissions: u64,
     taken: u64,
-    cap: u64,
+    exposure_limit: u64,
 }
 
 /// One record, of whichever kind of file.
@@ -53,14 +53,14 @@
     until: u64,
     build: u64,
     stage: u64,
-    product: String,
+    class: String,
     outcome: String,
     count: u64,
     second: u64,
     late: u64,
     time_us: u64,
     taken: u64,
-    cap: u64,
+    exposure_limit: u64,
 }
 
 /// What the files hold.
@@ -92,8 +92,8 @@
                 continue;
             }
             let bytes = std::fs::read(path).map_err(|e| wrong(&e))?;
-            let (messages, torn) =
-                split_file(&bytes).map_err(|(at, _)| wrong(&format!("no IPFIX message at octet {at}")))?;
+            let (messages, torn) = split_file(&bytes)
+                .map_err(|(at, _)| wrong(&format!("no IPFIX message at octet {at}")))?;
             if let Torn::At(at) = torn {
                 read.notes.push(format!(
                     "{}: the last message is torn at octet {at} and passed over",
@@ -121,14 +121,14 @@
             until: record.number(0, 153).unwrap_or(0),
             build: own(record, 1),
             stage: own(record, 2),
-            product: text(3),
+            class: text(3),
             outcome: text(4),
             count: own(record, 7),
             second: own(record, 8),
             late: own(record, 9),
             time_us: own(record, 10),
             taken: own(record, 14),
-            cap: own(record, 13),
+            exposure_limit: own(record, 13),
         });
     }
 
@@ -140,11 +140,21 @@
         for row in reader.get_row_iter(None).map_err(|e| wrong(&e))? {
             let mut line = Line::default();
             for (name, field) in row.map_err(|e| wrong(&e))?.get_column_iter() {
-                let number = if let Field::Long(n) = field { *n as u64 } else { 0 };
-                let text = || if let Field::Str(text) = field { text.clone() } else { String::new() };
+                let number = if let Field::Long(n) = field {
+                    *n as u64
+                } else {
+                    0
+                };
+                let text = || {
+                    if let Field::Str(text) = field {
+                        text.clone()
+                    } else {
+                        String::new()
+                    }
+                };
                 match name.as_str() {
                     "kind" => line.kind = text(),
-                    "product" => line.product = text(),
+                    "product" => line.class = text(),
                     "outcome" => line.outcome = text(),
                     "end_ms" => line.until = number,
                     "build" => line.build = number,
@@ -154,7 +164,7 @@
                     "late" => line.late = number,
                     "time_us" => line.time_us = number,
                     "taken" => line.taken = number,
-                    "cap_ppm" => line.cap = number,
+                    "cap_ppm" => line.exposure_limit = number,
                     _ => {}
                 }
             }
@@ -164,7 +174,13 @@
     }
 
     fn add(&mut self, line: &Line) {
-        let Line { until, build, stage, count, .. } = *line;
+        let Line {
+            until,
+            build,
+            stage,
+            count,
+            ..
+        } = *line;
         if line.kind == "submission" {
             let of = |name: &str| if line.outcome == name { count } else { 0 };
             let sum = Sum {
@@ -176,28 +192,38 @@
                 time_us: line.time_us,
                 second: line.second,
             };
-            self.by_key.entry((build, stage, line.product.clone())).or_default().add(&sum);
+            self.by_key
+                .entry((build, stage, line.class.clone()))
+                .or_default()
+                .add(&sum);
             self.by_time.entry((until, build)).or_default().add(&sum);
         } else if line.kind == "share" {
-            let of = (self.shares.entry((build, stage)), self.share_of.entry((until, build)));
+            let of = (
+                self.shares.entry((build, stage)),
+                self.share_of.entry((until, build)),
+            );
             for share in [of.0.or_default(), of.1.or_default()] {
                 share.submissions += count;
                 share.taken += line.taken;
-                share.cap = line.cap;
+                share.exposure_limit = line.exposure_limit;
             }
         }
     }
 
-    /// A line for each release, stage and product.
+    /// A line for each release, stage and request class.
     pub fn table(&self) -> String {
         let mut text = String::from(
             "build stage product      submissions  served errored timed-out   late   mean-ms second  share    cap\n",
         );
-        for ((build, stage, product), sum) in &self.by_key {
+        for ((build, stage, class), sum) in &self.by_key {
             let of = |part: u64| 100.0 * part as f64 / sum.count.max(1) as f64;
-            let share = self.shares.get(&(*build, *stage)).copied().unwrap_or_default();
-            let cap = if share.cap > 0 {
-                format!("{:.1}%", share.cap as f64 / MILLION * 100.0)
+            let share = self
+                .shares
+                .get(&(*build, *stage))
+                .copied()
+                .unwrap_or_default();
+            let exposure_limit = if share.exposure_limit > 0 {
+                format!("{:.1}%", share.exposure_limit as f64 / MILLION * 100.0)
             } else {
                 "-".into()
             };
@@ -205,7 +231,7 @@
             // Writing to a text cannot fail.
             let _ = writeln!(
                 text,
-                "{build:5} {stage:5} {product:12} {:11} {:6.1}% {:6.1}% {:8.1}% {:5.1}% {:9.1} {:6} {part:5.1}% {cap:>6}",
+                "{build:5} {stage:5} {class:12} {:11} {:6.1}% {:6.1}% {:8.1}% {:5.1}% {:9.1} {:6} {part:5.1}% {exposure_limit:>6}",
                 sum.count,
                 of(sum.served),
                 of(sum.errored),
@@ -218,8 +244,8 @@
         text.trim_end().to_string()
     }
 
-    /// Two charts under each other, as SVG: each release's share of submissions with its cap, and the part of its
-    /// submissions that was not served.
+    /// Two charts under each other, as SVG: each release's share of attempts with its cap, and the part of its
+    /// attempts that was not served.
     ///
     /// # Errors
     /// Says why nothing can be drawn.
@@ -233,18 +259,30 @@
         let builds: BTreeSet<u64> = self.by_time.keys().map(|k| k.1).collect();
         let mut sums: BTreeMap<(u64, u64), Sum> = BTreeMap::new();
         for ((at, build), sum) in &self.by_time {
-            sums.entry(((at - from) / width, *build)).or_default().add(sum);
+            sums.entry(((at - from) / width, *build))
+                .or_default()
+                .add(sum);
         }
         let mut caps: BTreeMap<(u64, u64), u64> = BTreeMap::new();
         for ((at, build), share) in &self.share_of {
-            caps.insert((at.saturating_sub(*from) / width, *build), share.cap);
+            caps.insert(
+                (at.saturating_sub(*from) / width, *build),
+                share.exposure_limit,
+            );
         }
         let second = |bin: u64| (bin * width) as f64 / 1000.0;
         let bins: BTreeSet<u64> = sums.keys().map(|k| k.0).collect();
-        let all = |bin: u64| sums.range((bin, 0)..=(bin, u64::MAX)).map(|(_, s)| s.count).sum::<u64>();
+        let all = |bin: u64| {
+            sums.range((bin, 0)..=(bin, u64::MAX))
+                .map(|(_, s)| s.count)
+                .sum::<u64>()
+        };
         let line = |build: u64, of: &dyn Fn(u64, Sum) -> Option<f64>| -> Vec<(f64, f64)> {
             let point = |bin: &u64| {
-                Some((second(*bin), of(*bin, sums.get(&(*bin, build)).copied().unwrap_or_default())?))
+                Some((
+                    second(*bin),
+                    of(*bin, sums.get(&(*bin, build)).copied().unwrap_or_default())?,
+                ))
             };
             bins.iter().filter_map(point).collect()
         };
@@ -272,11 +310,14 @@
                 for (at, build) in builds.iter().enumerate() {
                     let color = Palette99::pick(at).to_rgba();
                     let points = if std::ptr::eq(area, &upper) {
-                        let capped = bins
-                            .iter()
-                            .filter_map(|b| Some((second(*b), *caps.get(&(*b, *build))? as f64 / MILLION)));
-                        chart.draw_series(LineSeries::new(capped, color.mix(0.5).stroke_width(1)))?;
-                        line(*build, &|bin, sum| Some(sum.count as f64 / all(bin).max(1) as f64))
+                        let capped = bins.iter().filter_map(|b| {
+                            Some((second(*b), *caps.get(&(*b, *build))? as f64 / MILLION))
+                        });
+                        chart
+                            .draw_series(LineSeries::new(capped, color.mix(0.5).stroke_width(1)))?;
+                        line(*build, &|bin, sum| {
+                            Some(sum.count as f64 / all(bin).max(1) as f64)
+                        })
                     } else {
                         line(*build, &|_, sum| {
                             (sum.count > 0).then(|| 1.0 - sum.served as f64 / sum.count as f64)
@@ -285,7 +326,9 @@
                     chart
                         .draw_series(LineSeries::new(points, color.stroke_width(3)))?
                         .label(format!("build {build}"))
-                        .legend(move |(x, y)| PathElement::new([(x, y), (x + 18, y)], color.stroke_width(3)));
+                        .legend(move |(x, y)| {
+                            PathElement::new([(x, y), (x + 18, y)], color.stroke_width(3))
+                        });
                 }
                 chart
                     .configure_series_labels()
--- a/crates/gateway/src/cli/keys.rs
+++ b/crates/gateway/src/cli/keys.rs
@@ -15,7 +15,10 @@
 
 fn valid_for(days: u32) -> (SystemTime, SystemTime) {
     let now = SystemTime::now();
-    (now - BEFORE, now + Duration::from_secs(u64::from(days) * 86_400))
+    (
+        now - BEFORE,
+        now + Duration::from_secs(u64::from(days) * 86_400),
+    )
 }
 
 /// Writes a new file; one that stands there stays as it is.
@@ -23,11 +26,16 @@
     let mut options = fs::OpenOptions::new();
     let file = options.write(true).create_new(true).mode(mode).open(path);
     let wrong = |e: std::io::Error| format!("{}: {e}", path.display());
-    file.map_err(wrong)?.write_all(text.as_bytes()).map_err(wrong)
+    file.map_err(wrong)?
+        .write_all(text.as_bytes())
+        .map_err(wrong)
 }
 
 fn write_pair(folder: &Path, name: &str, pair: &Pair) -> Result<Vec<PathBuf>, String> {
-    let paths = [folder.join(format!("{name}.pem")), folder.join(format!("{name}.key"))];
+    let paths = [
+        folder.join(format!("{name}.pem")),
+        folder.join(format!("{name}.key")),
+    ];
     // The key first: without it the certificate is of no use.
     write(&paths[1], &pair.key, 0o600)?;
     write(&paths[0], &pair.certificate, 0o644)?;
@@ -35,14 +43,22 @@
 }
 
 fn said(paths: &[PathBuf]) -> String {
-    paths.iter().map(|p| p.display().to_string()).collect::<Vec<_>>().join("\n")
+    paths
+        .iter()
+        .map(|p| p.display().to_string())
+        .collect::<Vec<_>>()
+        .join("\n")
 }
 
 /// Makes an authority in the folder. Gives back the files written, a line each.
 pub fn make_authority(folder: &Path, name: &str, days: u32) -> Result<String, String> {
     fs::create_dir_all(folder).map_err(|e| format!("{}: {e}", folder.display()))?;
     let (from, until) = valid_for(days);
-    Ok(said(&write_pair(folder, AUTHORITY, &authority(name, from, until)?)?))
+    Ok(said(&write_pair(
+        folder,
+        AUTHORITY,
+        &authority(name, from, until)?,
+    )?))
 }
 
 /// Issues a certificate to each gateway, named `SITE/GATEWAY`, by the folder's authority.
@@ -51,13 +67,20 @@
         let path = folder.join(format!("{AUTHORITY}.{ending}"));
         fs::read_to_string(&path).map_err(|e| format!("{}: {e}", path.display()))
     };
-    let by = Pair { certificate: read("pem")?, key: read("key")? };
+    let by = Pair {
+        certificate: read("pem")?,
+        key: read("key")?,
+    };
     let (from, until) = valid_for(days);
     let mut written = Vec::new();
     for gateway in gateways {
-        let (site, name) =
-            gateway.split_once('/').ok_or_else(|| format!("'{gateway}' is not SITE/GATEWAY"))?;
-        let party = Party { site: site.into(), gateway: name.into() };
+        let (site, name) = gateway
+            .split_once('/')
+            .ok_or_else(|| format!("'{gateway}' is not SITE/GATEWAY"))?;
+        let party = Party {
+            site: site.into(),
+            gateway: name.into(),
+        };
         let pair = issue(&by, &party, from, until)?;
         written.extend(write_pair(folder, &format!("{site}-{name}"), &pair)?);
     }
@@ -68,5 +91,7 @@
 pub fn show_file(path: &Path) -> Result<String, String> {
     let wrong = |e: &dyn std::fmt::Display| format!("{}: {e}", path.display());
     let pem = fs::read(path).map_err(|e| wrong(&e))?;
-    show(&pem, SystemTime::now()).map(|text| text.trim_end().to_string()).map_err(|e| wrong(&e))
+    show(&pem, SystemTime::now())
+        .map(|text| text.trim_end().to_string())
+        .map_err(|e| wrong(&e))
 }
--- a/crates/gateway/src/config/extensions.rs
+++ b/crates/gateway/src/config/extensions.rs
@@ -5,7 +5,7 @@
 
 use harrierdock_site_messages::Party;
 use harrierdock_site_transport::{keys, Credentials};
-use harrierdock_types::time::Span;
+use harrierdock_types::TimeDelta;
 use schemars::JsonSchema;
 use serde::Deserialize;
 
@@ -16,7 +16,7 @@
 #[derive(Clone, Debug, Default, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct With {
-    /// Another site that txns may cross to.
+    /// Another site that requests may cross to.
     pub sites: Option<Between>,
     /// Flow export.
     pub flows: Option<FlowsTold>,
@@ -43,7 +43,7 @@
     pub keys: KeyFiles,
     /// A Unix socket for `harrierdock site`.
     pub control: Option<PathBuf>,
-    /// Referenced products whose repeats one group of servers drops across both sites.
+    /// Referenced request classes whose repeats one group of endpoints drops across both sites.
     #[serde(default)]
     pub groups_spanning: Vec<String>,
 }
@@ -74,7 +74,7 @@
     pub key: PathBuf,
 }
 
-/// Flow export: sums by release, stage, product, outcome and road.
+/// Flow export: sums by release, stage, request class, outcome and road.
 #[derive(Clone, Debug, PartialEq, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct FlowsTold {
@@ -160,14 +160,17 @@
 const OCTETS: std::ops::RangeInclusive<usize> = 512..=65_000;
 
 impl FlowsTold {
-    pub fn active(&self) -> Span {
-        Span(i64::from(self.active_ms) * 1000)
+    pub fn active(&self) -> TimeDelta {
+        TimeDelta(i64::from(self.active_ms) * 1000)
     }
 
     fn check(&self) -> Result<(), String> {
         let field = |field: &str, e: &str| Err(format!("flows.{field}: {e}"));
         if self.active_ms < ACTIVE_LEAST {
-            return field("active_ms", &format!("{} is less than {ACTIVE_LEAST}", self.active_ms));
+            return field(
+                "active_ms",
+                &format!("{} is less than {ACTIVE_LEAST}", self.active_ms),
+            );
         }
         if self.collectors.len() > COLLECTORS_MOST {
             return field("collectors", &format!("more than {COLLECTORS_MOST}"));
@@ -181,10 +184,16 @@
                 return field(&here("keys"), "are for the road tls, which needs them");
             }
             if told.form == FlowForm::V9 && told.road != CollectorRoad::Udp {
-                return field(&here("form"), "v9 has no lengths of messages, so its road is udp");
+                return field(
+                    &here("form"),
+                    "v9 has no lengths of messages, so its road is udp",
+                );
             }
             if told.octets_a_second < OCTETS_LEAST {
-                return field(&here("octets_a_second"), &format!("is {OCTETS_LEAST} at the least"));
+                return field(
+                    &here("octets_a_second"),
+                    &format!("is {OCTETS_LEAST} at the least"),
+                );
             }
             if told.message_octets.is_some_and(|o| !OCTETS.contains(&o)) {
                 return field(&here("message_octets"), "is from 512 to 65000");
@@ -200,7 +209,9 @@
     /// # Errors
     /// One line with the file, the field and the reason.
     pub fn read(path: Option<&Path>) -> Result<With, String> {
-        let Some(path) = path else { return Ok(With::default()) };
+        let Some(path) = path else {
+            return Ok(With::default());
+        };
         let wrong = |e: &dyn std::fmt::Display| format!("{}: {e}", path.display());
         let text = std::fs::read_to_string(path).map_err(|e| wrong(&e))?;
         let mut reader = serde_json::Deserializer::from_str(&text);
@@ -214,7 +225,7 @@
     ///
     /// # Errors
     /// The field and the reason, in one line.
-    pub fn check(&self, name: &str, products: &[&str]) -> Result<(), String> {
+    pub fn check(&self, name: &str, classes: &[&str]) -> Result<(), String> {
         if let Some(flows) = &self.flows {
             flows.check()?;
             for told in &flows.collectors {
@@ -223,23 +234,39 @@
                 }
             }
         }
-        let Some(sites) = &self.sites else { return Ok(()) };
+        let Some(sites) = &self.sites else {
+            return Ok(());
+        };
         let own = sites.own(name);
         let field = |field: &str, e: String| format!("sites.{field}: {e}");
         keys::label(&own.site).map_err(|e| field("site", e))?;
         keys::label(&own.gateway).map_err(|e| field("gateway", e))?;
         keys::label(&sites.other.site).map_err(|e| field("other.site", e))?;
         if sites.other.site == own.site {
-            return Err(field("other.site", format!("'{}' is this site's own name", own.site)));
+            return Err(field(
+                "other.site",
+                format!("'{}' is this site's own name", own.site),
+            ));
         }
         if sites.other.gateways.is_empty() {
-            return Err(field("other.gateways", "names none, and one at least is needed to begin".into()));
+            return Err(field(
+                "other.gateways",
+                "names none, and one at least is needed to begin".into(),
+            ));
         }
         for (at, told) in sites.other.gateways.iter().enumerate() {
-            keys::label(&told.gateway).map_err(|e| field(&format!("other.gateways[{at}].gateway"), e))?;
+            keys::label(&told.gateway)
+                .map_err(|e| field(&format!("other.gateways[{at}].gateway"), e))?;
         }
-        if let Some(odd) = sites.groups_spanning.iter().find(|p| !products.contains(&p.as_str())) {
-            return Err(field("groups_spanning", format!("'{odd}' is no product of the configuration")));
+        if let Some(odd) = sites
+            .groups_spanning
+            .iter()
+            .find(|p| !classes.contains(&p.as_str()))
+        {
+            return Err(field(
+                "groups_spanning",
+                format!("'{odd}' is no product of the configuration"),
+            ));
         }
         self.credentials(&own).map(|_| ())
     }
@@ -251,14 +278,19 @@
 
     /// What is wrong with what it tells of a fleet beside the configuration.
     pub fn check_fleet(&self, beside: &Beside) -> Result<(), FleetMisfit> {
-        self.fleet.as_ref().map_or(Ok(()), |f| f.terms(beside).map(|_| ()))
+        self.fleet
+            .as_ref()
+            .map_or(Ok(()), |f| f.terms(beside).map(|_| ()))
     }
 
     /// Descriptors to keep aside: the link's socket, the control socket and its callers; collectors and a file;
     /// the steward's calls.
     pub fn descriptors(&self) -> usize {
         let sites = if self.sites.is_some() { 6 } else { 0 };
-        let flows = self.flows.as_ref().map_or(0, |f| f.collectors.len() + usize::from(f.file.is_some()));
+        let flows = self
+            .flows
+            .as_ref()
+            .map_or(0, |f| f.collectors.len() + usize::from(f.file.is_some()));
         // The steward's call, and one before it that is being closed.
         let fleet = if self.fleet.is_some() { 2 } else { 0 };
         sites + flows + fleet
@@ -274,9 +306,13 @@
     /// # Errors
     /// The field and the reason, in one line.
     pub fn credentials(&self, own: &Party) -> Result<Credentials, String> {
-        let credentials = self.read_keys(&self.sites.as_ref().ok_or("no sites")?.keys, "sites.keys")?;
+        let credentials =
+            self.read_keys(&self.sites.as_ref().ok_or("no sites")?.keys, "sites.keys")?;
         if credentials.party != *own {
-            return Err(format!("sites.keys.certificate: names {}, not {own}", credentials.party));
+            return Err(format!(
+                "sites.keys.certificate: names {}, not {own}",
+                credentials.party
+            ));
         }
         Ok(credentials)
     }
@@ -290,8 +326,10 @@
             let path = self.path(file);
             std::fs::read(&path).map_err(|e| format!("{of}.{field}: {}: {e}", path.display()))
         };
-        let (authority, certificate) =
-            (read("authority", &files.authority)?, read("certificate", &files.certificate)?);
+        let (authority, certificate) = (
+            read("authority", &files.authority)?,
+            read("certificate", &files.certificate)?,
+        );
         let key = read("key", &files.key)?;
         Credentials::read(&authority, &certificate, &key).map_err(|e| format!("{of}.{e}"))
     }
@@ -299,13 +337,23 @@
 
 impl Between {
     pub fn own(&self, name: &str) -> Party {
-        Party { site: self.site.clone(), gateway: self.gateway.clone().unwrap_or_else(|| name.into()) }
+        Party {
+            site: self.site.clone(),
+            gateway: self.gateway.clone().unwrap_or_else(|| name.into()),
+        }
     }
 
     pub fn seeds(&self) -> Vec<(Party, SocketAddr)> {
         let site = &self.other.site;
-        let seed =
-            |told: &GatewayTold| (Party { site: site.clone(), gateway: told.gateway.clone() }, told.address);
+        let seed = |told: &GatewayTold| {
+            (
+                Party {
+                    site: site.clone(),
+                    gateway: told.gateway.clone(),
+                },
+                told.address,
+            )
+        };
         self.other.gateways.iter().map(seed).collect()
     }
 }
--- a/crates/gateway/src/config/gateway.rs
+++ b/crates/gateway/src/config/gateway.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 
 use harrierdock_config::Names;
-use harrierdock_types::interface::Terms;
+use harrierdock_types::Parameters;
 use serde::Deserialize;
 use serde_json::{Map, Value};
 
@@ -45,7 +45,10 @@
 impl Default for LimitsTold {
     /// The least that a scored day grants.
     fn default() -> LimitsTold {
-        LimitsTold { memory_mb: 192, sockets: 1024 }
+        LimitsTold {
+            memory_mb: 192,
+            sockets: 1024,
+        }
     }
 }
 
@@ -59,7 +62,9 @@
     /// Reads the configuration at `path`, or at `LB_CONFIG`; the variables of the environment come first.
     pub fn read(path: Option<PathBuf>) -> Result<Told, String> {
         let named = || std::env::var_os("LB_CONFIG").map(PathBuf::from);
-        let path = path.or_else(named).ok_or("no configuration: LB_CONFIG is not set")?;
+        let path = path
+            .or_else(named)
+            .ok_or("no configuration: LB_CONFIG is not set")?;
         Told::parse(&path, |fields, field, value| {
             fields.insert(field.into(), value);
         })
@@ -73,29 +78,42 @@
         })
     }
 
-    fn parse(path: &Path, set: impl Fn(&mut Map<String, Value>, &str, Value)) -> Result<Told, String> {
+    fn parse(
+        path: &Path,
+        set: impl Fn(&mut Map<String, Value>, &str, Value),
+    ) -> Result<Told, String> {
         let wrong = |e: &dyn std::fmt::Display| format!("{}: {e}", path.display());
         let text = std::fs::read_to_string(path).map_err(|e| wrong(&e))?;
         let mut value: Value = serde_json::from_str(&text).map_err(|e| wrong(&e))?;
-        let fields = value.as_object_mut().ok_or_else(|| wrong(&"not an object"))?;
-        for (variable, field) in [("LB_NAME", "name"), ("LB_LISTEN", "listen"), ("LB_DISCOVERY", "discovery")]
-        {
+        let fields = value
+            .as_object_mut()
+            .ok_or_else(|| wrong(&"not an object"))?;
+        for (variable, field) in [
+            ("LB_NAME", "name"),
+            ("LB_LISTEN", "listen"),
+            ("LB_DISCOVERY", "discovery"),
+        ] {
             if let Ok(value) = std::env::var(variable) {
                 set(fields, field, value.into());
             }
         }
         let told: Told = serde_path_to_error::deserialize(value).map_err(|e| wrong(&e))?;
-        let told = Told { path: path.into(), ..told };
+        let told = Told {
+            path: path.into(),
+            ..told
+        };
         told.terms().map(|_| told)
     }
 
-    pub fn terms(&self) -> Result<(Terms, Names), String> {
-        harrierdock_config::read(&self.settings).map_err(|e| format!("{}: settings.{e}", self.path.display()))
+    pub fn terms(&self) -> Result<(Parameters, Names), String> {
+        harrierdock_config::read(&self.settings)
+            .map_err(|e| format!("{}: settings.{e}", self.path.display()))
     }
 
     /// The seed as a number; one that is not hexadecimal still gives a number of its own.
     pub fn seed(&self) -> u64 {
-        u64::from_str_radix(&self.seed, 16).unwrap_or_else(|_| harrierdock_config::hash(&self.seed))
+        u64::from_str_radix(&self.seed, 16)
+            .unwrap_or_else(|_| harrierdock_config::fnv1a(&self.seed))
     }
 
     /// What the configuration and the file beside it hold, in a line each.
@@ -106,7 +124,10 @@
         if let Some(sites) = &held.sites {
             let (own, other) = (sites.own(&self.name), &sites.other);
             let many = other.gateways.len();
-            lines.push(format!("{own} links on {} with {many} of {}", sites.listen, other.site));
+            lines.push(format!(
+                "{own} links on {} with {many} of {}",
+                sites.listen, other.site
+            ));
         }
         lines.extend(held.fleet.as_ref().map(|f| f.summary(&self.name)));
         Ok(lines.join("\n"))
@@ -115,17 +136,24 @@
     /// Refuses a file that does not go with the configuration.
     pub fn check_with(&self, path: Option<&Path>, with: &With) -> Result<(), String> {
         let (_, names) = self.terms()?;
-        let products: Vec<&str> = names.products.iter().map(String::as_str).collect();
+        let classes: Vec<&str> = names.classes.iter().collect();
         let file = path.map_or(String::new(), |p| format!("{}: ", p.display()));
         let fleet = with.check_fleet(&self.beside()?).map_err(|e| e.to_string());
-        fleet.and_then(|()| with.check(&self.name, &products)).map_err(|e| format!("{file}{e}"))
+        fleet
+            .and_then(|()| with.check(&self.name, &classes))
+            .map_err(|e| format!("{file}{e}"))
     }
 
     /// The configuration's side of what a fleet is told.
     pub fn beside(&self) -> Result<Beside<'_>, String> {
-        let ordinal = self.terms()?.0.ordinal;
+        let ordinal = self.terms()?.0.local_peer.0;
         let (peers, hears) = (self.peers.len(), self.peer_listen.is_some());
-        Ok(Beside { name: &self.name, ordinal, peers, hears })
+        Ok(Beside {
+            name: &self.name,
+            ordinal,
+            peers,
+            hears,
+        })
     }
 
     /// What the configuration holds, in one line.
@@ -137,9 +165,9 @@
             self.listen,
             self.discovery,
             self.rollouts.as_ref().map_or("none".into(), |r| format!("at {}", r.address)),
-            terms.ordinal,
-            terms.balancers,
-            names.products.iter().map(String::as_str).collect::<Vec<_>>().join(" "),
+            terms.local_peer,
+            terms.gateway_count,
+            names.classes.iter().collect::<Vec<_>>().join(" "),
             self.limits.memory_mb,
             self.limits.sockets,
         ))
--- a/crates/gateway/src/config/lease.rs
+++ b/crates/gateway/src/config/lease.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use harrierdock_lease::{form, Duty, Electorate, Misfit, Terms};
-use harrierdock_types::time::Span;
+use harrierdock_types::TimeDelta;
 use schemars::JsonSchema;
 use serde::Deserialize;
 use thiserror::Error;
@@ -112,16 +112,28 @@
     #[error(
         "fleet.gateways: {own} is at place {place}, the configuration's ordinal is {ordinal}: put them in one order"
     )]
-    Place { own: String, place: usize, ordinal: usize },
-    #[error("fleet: the configuration has no `peer_listen`, on which gateways hear each other: add it")]
+    Place {
+        own: String,
+        place: usize,
+        ordinal: usize,
+    },
+    #[error(
+        "fleet: the configuration has no `peer_listen`, on which gateways hear each other: add it"
+    )]
     NoRoad,
-    #[error("fleet.steward: is missing, and the duty `steward` needs it: add it, or take the duty away")]
+    #[error(
+        "fleet.steward: is missing, and the duty `steward` needs it: add it, or take the duty away"
+    )]
     NoInstallation,
-    #[error("fleet.steward: is there without the duty: add `steward` to `duties`, or take it away")]
+    #[error(
+        "fleet.steward: is there without the duty: add `steward` to `duties`, or take it away"
+    )]
     NoDuty,
     #[error("fleet.steward.{field}: {part} is no part from 0 to below 1: tell one such as 0.5")]
     Part { field: &'static str, part: f64 },
-    #[error("fleet.steward.bound_ms: {bound} is shorter than the lease of {lease} ms: lengthen it")]
+    #[error(
+        "fleet.steward.bound_ms: {bound} is shorter than the lease of {lease} ms: lengthen it"
+    )]
     Bound { bound: u32, lease: u32 },
     #[error("fleet.rehearsal.clock_rate: {rate} is not from 0.5 to 2: leave it out, but for a rehearsal")]
     Rate { rate: f64 },
@@ -129,7 +141,9 @@
 
 fn field(misfit: &Misfit) -> &'static str {
     match misfit {
-        Misfit::OwnUnknown { .. } | Misfit::NameTwice { .. } | Misfit::NamesAlike { .. } => "gateways",
+        Misfit::OwnUnknown { .. } | Misfit::NameTwice { .. } | Misfit::NamesAlike { .. } => {
+            "gateways"
+        }
         Misfit::TooFewElectors { .. }
         | Misfit::TooManyElectors { .. }
         | Misfit::ElectorUnknown { .. }
@@ -138,14 +152,21 @@
         Misfit::HeartbeatOutOfRange { .. } => "heartbeat_ms",
         Misfit::DriftOutOfRange { .. } => "drift",
         Misfit::LongestTooShort { .. } => "longest_lease_ms",
-        Misfit::UnknownDuty { .. } | Misfit::DutyTwice { .. } | Misfit::TooManyDuties { .. } => "duties",
-        Misfit::NotTheNext { .. } | Misfit::NotByOne { .. } | Misfit::TooSoon { .. } => "electorate_number",
+        Misfit::UnknownDuty { .. } | Misfit::DutyTwice { .. } | Misfit::TooManyDuties { .. } => {
+            "duties"
+        }
+        Misfit::NotTheNext { .. } | Misfit::NotByOne { .. } | Misfit::TooSoon { .. } => {
+            "electorate_number"
+        }
     }
 }
 
 impl FleetMisfit {
     pub fn of(misfit: Misfit) -> FleetMisfit {
-        FleetMisfit::Terms { field: field(&misfit), misfit }
+        FleetMisfit::Terms {
+            field: field(&misfit),
+            misfit,
+        }
     }
 }
 
@@ -157,8 +178,8 @@
     pub hears: bool,
 }
 
-fn ms(ms: u32) -> Span {
-    Span(i64::from(ms) * 1000)
+fn ms(ms: u32) -> TimeDelta {
+    TimeDelta(i64::from(ms) * 1000)
 }
 
 impl FleetTold {
@@ -186,11 +207,18 @@
             return Err(FleetMisfit::NoRoad);
         }
         if self.gateways.len() != beside.peers {
-            return Err(FleetMisfit::Peers { names: self.gateways.len(), peers: beside.peers });
+            return Err(FleetMisfit::Peers {
+                names: self.gateways.len(),
+                peers: beside.peers,
+            });
         }
         if terms.own != beside.ordinal {
             let (own, place, ordinal) = (beside.name.to_string(), terms.own, beside.ordinal);
-            return Err(FleetMisfit::Place { own, place, ordinal });
+            return Err(FleetMisfit::Place {
+                own,
+                place,
+                ordinal,
+            });
         }
         match (&self.steward, terms.duties.contains(&Duty::Steward)) {
             (None, true) => return Err(FleetMisfit::NoInstallation),
@@ -198,12 +226,18 @@
             _ => {}
         }
         if let Some(steward) = &self.steward {
-            let parts = [("on_votes", steward.on_votes), ("back_votes", steward.back_votes)];
+            let parts = [
+                ("on_votes", steward.on_votes),
+                ("back_votes", steward.back_votes),
+            ];
             if let Some((field, part)) = parts.into_iter().find(|(_, p)| !(0.0..1.0).contains(p)) {
                 return Err(FleetMisfit::Part { field, part });
             }
             if steward.bound_ms < self.lease_ms {
-                return Err(FleetMisfit::Bound { bound: steward.bound_ms, lease: self.lease_ms });
+                return Err(FleetMisfit::Bound {
+                    bound: steward.bound_ms,
+                    lease: self.lease_ms,
+                });
             }
         }
         let rate = self.rehearsal.as_ref().map_or(1.0, |r| r.clock_rate);
@@ -223,8 +257,11 @@
 
     /// The same but for the electorate, which may change while running.
     pub fn differs_beyond_electorate(&self, other: &FleetTold) -> bool {
-        let plain =
-            |told: &FleetTold| FleetTold { electorate: Vec::new(), electorate_number: 0, ..told.clone() };
+        let plain = |told: &FleetTold| FleetTold {
+            electorate: Vec::new(),
+            electorate_number: 0,
+            ..told.clone()
+        };
         plain(self) != plain(other)
     }
 
--- a/crates/gateway/src/control_plane/discovery.rs
+++ b/crates/gateway/src/control_plane/discovery.rs
@@ -1,24 +1,26 @@
-//! Discovery: a watch of the list of servers, from the version held on.
+//! Discovery: a watch of the list of endpoints, from the version held on.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
 use calloop::Readiness;
-use harrierdock_attempt_guard::{Backoff, Freshness, TOLD_ANYWAY};
-use harrierdock_config::{mark, Names};
-use harrierdock_event_loop::{Asking, Clock, Feed, Heard};
-use harrierdock_http::BODY_MOST;
-use harrierdock_types::interface::{Event, Lifecycle, Listed, Scope, ServerIx, Terms};
-use harrierdock_types::time::{Point, Span};
+use harrierdock_attempt_guard::{Backoff, ListFreshness, NOTIFICATION_DEADLINE};
+use harrierdock_config::{gossip_id, Names};
+use harrierdock_event_loop::{Clock, LineStream, ResponseMode, StreamEvent};
+use harrierdock_http::MAX_BODY_BYTES;
+use harrierdock_types::{
+    BuildId, EndpointId, EndpointRecord, Event, Lifecycle, Parameters, UpdateKind,
+};
+use harrierdock_types::{TimeDelta, Timestamp};
 use serde::Deserialize;
 
 use crate::metrics::Count;
 use crate::runtime::context::{Notice, Room};
 use crate::runtime::gateway::Gateway;
-use crate::upstream::{Machine, Servers};
+use crate::upstream::{Machine, Upstream};
 
 /// A stream in order says something, if only an empty line, this often.
-const SIGN_OF_LIFE: Span = Span(2_000_000);
+const SIGN_OF_LIFE: TimeDelta = TimeDelta(2_000_000);
 /// Signs of life that may be missed before a stream counts as silent.
 const MISSED: f64 = 2.5;
 
@@ -64,48 +66,54 @@
 }
 
 impl MemberTold {
-    fn listed(&self, names: &mut Names, clock: &Clock, now: Point) -> Listed {
-        Listed {
-            build: self.revision_no,
-            server: names.servers.number(&self.id),
-            zone: names.zones.insert_full(self.locality.clone()).0,
-            model: names.models.insert_full(self.flavor.clone()).0,
+    fn listed(&self, names: &mut Names, clock: &Clock, now: Timestamp) -> EndpointRecord {
+        EndpointRecord {
+            build: BuildId(self.revision_no),
+            endpoint: names.endpoints.get_or_assign(&self.id),
+            zone: names.get_or_assign_zone(&self.locality),
+            model: names.get_or_assign_model(&self.flavor),
             cell: self.cell,
             lifecycle: match self.phase {
                 PhaseTold::Ready => Lifecycle::Ready,
                 PhaseTold::Draining => Lifecycle::Draining,
-                PhaseTold::Gone => Lifecycle::Gone,
+                PhaseTold::Gone => Lifecycle::Removed,
             },
             weight: self.size,
             // The start is one point however often it is told, so the module sees one start.
             age: (self.up_since_ms > 0).then(|| now - clock.at_unix_ms(self.up_since_ms)),
-            mark: mark(&self.id),
+            gossip_id: gossip_id(&self.id),
         }
     }
 }
 
 pub struct Discovery {
-    feed: Feed,
+    feed: LineStream,
     revision: Option<i64>,
-    pause: Span,
+    pause: TimeDelta,
     /// Where discovery is one for all gateways.
     backoff: Option<Backoff>,
-    freshness: Freshness,
+    freshness: ListFreshness,
     stale: bool,
     /// From when on it may be opened again.
-    again: Point,
+    again: Timestamp,
     /// When it was opened last, whether anything has been said since, and whether it works.
-    opened: Point,
+    opened: Timestamp,
     said: bool,
     worked: bool,
     /// The lines so far of a list that is written over several, and when its first came.
     part: Vec<u8>,
-    begun: Option<Point>,
+    begun: Option<Timestamp>,
 }
 
 fn on_ready(gateway: &mut Gateway, readiness: Readiness) {
-    let Gateway { room, discovery, driver, servers, .. } = gateway;
-    for heard in discovery.feed.serve(room, readiness) {
+    let Gateway {
+        room,
+        discovery,
+        driver,
+        servers,
+        ..
+    } = gateway;
+    for heard in discovery.feed.handle_readiness(room, readiness) {
         if !discovery.hear(room, &mut driver.names, servers, heard) {
             break;
         }
@@ -116,13 +124,19 @@
 
 impl Discovery {
     /// `pause`: how often it is looked after, and how long its connection may take to come up.
-    pub fn new(now: Point, address: SocketAddr, pause: Span, terms: &Terms, seed: u64) -> Discovery {
-        // Guards what is told anyway, whatever is told of servers' connections: there is time for a look, for a
+    pub fn new(
+        now: Timestamp,
+        address: SocketAddr,
+        pause: TimeDelta,
+        terms: &Parameters,
+        seed: u64,
+    ) -> Discovery {
+        // Guards what is told anyway, whatever is told of endpoints' connections: there is time for a look, for a
         // connection that does not come up, and for the next one.
-        let silence = (SIGN_OF_LIFE * MISSED).min(TOLD_ANYWAY - pause * 3.0);
-        let feed = Feed::new("discovery", address, silence);
+        let silence = (SIGN_OF_LIFE * MISSED).min(NOTIFICATION_DEADLINE - pause * 3.0);
+        let feed = LineStream::new("discovery", address, silence);
         let backoff = Backoff::of_discovery(terms, pause, seed);
-        let (freshness, revision) = (Freshness::new(terms, now), None);
+        let (freshness, revision) = (ListFreshness::new(terms, now), None);
         let (again, opened, part, begun) = (now, now, Vec::new(), None);
         let (said, worked) = (false, false);
         let stale = false;
@@ -143,18 +157,24 @@
     }
 
     /// Whether the list held may not be acted on any more.
-    pub fn is_stale(&self, now: Point) -> bool {
+    pub fn is_stale(&self, now: Timestamp) -> bool {
         self.freshness.is_stale(now)
     }
 
     /// The list as this gateway had it last.
-    pub fn recall(&mut self, room: &mut Room, names: &mut Names, servers: &mut Servers, list: &ListTold) {
+    pub fn recall(
+        &mut self,
+        room: &mut Room,
+        names: &mut Names,
+        servers: &mut Upstream,
+        list: &ListTold,
+    ) {
         if !list.members.is_empty() {
             self.revision = Some(list.revision);
             // The list kept serves meanwhile.
             let spread = self.backoff.as_mut().map(|backoff| backoff.spread());
             self.again = self.again + spread.unwrap_or_default();
-            self.apply(room, names, servers, list, Scope::Kept);
+            self.apply(room, names, servers, list, UpdateKind::Cached);
         }
     }
 
@@ -168,25 +188,29 @@
         (self.begun, self.opened) = (None, room.now());
         (self.said, self.worked) = (false, false);
         match self.revision {
-            Some(revision) => self.feed.open(room, &watch(revision), Asking::Lines, on_ready),
-            None => self.feed.open(room, "/v1/endpoints", Asking::Once, on_ready),
+            Some(revision) => self
+                .feed
+                .open(room, &watch(revision), ResponseMode::Lines, on_ready),
+            None => self
+                .feed
+                .open(room, "/v1/endpoints", ResponseMode::Single, on_ready),
         }
     }
 
     /// A reload has told another address: it is asked at once for what follows the version held.
     pub fn turn_to(&mut self, room: &mut Room, address: SocketAddr) {
-        if self.feed.turn_to(room, address) {
-            self.backoff.iter_mut().for_each(Backoff::worked);
+        if self.feed.set_address(room, address) {
+            self.backoff.iter_mut().for_each(Backoff::reset);
             self.open(room);
         }
     }
 
     /// What was opened last has ended. Guards against a discovery that is asked by hundreds: one that has brought
     /// nothing is asked again later and later.
-    fn back_off(&mut self, now: Point) {
+    fn back_off(&mut self, now: Timestamp) {
         let worked = std::mem::take(&mut self.worked);
         self.again = match &mut self.backoff {
-            Some(backoff) if !worked => now + backoff.failed(now - self.opened),
+            Some(backoff) if !worked => now + backoff.next_wait(now - self.opened),
             Some(backoff) => now + backoff.spread(),
             None => self.opened + self.pause,
         };
@@ -195,11 +219,11 @@
     /// Something has come, or the watch has been looked at. Guards against taking the first words of a call for its
     /// success: one that fails late has said that nothing has changed before. A watch that has told a list, or has stood
     /// for longer than a call may wait, works.
-    fn stands(&mut self, now: Point) {
-        self.worked |= Freshness::works(self.opened, now);
+    fn stands(&mut self, now: Timestamp) {
+        self.worked |= ListFreshness::has_succeeded(self.opened, now);
         if self.worked {
             self.freshness.confirm(now);
-            self.backoff.iter_mut().for_each(Backoff::worked);
+            self.backoff.iter_mut().for_each(Backoff::reset);
         }
     }
 
@@ -207,7 +231,11 @@
         let now = room.now();
         let stale = self.is_stale(now);
         if stale != std::mem::replace(&mut self.stale, stale) {
-            let what = if stale { "too old, nothing is sent by it" } else { "confirmed again" };
+            let what = if stale {
+                "too old, nothing is sent by it"
+            } else {
+                "confirmed again"
+            };
             tracing::warn!("discovery: the list held is {what}");
         }
         // Guards against a list that stops between two lines, while signs of life go on.
@@ -215,8 +243,8 @@
         // A whole list comes at once or not at all. Guards against a start that waits for the signs of life of a watch
         // where none is to come, as while discovery is down.
         let unanswered = !self.knows() && now - self.opened >= SIGN_OF_LIFE;
-        let is_open = self.feed.rests(now, Span::ZERO);
-        if stalled || unanswered && is_open || self.feed.is_silent(now, self.pause) {
+        let is_open = self.feed.is_open();
+        if stalled || unanswered && is_open || self.feed.is_unresponsive(now, self.pause) {
             self.renew(room);
         } else if !is_open && now >= self.again {
             self.open(room);
@@ -237,13 +265,19 @@
     }
 
     /// Takes in what discovery says. Gives back whether what was heard behind it still counts.
-    fn hear(&mut self, room: &mut Room, names: &mut Names, servers: &mut Servers, heard: Heard) -> bool {
+    fn hear(
+        &mut self,
+        room: &mut Room,
+        names: &mut Names,
+        servers: &mut Upstream,
+        heard: StreamEvent,
+    ) -> bool {
         let (text, once) = match heard {
-            Heard::Broken => {
+            StreamEvent::Disconnected => {
                 self.renew(room);
                 return false;
             }
-            Heard::Refused(status) => {
+            StreamEvent::Refused(status) => {
                 // Guards against asking for ever for what follows a version that discovery no longer knows. One that
                 // is full says nothing of the version, and a whole list would cost it more.
                 let full = status.is_none_or(|status| matches!(status, 408 | 425 | 429 | 500..));
@@ -251,19 +285,19 @@
                 self.revision = self.revision.filter(|_| full);
                 return true;
             }
-            Heard::Line(line) if line.is_empty() => {
+            StreamEvent::Line(line) if line.is_empty() => {
                 self.said = true;
                 self.stands(room.now());
                 return true;
             }
-            Heard::Line(text) => (text, false),
-            Heard::Once(text) => (text, true),
+            StreamEvent::Line(text) => (text, false),
+            StreamEvent::Response(text) => (text, true),
         };
         self.part.extend(text);
         let list: ListTold = match serde_json::from_slice(&self.part) {
             Ok(list) => list,
             // Guards against a list that is indented: each of its lines but the last is only a part of it.
-            Err(e) if e.is_eof() && !once && self.part.len() <= BODY_MOST => {
+            Err(e) if e.is_eof() && !once && self.part.len() <= MAX_BODY_BYTES => {
                 self.begun.get_or_insert(room.now());
                 return true;
             }
@@ -281,10 +315,15 @@
         (self.said, self.worked) = (true, self.worked || news);
         self.stands(room.now());
         self.revision = Some(list.revision);
-        let scope = if list.complete { Scope::Whole } else { Scope::Changes };
-        self.apply(room, names, servers, &list, scope);
+        let kind = if list.complete {
+            UpdateKind::Snapshot
+        } else {
+            UpdateKind::Delta
+        };
+        self.apply(room, names, servers, &list, kind);
         if once {
-            self.feed.ask(room, &watch(list.revision), Asking::Lines);
+            self.feed
+                .request(room, &watch(list.revision), ResponseMode::Lines);
         }
         true
     }
@@ -293,30 +332,48 @@
         &mut self,
         room: &mut Room,
         names: &mut Names,
-        servers: &mut Servers,
+        servers: &mut Upstream,
         list: &ListTold,
-        scope: Scope,
+        kind: UpdateKind,
     ) {
         room.counters.add(Count::Lists);
         let now = room.now();
         let mut lines = Vec::new();
-        let mut absent: BTreeSet<ServerIx> = match scope {
-            Scope::Changes => BTreeSet::new(),
-            _ => names.servers.numbers().collect(),
+        let mut absent: BTreeSet<EndpointId> = match kind {
+            UpdateKind::Delta => BTreeSet::new(),
+            _ => names.endpoints.ids().collect(),
         };
         for member in &list.members {
             let line = member.listed(names, &room.clock, now);
             let (address, up_since, build) = (member.host_port, member.up_since_ms, line.build);
-            let runs = line.lifecycle != Lifecycle::Gone;
-            servers.place(room, line.server, runs.then_some(Machine { address, up_since, build }));
-            absent.remove(&line.server);
+            let runs = line.lifecycle != Lifecycle::Removed;
+            servers.place(
+                room,
+                line.endpoint,
+                runs.then_some(Machine {
+                    address,
+                    up_since,
+                    build,
+                }),
+            );
+            absent.remove(&line.endpoint);
             lines.push(line);
         }
-        for server in absent {
-            servers.place(room, server, None);
+        for endpoint in absent {
+            servers.place(room, endpoint, None);
         }
-        tracing::debug!("discovery: list {} with {} lines", list.revision, lines.len());
-        room.inbox.push_back((now, Notice::Event(Event::Roster { scope, lines })));
+        tracing::debug!(
+            "discovery: list {} with {} lines",
+            list.revision,
+            lines.len()
+        );
+        room.inbox.push_back((
+            now,
+            Notice::Event(Event::EndpointsUpdated {
+                kind,
+                endpoints: lines,
+            }),
+        ));
     }
 }
 
--- a/crates/gateway/src/control_plane/rollout_platform.rs
+++ b/crates/gateway/src/control_plane/rollout_platform.rs
@@ -5,10 +5,15 @@
 
 use calloop::Readiness;
 use harrierdock_config::Names;
-use harrierdock_event_loop::{Asking, Connection, ConnectionNo, Feed, Filled, Flushed, Heard, Purse};
-use harrierdock_http::{write, AnswerHead, Intake, Progress};
-use harrierdock_types::interface::{Build, Event, Phase, StageNews, Verdict, Word};
-use harrierdock_types::time::{Point, Span};
+use harrierdock_event_loop::{
+    Connection, ConnectionId, LineStream, ReadResult, ResourceClass, ResponseMode, StreamEvent,
+    WriteResult,
+};
+use harrierdock_http::{write, MessageReader, Progress, ResponseHead};
+use harrierdock_types::{
+    BuildId, Event, PlatformStatus, RolloutDecision, RolloutPhase, RolloutUpdate,
+};
+use harrierdock_types::{TimeDelta, Timestamp};
 use serde::Deserialize;
 
 use crate::metrics::Count;
@@ -16,7 +21,7 @@
 use crate::runtime::gateway::Gateway;
 use crate::runtime::timer::Due;
 
-const SIGN_OF_LIFE: Span = Span(1_000_000);
+const SIGN_OF_LIFE: TimeDelta = TimeDelta(1_000_000);
 /// Signs of life that may be missed before a stream counts as silent.
 const MISSED: f64 = 2.5;
 
@@ -27,7 +32,7 @@
 /// How the newest build stands, as the platform writes it.
 #[derive(Clone, Copy, Debug, Deserialize)]
 pub struct NewsTold {
-    image: Build,
+    image: u32,
     ring: usize,
     progress: ProgressTold,
     ceiling: f64,
@@ -52,31 +57,33 @@
     Report {
         host: String,
         #[serde(rename = "type")]
-        product: String,
-        lag_ms: i64,
+        class: String,
+        /// Checked, and read by no decision.
+        #[serde(rename = "lag_ms")]
+        _lag_ms: i64,
     },
 }
 
 impl NewsTold {
     /// Later states of the newest build stand higher.
-    fn order(&self) -> (Build, ProgressTold, usize) {
+    fn order(&self) -> (u32, ProgressTold, usize) {
         (self.image, self.progress, self.ring)
     }
 
-    fn news(&self, word: Word, answers_vote: bool) -> StageNews {
-        StageNews {
-            build: self.image,
+    fn news(&self, status: PlatformStatus, answers_vote: bool) -> RolloutUpdate {
+        RolloutUpdate {
+            build: BuildId(self.image),
             stage: self.ring,
             phase: match self.progress {
-                ProgressTold::Trial => Phase::Trial,
-                ProgressTold::Released => Phase::Released,
-                ProgressTold::RollingBack => Phase::GoingBack,
-                ProgressTold::Withdrawn => Phase::Withdrawn,
+                ProgressTold::Trial => RolloutPhase::Canary,
+                ProgressTold::Released => RolloutPhase::Released,
+                ProgressTold::RollingBack => RolloutPhase::RollingBack,
+                ProgressTold::Withdrawn => RolloutPhase::RolledBack,
             },
-            cap: self.ceiling,
-            word,
+            exposure_limit: self.ceiling,
+            status,
             answers_vote,
-            age: Span(self.lag_ms.saturating_mul(1000)),
+            age: TimeDelta(self.lag_ms.saturating_mul(1000)),
         }
     }
 }
@@ -84,24 +91,29 @@
 /// A vote on its way.
 struct Call {
     connection: Connection,
-    intake: Intake,
+    reader: MessageReader,
     written: bool,
-    due: Point,
+    due: Timestamp,
 }
 
 pub struct Platform {
     address: SocketAddr,
-    feed: Feed,
-    calls: BTreeMap<ConnectionNo, Call>,
-    newest: Option<(NewsTold, Point)>,
-    wait: Span,
-    pause: Span,
+    feed: LineStream,
+    calls: BTreeMap<ConnectionId, Call>,
+    newest: Option<(NewsTold, Timestamp)>,
+    wait: TimeDelta,
+    pause: TimeDelta,
 }
 
 fn on_feed(gateway: &mut Gateway, readiness: Readiness) {
-    let Gateway { room, platform, driver, .. } = gateway;
+    let Gateway {
+        room,
+        platform,
+        driver,
+        ..
+    } = gateway;
     if let Some(platform) = platform {
-        for heard in platform.feed.serve(room, readiness) {
+        for heard in platform.feed.handle_readiness(room, readiness) {
             if !platform.hear(room, &driver.names, heard) {
                 break;
             }
@@ -110,7 +122,7 @@
     gateway.settle();
 }
 
-fn on_call(gateway: &mut Gateway, no: ConnectionNo, readiness: Readiness) {
+fn on_call(gateway: &mut Gateway, no: ConnectionId, readiness: Readiness) {
     if let Some(platform) = &mut gateway.platform {
         platform.serve_call(&mut gateway.room, no, readiness);
     }
@@ -118,9 +130,16 @@
 }
 
 impl Platform {
-    pub fn new(address: SocketAddr, wait: Span, pause: Span) -> Platform {
-        let feed = Feed::new("platform", address, SIGN_OF_LIFE * MISSED);
-        Platform { address, feed, calls: BTreeMap::new(), newest: None, wait, pause }
+    pub fn new(address: SocketAddr, wait: TimeDelta, pause: TimeDelta) -> Platform {
+        let feed = LineStream::new("platform", address, SIGN_OF_LIFE * MISSED);
+        Platform {
+            address,
+            feed,
+            calls: BTreeMap::new(),
+            newest: None,
+            wait,
+            pause,
+        }
     }
 
     /// Tells the module how the newest build stands. Guards against news out of order between the stream and
@@ -131,13 +150,13 @@
         let held = self.newest.filter(|(held, _)| held.order() > told.order());
         let news = match held {
             Some((held, at)) => {
-                let mut news = held.news(Word::Valid, answers_vote);
+                let mut news = held.news(PlatformStatus::Valid, answers_vote);
                 news.age = news.age + (now - at);
                 news
             }
             None => {
                 self.newest = Some((told, now));
-                told.news(Word::Valid, answers_vote)
+                told.news(PlatformStatus::Valid, answers_vote)
             }
         };
         if held.is_some() {
@@ -145,45 +164,46 @@
         }
         if held.is_none() || answers_vote {
             tracing::debug!("platform: {told:?}, answers a vote: {answers_vote}");
-            room.inbox.push_back((now, Notice::Event(Event::Stage(news))));
+            room.inbox
+                .push_back((now, Notice::Event(Event::RolloutUpdated(news))));
         }
     }
 
     /// At once where it has stood for a while; else `tend` will.
     fn renew(&mut self, room: &mut Room) {
         self.feed.close(room);
-        if !self.feed.rests(room.now(), self.pause) {
-            self.feed.open(room, PATH_EVENTS, Asking::Lines, on_feed);
+        if !self.feed.is_open() && !self.feed.was_opened_within(room.now(), self.pause) {
+            self.feed
+                .open(room, PATH_EVENTS, ResponseMode::Lines, on_feed);
         }
     }
 
     /// Takes in what the platform says. Gives back whether what was heard behind it still counts.
-    fn hear(&mut self, room: &mut Room, names: &Names, heard: Heard) -> bool {
+    fn hear(&mut self, room: &mut Room, names: &Names, heard: StreamEvent) -> bool {
         let line = match heard {
-            Heard::Broken => {
+            StreamEvent::Disconnected => {
                 self.renew(room);
                 return false;
             }
-            Heard::Refused(_) => {
+            StreamEvent::Refused(_) => {
                 tracing::warn!("platform: refuses its stream");
                 return true;
             }
-            Heard::Line(line) | Heard::Once(line) => line,
+            StreamEvent::Line(line) | StreamEvent::Response(line) => line,
         };
         if line.is_empty() || line == b"{}" {
             return true;
         }
         match serde_json::from_slice(&line) {
             Ok(LineTold::News(told)) => self.learn(room, told, false),
-            Ok(LineTold::Report { host, product, lag_ms }) => {
-                let known = names.servers.get(&host).zip(names.products.get_index_of(&product));
-                let Some((server, product)) = known else {
+            Ok(LineTold::Report { host, class, .. }) => {
+                let known = names.endpoints.id(&host).zip(names.classes.id(&class));
+                let Some((endpoint, class)) = known else {
                     room.counters.add(Count::LinesRefused);
                     return true;
                 };
                 room.counters.add(Count::Complaints);
-                let age = Span(lag_ms.saturating_mul(1000));
-                room.tell(Notice::Event(Event::Complaint { server, product, age }));
+                room.tell(Notice::Event(Event::ComplaintReceived { endpoint, class }));
             }
             Err(e) => {
                 // Guards against a stream that goes on after such a line, though nothing true comes on it.
@@ -199,36 +219,47 @@
     /// A reload has told another address. Votes that are out stay where they went.
     pub fn turn_to(&mut self, room: &mut Room, address: SocketAddr) {
         self.address = address;
-        if self.feed.turn_to(room, address) {
-            self.feed.open(room, PATH_EVENTS, Asking::Lines, on_feed);
+        if self.feed.set_address(room, address) {
+            self.feed
+                .open(room, PATH_EVENTS, ResponseMode::Lines, on_feed);
         }
     }
 
     pub fn tend(&mut self, room: &mut Room) {
         let now = room.now();
-        if self.feed.is_silent(now, self.pause) || !self.feed.rests(now, self.pause) {
-            self.feed.open(room, PATH_EVENTS, Asking::Lines, on_feed);
+        let is_idle = !self.feed.is_open() && !self.feed.was_opened_within(now, self.pause);
+        if self.feed.is_unresponsive(now, self.pause) || is_idle {
+            self.feed
+                .open(room, PATH_EVENTS, ResponseMode::Lines, on_feed);
         }
     }
 
-    pub fn vote(&mut self, room: &mut Room, build: Build, stage: usize, verdict: Verdict) {
+    pub fn vote(
+        &mut self,
+        room: &mut Room,
+        build: BuildId,
+        stage: usize,
+        verdict: RolloutDecision,
+    ) {
         room.counters.add(Count::Votes);
         let opinion = match verdict {
-            Verdict::Withdraw => "clear",
-            Verdict::On => "approve",
-            Verdict::Hold => "wait",
-            Verdict::Back => "reject",
+            RolloutDecision::Withdraw => "clear",
+            RolloutDecision::Promote => "approve",
+            RolloutDecision::Hold => "wait",
+            RolloutDecision::RollBack => "reject",
         };
         tracing::info!("votes {opinion} on build {build} in stage {stage}");
         let body = format!(r#"{{"image":{build},"ring":{stage},"opinion":"{opinion}"}}"#);
-        let no = room.next_connection();
+        let no = room.next_connection_id();
         let call = move |gateway: &mut Gateway, readiness| on_call(gateway, no, readiness);
-        let Ok(mut connection) = Connection::dial(room, self.address, Purse::Reserve, call) else {
-            return self.settle_vote(room, Word::Errored);
+        let Ok(mut connection) =
+            Connection::connect(room, self.address, ResourceClass::Reserved, call)
+        else {
+            return self.settle_vote(room, PlatformStatus::ServerError);
         };
-        let Some(out) = connection.out(room) else {
+        let Some(out) = connection.output_buffer(room) else {
             connection.close(room);
-            return self.settle_vote(room, Word::Errored);
+            return self.settle_vote(room, PlatformStatus::ServerError);
         };
         write::request_line(out, "POST", PATH_VOTES);
         write::field(out, "Host", self.address);
@@ -236,75 +267,105 @@
         write::field(out, "Content-Type", "application/json");
         write::body(out, body.as_bytes());
         let due = room.due_in(self.wait, Due::Vote(no));
-        self.calls.insert(no, Call { connection, intake: Intake::default(), written: false, due });
+        self.calls.insert(
+            no,
+            Call {
+                connection,
+                reader: MessageReader::default(),
+                written: false,
+                due,
+            },
+        );
     }
 
     /// A vote that brought back no state.
-    fn settle_vote(&mut self, room: &mut Room, word: Word) {
+    fn settle_vote(&mut self, room: &mut Room, status: PlatformStatus) {
         room.counters.add(Count::VotesRefused);
-        tracing::info!("a vote got no state: {word:?}");
-        let (phase, cap, age) = (Phase::Trial, 0.0, Span::ZERO);
-        let news = StageNews { build: 0, stage: 0, phase, cap, word, answers_vote: true, age };
-        room.tell(Notice::Event(Event::Stage(news)));
+        tracing::info!("a vote got no state: {status:?}");
+        let (phase, exposure_limit, age) = (RolloutPhase::Canary, 0.0, TimeDelta::ZERO);
+        let news = RolloutUpdate {
+            build: BuildId(0),
+            stage: 0,
+            phase,
+            exposure_limit,
+            status,
+            answers_vote: true,
+            age,
+        };
+        room.tell(Notice::Event(Event::RolloutUpdated(news)));
     }
 
     /// The answer has not come in its time, though the vote may have been carried out, or may yet be.
-    pub fn give_up(&mut self, room: &mut Room, no: ConnectionNo) {
+    pub fn give_up(&mut self, room: &mut Room, no: ConnectionId) {
         self.end_call(room, no);
-        self.settle_vote(room, Word::TimedOut);
+        self.settle_vote(room, PlatformStatus::TimedOut);
     }
 
-    fn end_call(&mut self, room: &mut Room, no: ConnectionNo) {
+    fn end_call(&mut self, room: &mut Room, no: ConnectionId) {
         if let Some(call) = self.calls.remove(&no) {
-            room.dues.clear(call.due, Due::Vote(no));
+            room.dues.cancel(call.due, Due::Vote(no));
             call.connection.close(room);
         }
     }
 
-    fn serve_call(&mut self, room: &mut Room, no: ConnectionNo, readiness: Readiness) {
-        let Some(call) = self.calls.get_mut(&no) else { return };
+    fn serve_call(&mut self, room: &mut Room, no: ConnectionId, readiness: Readiness) {
+        let Some(call) = self.calls.get_mut(&no) else {
+            return;
+        };
         if readiness.writable && !call.written {
-            let flushed = match call.connection.is_up() {
+            let flushed = match call.connection.check_connected() {
                 Ok(()) => call.connection.flush(room),
-                Err(_) => Flushed::Failed,
+                Err(_) => WriteResult::Failed,
             };
             match flushed {
-                Flushed::All => {
+                WriteResult::Complete => {
                     call.written = true;
-                    call.connection.wants(room, true, false);
+                    call.connection.set_interest(room, true, false);
                 }
-                Flushed::Part => return,
-                Flushed::Failed => {
+                WriteResult::Partial => return,
+                WriteResult::Failed => {
                     self.end_call(room, no);
-                    return self.settle_vote(room, Word::Errored);
+                    return self.settle_vote(room, PlatformStatus::ServerError);
                 }
             }
         }
-        let Some(call) = self.calls.get_mut(&no).filter(|c| readiness.readable && c.written) else { return };
-        let filled = call.connection.fill(room);
-        let progress = call.intake.answer(&mut call.connection.input);
-        let ends = filled == Filled::Ended && progress.is_ok() && call.intake.ends();
-        let whole = progress == Ok(Progress::Whole) || ends;
-        if !whole && matches!(filled, Filled::Some | Filled::Nothing) && progress.is_ok() {
+        let Some(call) = self
+            .calls
+            .get_mut(&no)
+            .filter(|c| readiness.readable && c.written)
+        else {
+            return;
+        };
+        let filled = call.connection.read(room);
+        let progress = call.reader.read_response(&mut call.connection.input);
+        let ends =
+            filled == ReadResult::EndOfStream && progress.is_ok() && call.reader.end_of_input();
+        let whole = progress == Ok(Progress::Complete) || ends;
+        if !whole && matches!(filled, ReadResult::Data | ReadResult::WouldBlock) && progress.is_ok()
+        {
             return;
         }
         let input = &call.connection.input;
-        let status = AnswerHead::read(input).ok().flatten().filter(|_| whole).map(|h| h.status);
-        let state = || serde_json::from_slice::<NewsTold>(&input[call.intake.body()]).ok();
-        let word = match status {
+        let status = ResponseHead::parse(input)
+            .ok()
+            .flatten()
+            .filter(|_| whole)
+            .map(|h| h.status);
+        let state = || serde_json::from_slice::<NewsTold>(&input[call.reader.body()]).ok();
+        let status = match status {
             Some(200) => match state() {
                 Some(told) => {
                     self.end_call(room, no);
                     return self.learn(room, told, true);
                 }
-                None => Word::TimedOut,
+                None => PlatformStatus::TimedOut,
             },
-            Some(429) => Word::Full,
-            Some(409) => Word::Moot,
-            Some(400 | 500) => Word::Errored,
-            _ => Word::TimedOut,
+            Some(429) => PlatformStatus::Overloaded,
+            Some(409) => PlatformStatus::Superseded,
+            Some(400 | 500) => PlatformStatus::ServerError,
+            _ => PlatformStatus::TimedOut,
         };
         self.end_call(room, no);
-        self.settle_vote(room, word);
+        self.settle_vote(room, status);
     }
 }
--- a/crates/gateway/src/dispatch/attempts.rs
+++ b/crates/gateway/src/dispatch/attempts.rs
@@ -1,9 +1,11 @@
-//! Attempts of txns at servers: from what the module asks for to the first byte, and what may come between.
+//! Attempts of requests at endpoints: from what the module asks for to the first byte, and what may come between.
 
-use harrierdock_attempt_guard::{Condition, Lapse, Standing};
-use harrierdock_event_loop::ConnectionNo;
-use harrierdock_types::interface::{Outcome, ProductTerms, Repeat, ServerIx, TxnId};
-use harrierdock_types::time::{Point, Span};
+use harrierdock_attempt_guard::{CurrentState, ListedEndpoint, Precondition, Violation};
+use harrierdock_event_loop::ConnectionId;
+use harrierdock_types::{
+    AttemptOutcome, BuildId, ClassParameters, EndpointId, RequestId, RetrySafety,
+};
+use harrierdock_types::{TimeDelta, Timestamp};
 
 use crate::dispatch::dispatcher::Driver;
 use crate::dispatch::request_table::{Entry, Sent};
@@ -13,50 +15,79 @@
 use crate::upstream::Unwritten;
 
 impl Driver {
-    /// What an attempt of this txn at this server, decided on now, is decided on.
-    fn condition(&self, entry: &Entry, server: ServerIx) -> Condition {
-        let listed = self.module.servers.get(&server);
-        let build = listed.map_or(0, |s| s.listed.build);
-        Condition {
+    /// What an attempt of this request at this endpoint, decided on now, is decided on.
+    fn precondition(&self, entry: &Entry, endpoint: EndpointId) -> Precondition {
+        let listed = self.module.endpoints.get(&endpoint);
+        let build = listed.map_or(BuildId(0), |s| s.listed.build);
+        Precondition {
             build,
-            started: listed.and_then(|s| s.started),
-            cap: self.module.cap_of(build),
-            repeat_until: entry.repeat_until(self.module.terms.products.get(entry.product), self.tick),
+            started_at: listed.and_then(|s| s.started),
+            exposure_limit: self.module.cap_of(build),
+            deduplicated_until: entry
+                .deduplicated_until(self.module.parameters.classes.get(entry.class.0), self.tick),
         }
     }
 
     /// Why this attempt, of whose request the last byte has not been written, may not be any more. `waits`: its client
     /// still does. `stale`: the list held may not be acted on any more.
-    fn lapse(&self, now: Point, of: &Unwritten, waits: bool, stale: bool) -> Option<Lapse> {
-        let Some(entry) = self.book.get(&of.id) else { return Some(Lapse::Closed) };
+    fn violation(
+        &self,
+        now: Timestamp,
+        of: &Unwritten,
+        waits: bool,
+        stale: bool,
+    ) -> Option<Violation> {
+        let Some(entry) = self.book.get(&of.id) else {
+            return Some(Violation::RequestFinished);
+        };
         let sent = entry.sent.get(of.attempt)?;
-        let server = self.module.servers.get(&sent.server).filter(|_| of.placed);
-        sent.condition.lapse(&Standing {
+        let endpoint = self
+            .module
+            .endpoints
+            .get(&sent.endpoint)
+            .filter(|_| of.placed);
+        sent.precondition.violation(&CurrentState {
             now,
-            closed: entry.answered || !waits,
-            stale,
-            listed: server.map(|s| (s.listed.lifecycle, s.listed.build, s.started)),
-            cap: self.module.cap_of(sent.condition.build),
-            pin: entry.key.map_or(0, |key| self.pin_of(key)),
+            request_finished: entry.answered || !waits,
+            list_is_stale: stale,
+            endpoint: endpoint.map(|s| ListedEndpoint {
+                lifecycle: s.listed.lifecycle,
+                build: s.listed.build,
+                started_at: s.started,
+            }),
+            exposure_limit: self.module.cap_of(sent.precondition.build),
+            sticky_build: entry.key.map_or(BuildId(0), |key| self.pin_of(key)),
         })
     }
 
     /// Whether this attempt finds no room under the cap where it is to be written now; else it counts from now on.
-    fn crowds(&mut self, now: Point, of: &Unwritten) -> Option<Lapse> {
+    fn crowds(&mut self, now: Timestamp, of: &Unwritten) -> Option<Violation> {
         let entry = self.book.get_mut(&of.id)?;
         let sent = entry.sent.get_mut(of.attempt)?;
         let since = std::mem::replace(&mut sent.counted, now);
-        let arrives = self.module.arrives(now, since, entry.product, sent.condition.build);
-        (!arrives).then_some(Lapse::CapReached)
+        let arrives = self
+            .module
+            .arrives(now, since, entry.class, sent.precondition.build);
+        (!arrives).then_some(Violation::ExposureLimitReached)
     }
 }
 
 impl Entry {
-    /// From when on servers would no longer drop a repeat: none if there is nothing to drop, or no need to.
-    fn repeat_until(&self, product: Option<&ProductTerms>, tick: Span) -> Option<Point> {
-        let Some(Repeat::Referenced { memory, .. }) = product.map(|p| p.repeat) else { return None };
+    /// From when on endpoints would no longer drop a repeat: none if there is nothing to drop, or no need to.
+    fn deduplicated_until(
+        &self,
+        class: Option<&ClassParameters>,
+        tick: TimeDelta,
+    ) -> Option<Timestamp> {
+        let Some(RetrySafety::IdempotencyKey {
+            deduplication_window,
+            ..
+        }) = class.map(|p| p.retry_safety)
+        else {
+            return None;
+        };
         let first = self.sent.iter().find(|s| !s.never_ran)?;
-        Some(first.at + memory - tick)
+        Some(first.at + deduplication_window - tick)
     }
 }
 
@@ -65,61 +96,103 @@
         self.discovery.is_stale(self.room.now())
     }
 
-    pub fn submit(&mut self, now: Point, id: TxnId, server: ServerIx, timeout: Span) {
-        let Some(condition) = self.driver.book.get(&id).map(|e| self.driver.condition(e, server)) else {
-            return self.room.counters.must(false, "a submission is of a txn in the book");
+    pub fn submit(
+        &mut self,
+        now: Timestamp,
+        id: RequestId,
+        endpoint: EndpointId,
+        timeout: TimeDelta,
+    ) {
+        let Some(precondition) = self
+            .driver
+            .book
+            .get(&id)
+            .map(|e| self.driver.precondition(e, endpoint))
+        else {
+            return self
+                .room
+                .counters
+                .must(false, "a submission is of a txn in the book");
+        };
+        let Some(entry) = self.driver.book.get_mut(&id) else {
+            return;
         };
-        let Some(entry) = self.driver.book.get_mut(&id) else { return };
         let attempt = entry.sent.len();
         entry.sent.push(Sent {
-            server,
+            endpoint,
             at: now,
             counted: now,
-            condition,
+            precondition,
             out: true,
             never_ran: false,
             octets: 0,
         });
         let left = entry.expiry - self.room.clock.now();
-        let wait = if timeout > Span::ZERO { timeout.min(left) } else { left };
-        let spent = entry.answered || attempt >= self.driver.most_attempts || wait <= Span::ZERO;
+        let wait = if timeout > TimeDelta::ZERO {
+            timeout.min(left)
+        } else {
+            left
+        };
+        let spent =
+            entry.answered || attempt >= self.driver.most_attempts || wait <= TimeDelta::ZERO;
         let spent = spent || self.list_is_stale();
-        if !spent && self.room.descriptors.spare() == 0 && !self.servers.keeps(now, server) {
+        if !spent && self.room.descriptors.available() == 0 && !self.servers.keeps(now, endpoint) {
             self.make_room();
         }
         let inward = self.is_inward(id);
         if !inward && !spent {
             self.clients.still_waits(&mut self.room, id);
         }
-        let Gateway { clients, servers, room, across, .. } = self;
+        let Gateway {
+            clients,
+            servers,
+            room,
+            across,
+            ..
+        } = self;
         let mut octets = 0;
         let submit = |asked: Asked<'_>| {
             octets = asked.body.len();
-            servers.submit(room, (id, attempt), server, wait, &asked)
+            servers.submit(room, (id, attempt), endpoint, wait, &asked)
         };
         let sent = match across {
             _ if spent => None,
             Some(across) if inward => across.asked(id, submit),
             _ => clients.asked(id, submit),
         };
-        if let Some(sent) = self.driver.book.get_mut(&id).and_then(|e| e.sent.get_mut(attempt)) {
+        if let Some(sent) = self
+            .driver
+            .book
+            .get_mut(&id)
+            .and_then(|e| e.sent.get_mut(attempt))
+        {
             sent.octets = octets;
         }
-        if let Err(outcome) = sent.unwrap_or(Err(Outcome::Moot)) {
-            self.room.tell(Notice::Closed { id, attempt, outcome, told: None });
+        if let Err(outcome) = sent.unwrap_or(Err(AttemptOutcome::NotSent)) {
+            self.room.tell(Notice::Closed {
+                id,
+                attempt,
+                outcome,
+                told: None,
+            });
         }
     }
 
     /// Guards every rule that binds the moment of writing: what is not all written when its condition lapses is
     /// given up, on a connection that has just come up as on one that takes no more for now. It has never run.
-    pub fn withdraw_lapsed(&mut self, no: ConnectionNo) {
-        let Some(unwritten) = self.servers.unwritten(no) else { return };
-        let waits = self.is_inward(unwritten.id) || self.clients.still_waits(&mut self.room, unwritten.id);
+    pub fn withdraw_lapsed(&mut self, no: ConnectionId) {
+        let Some(unwritten) = self.servers.unwritten(no) else {
+            return;
+        };
+        let waits =
+            self.is_inward(unwritten.id) || self.clients.still_waits(&mut self.room, unwritten.id);
         let (now, stale) = (self.room.now(), self.list_is_stale());
-        let lapse =
-            self.driver.lapse(now, &unwritten, waits, stale).or_else(|| self.driver.crowds(now, &unwritten));
-        if let Some(lapse) = lapse {
-            tracing::debug!("servers: an attempt is not written: {lapse:?}");
+        let violation = self
+            .driver
+            .violation(now, &unwritten, waits, stale)
+            .or_else(|| self.driver.crowds(now, &unwritten));
+        if let Some(violation) = violation {
+            tracing::debug!("servers: an attempt is not written: {violation:?}");
             self.room.counters.add(Count::Lapsed);
             self.servers.withdraw(&mut self.room, no);
         }
