--- a/crates/gateway/src/dispatch/dispatcher.rs
+++ b/crates/gateway/src/dispatch/dispatcher.rs
@@ -1,5 +1,5 @@
 //! The driver: the only caller of the decision module. Notices become events, actions are obeyed, and a book
-//! holds every txn until it has had its answer and all its submissions have ended.
+//! holds every request until it has had its answer and all its attempts have ended.
 
 use std::collections::BTreeMap;
 
@@ -8,8 +8,8 @@
 use harrierdock_multi_site::{Ending, Event as Crossing};
 use harrierdock_policy as policy;
 use harrierdock_site_messages::Verdict;
-use harrierdock_types::interface::*;
-use harrierdock_types::time::{Point, Span};
+use harrierdock_types::*;
+use harrierdock_types::{TimeDelta, Timestamp};
 
 use crate::dispatch::request_table::{Entry, Whereabouts};
 use crate::downstream::Answer;
@@ -22,45 +22,55 @@
 pub struct Driver {
     pub module: policy::Gateway,
     pub names: Names,
-    pub book: BTreeMap<TxnId, Entry>,
-    /// How many attempts a txn may have.
+    pub book: BTreeMap<RequestId, Entry>,
+    /// How many attempts a request may have.
     pub most_attempts: usize,
-    pub tick: Span,
+    pub tick: TimeDelta,
 }
 
 impl Driver {
-    pub fn new(terms: Terms, names: Names, seed: u64) -> Driver {
-        let (most_attempts, tick) = (terms.limits.attempts, terms.tick);
+    pub fn new(terms: Parameters, names: Names, seed: u64) -> Driver {
+        let (most_attempts, tick) = (terms.limits.max_attempts, terms.tick);
         let module = policy::Gateway::new(terms, seed);
-        Driver { module, names, book: BTreeMap::new(), most_attempts, tick }
+        Driver {
+            module,
+            names,
+            book: BTreeMap::new(),
+            most_attempts,
+            tick,
+        }
     }
 
     /// The build that this key stays with.
-    pub fn pin_of(&self, key: Key) -> Build {
+    pub fn pin_of(&self, key: AffinityKey) -> BuildId {
         self.module.pin_of(key)
     }
 
-    /// How many servers are listed like this.
+    /// How many endpoints are listed like this.
     pub fn count(&self, lifecycle: Lifecycle) -> usize {
-        self.module.servers.values().filter(|s| s.listed.lifecycle == lifecycle).count()
+        self.module
+            .endpoints
+            .values()
+            .filter(|s| s.listed.lifecycle == lifecycle)
+            .count()
     }
 
-    /// How many txns have not had their answer.
+    /// How many requests have not had their answer.
     pub fn owed(&self) -> usize {
         self.book.values().filter(|e| !e.answered).count()
     }
 }
 
-fn count_of(outcome: Outcome) -> Count {
+fn count_of(outcome: AttemptOutcome) -> Count {
     match outcome {
-        Outcome::Served => Count::Served,
-        Outcome::Errored => Count::Errored,
-        Outcome::Full => Count::Full,
-        Outcome::TimedOut => Count::TimedOut,
-        Outcome::ConnectFailed => Count::ConnectFailed,
-        Outcome::Reset => Count::Reset,
-        Outcome::Recalled => Count::Recalled,
-        Outcome::Moot => Count::Moot,
+        AttemptOutcome::Succeeded => Count::Served,
+        AttemptOutcome::ServerError => Count::Errored,
+        AttemptOutcome::Rejected => Count::Full,
+        AttemptOutcome::TimedOut => Count::TimedOut,
+        AttemptOutcome::ConnectFailed => Count::ConnectFailed,
+        AttemptOutcome::Reset => Count::Reset,
+        AttemptOutcome::Cancelled => Count::Recalled,
+        AttemptOutcome::NotSent => Count::Moot,
     }
 }
 
@@ -77,33 +87,42 @@
             }
         }
         self.clients.trim(&mut self.room);
-        // Guards against names of servers that pile up as these come and go; asked only once the module has heard
+        // Guards against names of endpoints that pile up as these come and go; asked only once the module has heard
         // of all that have come.
         let Driver { module, names, .. } = &mut self.driver;
-        if names.servers.numbers().len() > module.servers.len() {
-            names.servers.retain(|server| module.servers.contains_key(&server));
+        if names.endpoints.ids().len() > module.endpoints.len() {
+            names
+                .endpoints
+                .retain(|endpoint| module.endpoints.contains_key(&endpoint));
         }
     }
 
-    fn notice(&mut self, now: Point, notice: Notice) {
+    fn notice(&mut self, now: Timestamp, notice: Notice) {
         match notice {
             Notice::Event(event) => {
-                if let Event::Stage(news) = &event {
+                if let Event::RolloutUpdated(news) = &event {
                     self.steward_news(news);
                     self.export.iter_mut().for_each(|export| export.stage(news));
                 }
-                let listed = matches!(event, Event::Roster { .. });
+                let listed = matches!(event, Event::EndpointsUpdated { .. });
                 self.take(now, event);
                 if listed {
                     self.look_home(now);
                 }
             }
             Notice::FleetMail { from, bytes } => self.fleet_mail(from, bytes),
-            Notice::Taken { id, product, key, again, left, inward } => {
+            Notice::Taken {
+                id,
+                class,
+                key,
+                again,
+                left,
+                inward,
+            } => {
                 let left = left.min(self.left_before_kill(now));
                 let (expiry, overdue) = (now + left, now + left + self.driver.tick);
                 let entry = Entry {
-                    product,
+                    class,
                     key,
                     again,
                     taken: now,
@@ -120,7 +139,7 @@
                     export.taken();
                 }
                 if self.across.is_some() && inward.is_none() {
-                    self.sites(now, Crossing::Txn { id, product, left });
+                    self.sites(now, Crossing::Txn { id, class, left });
                 } else {
                     self.hand_in(now, id, left);
                 }
@@ -129,49 +148,87 @@
                 if self.close_txn(id, Ending::Left, flows::Outcome::Left) {
                     self.answer_across(now, id, Verdict::Voided, None, Vec::new());
                     self.sites(now, Crossing::Left { id });
-                    self.take(now, Event::Left { id });
+                    self.take(now, Event::ClientDisconnected { id });
                     self.strike(id);
                 }
             }
-            Notice::Closed { id, attempt, outcome, told } => {
+            Notice::Closed {
+                id,
+                attempt,
+                outcome,
+                told,
+            } => {
                 self.room.counters.add(count_of(outcome));
                 let entry = self.driver.book.get_mut(&id);
-                let sent = entry.and_then(|e| e.sent.get_mut(attempt)).filter(|s| s.out);
-                self.room.counters.must(sent.is_some(), "a submission ends once");
+                let sent = entry
+                    .and_then(|e| e.sent.get_mut(attempt))
+                    .filter(|s| s.out);
+                self.room
+                    .counters
+                    .must(sent.is_some(), "a submission ends once");
                 let Some(sent) = sent else { return };
                 sent.out = false;
-                sent.never_ran = matches!(outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot);
-                let (server, took, out) = (sent.server, now - sent.at, sent.octets);
+                sent.never_ran = matches!(
+                    outcome,
+                    AttemptOutcome::Rejected
+                        | AttemptOutcome::ConnectFailed
+                        | AttemptOutcome::NotSent
+                );
+                let (endpoint, duration, out) = (sent.endpoint, now - sent.at, sent.octets);
                 if self.export.is_some() {
                     let back = told.as_ref().map_or(0, |t| t.body.len());
-                    self.submission_ended(now, id, (server, attempt), outcome, took, (out, back));
+                    self.submission_ended(
+                        now,
+                        id,
+                        (endpoint, attempt),
+                        outcome,
+                        duration,
+                        (out, back),
+                    );
                 }
                 if let Some(mut told) = told {
                     if !self.close_txn(id, Ending::Settled, flows::Outcome::Settled) {
-                        self.room.pool.give_back(&mut told.buffer);
+                        self.room.buffers.release(&mut told.buffer);
                     } else if self.is_inward(id) {
                         let body = told.buffer[told.body.clone()].to_vec();
-                        self.room.pool.give_back(&mut told.buffer);
-                        let build = self.driver.module.servers.get(&server).map(|s| s.listed.build);
+                        self.room.buffers.release(&mut told.buffer);
+                        let build = self
+                            .driver
+                            .module
+                            .endpoints
+                            .get(&endpoint)
+                            .map(|s| s.listed.build);
                         self.answer_across(now, id, Verdict::Settled, build, body);
                     } else {
-                        self.clients.answer(&mut self.room, id, Answer::Settled(told));
+                        self.clients
+                            .answer(&mut self.room, id, Answer::Settled(told));
                     }
                 }
-                let ended = self.driver.book.get(&id).is_none_or(|e| e.answered);
-                let load = Load::default();
-                self.take(now, Event::Closed { id, attempt, server, outcome, took, ended, load });
+                let request_finished = self.driver.book.get(&id).is_none_or(|e| e.answered);
+                self.take(
+                    now,
+                    Event::AttemptFinished {
+                        id,
+                        attempt,
+                        endpoint,
+                        outcome,
+                        duration,
+                        request_finished,
+                    },
+                );
                 self.strike(id);
             }
         }
     }
 
-    /// The txn has its answer, or needs none any more. Gives back whether it had none before.
-    fn close_txn(&mut self, id: TxnId, ending: Ending, outcome: flows::Outcome) -> bool {
-        let Some(entry) = self.driver.book.get_mut(&id).filter(|e| !e.answered) else { return false };
+    /// The request has its answer, or needs none any more. Gives back whether it had none before.
+    fn close_txn(&mut self, id: RequestId, ending: Ending, outcome: flows::Outcome) -> bool {
+        let Some(entry) = self.driver.book.get_mut(&id).filter(|e| !e.answered) else {
+            return false;
+        };
         entry.answered = true;
-        self.room.dues.clear(entry.overdue, Due::Txn(id));
-        let (product, taken, whereabouts) = (entry.product, entry.taken, entry.whereabouts);
+        self.room.dues.cancel(entry.overdue, Due::Txn(id));
+        let (class, taken, whereabouts) = (entry.class, entry.taken, entry.whereabouts);
         if let Some(export) = &mut self.export {
             let road = match (entry.inward, whereabouts) {
                 (true, _) => flows::Road::Inward,
@@ -179,108 +236,171 @@
                 _ => flows::Road::Here,
             };
             let now = self.room.clock.now();
-            export.txn(now, product, outcome, road, now - taken);
+            export.request(now, class, outcome, road, now - taken);
         }
         if self.across.is_some() && matches!(whereabouts, Whereabouts::Here | Whereabouts::Back) {
             let now = self.room.now();
-            self.sites(now, Crossing::Ended { product, ending, took: now - taken });
+            self.sites(
+                now,
+                Crossing::Ended {
+                    class,
+                    ending,
+                    took: now - taken,
+                },
+            );
         }
         true
     }
 
     fn submission_ended(
         &mut self,
-        now: Point,
-        id: TxnId,
-        (server, attempt): (ServerIx, usize),
-        ended: Outcome,
-        took: Span,
+        now: Timestamp,
+        id: RequestId,
+        (endpoint, attempt): (EndpointId, usize),
+        ended: AttemptOutcome,
+        duration: TimeDelta,
         (out, back): (usize, usize),
     ) {
-        let Gateway { export: Some(export), driver, .. } = self else { return };
-        let Some(entry) = driver.book.get(&id) else { return };
-        let build = driver.module.servers.get(&server).map_or(0, |s| s.listed.build);
-        let (product, second, inward) = (entry.product, attempt > 0, entry.inward);
-        let of = Submission { product, build, server, ended, took, second, inward, out, back };
+        let Gateway {
+            export: Some(export),
+            driver,
+            ..
+        } = self
+        else {
+            return;
+        };
+        let Some(entry) = driver.book.get(&id) else {
+            return;
+        };
+        let build = driver
+            .module
+            .endpoints
+            .get(&endpoint)
+            .map_or(BuildId(0), |s| s.listed.build);
+        let (class, second, inward) = (entry.class, attempt > 0, entry.inward);
+        let of = Submission {
+            class,
+            build: build.0,
+            endpoint: endpoint.0,
+            ended,
+            duration,
+            second,
+            inward,
+            out,
+            back,
+        };
         export.submission(now, &of);
     }
 
-    pub fn is_inward(&self, id: TxnId) -> bool {
+    pub fn is_inward(&self, id: RequestId) -> bool {
         self.driver.book.get(&id).is_some_and(|e| e.inward)
     }
 
     /// The module is to serve it, within what is left.
-    pub fn hand_in(&mut self, now: Point, id: TxnId, left: Span) {
-        let Some(entry) = self.driver.book.get_mut(&id).filter(|e| !e.answered) else { return };
+    pub fn hand_in(&mut self, now: Timestamp, id: RequestId, left: TimeDelta) {
+        let Some(entry) = self.driver.book.get_mut(&id).filter(|e| !e.answered) else {
+            return;
+        };
         let across = entry.whereabouts == Whereabouts::Across;
-        entry.whereabouts = if across { Whereabouts::Back } else { Whereabouts::Here };
+        entry.whereabouts = if across {
+            Whereabouts::Back
+        } else {
+            Whereabouts::Here
+        };
         // Guards the time in which a referenced repeat is dropped: what has come back is sent no later.
         entry.expiry = entry.expiry.min(now + left);
-        let (product, key, again) = (entry.product, entry.key, entry.again);
-        self.take(now, Event::Txn { id, product, tenant: None, key, again, left, cost: None });
+        let (class, key, is_client_retry) = (entry.class, entry.key, entry.again);
+        self.take(
+            now,
+            Event::RequestReceived {
+                id,
+                class,
+                key,
+                is_client_retry,
+                time_left: left,
+            },
+        );
     }
 
-    /// A txn that is to cross: its product, its key, and whether it is a client's repeat.
-    pub fn crosses(&mut self, id: TxnId) -> Option<(ProductIx, Option<Key>, bool)> {
+    /// A request that is to cross: its request class, its key, and whether it is a client's repeat.
+    pub fn crosses(&mut self, id: RequestId) -> Option<(ClassId, Option<AffinityKey>, bool)> {
         let entry = self.driver.book.get_mut(&id).filter(|e| !e.answered)?;
         entry.whereabouts = Whereabouts::Across;
-        Some((entry.product, entry.key, entry.again))
+        Some((entry.class, entry.key, entry.again))
     }
 
     /// The module declines it. What never ran here, and was not across yet, may be of use to the other site.
-    fn declined(&mut self, now: Point, id: TxnId, retry_after: Option<Span>) {
-        let entry = self.driver.book.get(&id).filter(|e| !e.answered && !e.inward);
+    fn declined(&mut self, now: Timestamp, id: RequestId, retry_after: Option<TimeDelta>) {
+        let entry = self
+            .driver
+            .book
+            .get(&id)
+            .filter(|e| !e.answered && !e.inward);
         let spared = entry.filter(|e| e.whereabouts == Whereabouts::Here && !e.may_have_run());
-        match spared.map(|e| (e.product, e.expiry - now)).filter(|_| self.across.is_some()) {
-            Some((product, left)) => {
+        match spared
+            .map(|e| (e.class, e.expiry - now))
+            .filter(|_| self.across.is_some())
+        {
+            Some((class, left)) => {
                 if let Some(entry) = self.driver.book.get_mut(&id) {
                     entry.whereabouts = Whereabouts::AtTheDoor;
                 }
-                self.sites(now, Crossing::Spared { id, product, left });
+                self.sites(now, Crossing::Spared { id, class, left });
             }
             None => self.answer(id, Answer::Declined { retry_after }),
         }
     }
 
-    /// Takes a txn out of the book once nothing of it is left.
-    fn strike(&mut self, id: TxnId) {
+    /// Takes a request out of the book once nothing of it is left.
+    fn strike(&mut self, id: RequestId) {
         let over = |e: &Entry| e.answered && e.sent.iter().all(|s| !s.out);
         if self.driver.book.get(&id).is_some_and(over) {
             self.driver.book.remove(&id);
         }
     }
 
-    pub fn take(&mut self, now: Point, event: Event) {
-        for action in self.driver.module.take(now, event) {
+    pub fn take(&mut self, now: Timestamp, event: Event) {
+        for action in self.driver.module.handle(now, event) {
             self.obey(now, action);
         }
     }
 
-    fn obey(&mut self, now: Point, action: Action) {
+    fn obey(&mut self, now: Timestamp, action: Action) {
         match action {
-            Action::Submit { id, server, timeout } => self.submit(now, id, server, timeout),
-            Action::Recall { id, attempt } => self.servers.recall(&mut self.room, id, attempt),
-            Action::Decline { id, retry_after } => self.declined(now, id, retry_after),
-            Action::Void { id } => self.answer(id, Answer::Voided),
-            Action::Vote { build, stage, verdict } => {
+            Action::StartAttempt {
+                id,
+                endpoint,
+                timeout,
+            } => self.submit(now, id, endpoint, timeout),
+            Action::CancelAttempt { id, attempt } => {
+                self.servers.recall(&mut self.room, id, attempt)
+            }
+            Action::Reject { id, retry_after } => self.declined(now, id, retry_after),
+            Action::Fail { id } => self.answer(id, Answer::Voided),
+            Action::Vote {
+                build,
+                stage,
+                decision: verdict,
+            } => {
                 if !self.vote_by_steward(build, stage, verdict) {
                     let room = &mut self.room;
-                    self.platform.iter_mut().for_each(|p| p.vote(room, build, stage, verdict));
+                    self.platform
+                        .iter_mut()
+                        .for_each(|p| p.vote(room, build, stage, verdict));
                 }
             }
-            Action::Tell { to, message } => {
+            Action::SendGossip { to, message } => {
                 if let Some(peers) = &self.peers {
                     peers.tell(&mut self.room, to, &message);
                 }
             }
-            Action::Probe { server } => self.servers.probe(&mut self.room, server),
             // The watch stands from the start on.
-            Action::Listen => {}
-            Action::Wake { after } => self.room.dues.set(now + after, Due::Wake),
+            Action::WatchEndpoints => {}
+            Action::SetTimer { after } => self.room.dues.set(now + after, Due::Wake),
         }
     }
 
-    pub fn answer(&mut self, id: TxnId, answer: Answer) {
+    pub fn answer(&mut self, id: RequestId, answer: Answer) {
         let ran = self.driver.book.get(&id).is_some_and(Entry::may_have_run);
         let ending = match &answer {
             Answer::Settled(_) => Ending::Settled,
@@ -309,28 +429,35 @@
         self.strike(id);
     }
 
-    /// Guards the rule that no txn is lost, should the module ever leave one without an answer.
-    pub fn overdue(&mut self, id: TxnId) {
-        self.room.counters.must(false, "a txn has its answer by its expiry");
+    /// Guards the rule that no request is lost, should the module ever leave one without an answer.
+    pub fn overdue(&mut self, id: RequestId) {
+        self.room
+            .counters
+            .must(false, "a txn has its answer by its expiry");
         self.answer(id, Answer::Voided);
         let now = self.room.now();
         self.sites(now, Crossing::Left { id });
-        self.take(now, Event::Left { id });
+        self.take(now, Event::ClientDisconnected { id });
     }
 
-    /// Gives up on every txn that has no answer yet.
+    /// Gives up on every request that has no answer yet.
     pub fn void_all(&mut self) {
         let now = self.room.now();
-        let owed = self.driver.book.iter().filter(|(_, e)| !e.answered).map(|(id, _)| *id);
-        for id in owed.collect::<Vec<TxnId>>() {
+        let owed = self
+            .driver
+            .book
+            .iter()
+            .filter(|(_, e)| !e.answered)
+            .map(|(id, _)| *id);
+        for id in owed.collect::<Vec<RequestId>>() {
             self.answer(id, Answer::Voided);
-            self.take(now, Event::Left { id });
+            self.take(now, Event::ClientDisconnected { id });
         }
         self.settle();
     }
 
     pub fn wake(&mut self) {
         let now = self.room.now();
-        self.take(now, Event::Wake);
+        self.take(now, Event::TimerFired);
     }
 }
--- a/crates/gateway/src/dispatch/request_table.rs
+++ b/crates/gateway/src/dispatch/request_table.rs
@@ -1,16 +1,16 @@
-//! What the driver's book holds of each txn, until it has had its answer and all its submissions have ended.
+//! What the driver's book holds of each request, until it has had its answer and all its attempts have ended.
 
-use harrierdock_attempt_guard::Condition;
-use harrierdock_types::interface::{Key, ProductIx, ServerIx};
-use harrierdock_types::time::Point;
+use harrierdock_attempt_guard::Precondition;
+use harrierdock_types::Timestamp;
+use harrierdock_types::{AffinityKey, ClassId, EndpointId};
 
 pub struct Sent {
-    pub server: ServerIx,
-    pub at: Point,
+    pub endpoint: EndpointId,
+    pub at: Timestamp,
     /// From when on it counts against the cap on exposure.
-    pub counted: Point,
+    pub counted: Timestamp,
     /// What it was decided on.
-    pub condition: Condition,
+    pub precondition: Precondition,
     pub out: bool,
     /// It never ran, for certain.
     pub never_ran: bool,
@@ -18,7 +18,7 @@
     pub octets: usize,
 }
 
-/// Where a txn is, of those two sites may have.
+/// Where a request is, of those two sites may have.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Whereabouts {
     /// Nobody has been asked yet.
@@ -30,12 +30,12 @@
 }
 
 pub struct Entry {
-    pub product: ProductIx,
-    pub key: Option<Key>,
+    pub class: ClassId,
+    pub key: Option<AffinityKey>,
     pub again: bool,
-    pub taken: Point,
-    pub expiry: Point,
-    pub overdue: Point,
+    pub taken: Timestamp,
+    pub expiry: Timestamp,
+    pub overdue: Timestamp,
     pub answered: bool,
     pub whereabouts: Whereabouts,
     /// The other site has handed it over.
--- a/crates/gateway/src/downstream/listener.rs
+++ b/crates/gateway/src/downstream/listener.rs
@@ -5,8 +5,8 @@
 
 use calloop::generic::Generic;
 use calloop::{Interest, Mode, PostAction, Readiness};
-use harrierdock_event_loop::{Connection, ConnectionNo, Purse};
-use harrierdock_http::Intake;
+use harrierdock_event_loop::{Connection, ConnectionId, ResourceClass};
+use harrierdock_http::MessageReader;
 use socket2::{Domain, Protocol, Socket, Type};
 
 use super::{Client, Clients, Phase};
@@ -34,7 +34,7 @@
     Ok(socket.into())
 }
 
-fn on_ready(gateway: &mut Gateway, no: ConnectionNo, readiness: Readiness) {
+fn on_ready(gateway: &mut Gateway, no: ConnectionId, readiness: Readiness) {
     gateway.clients.serve(&mut gateway.room, no, readiness);
     gateway.settle();
 }
@@ -50,7 +50,10 @@
             gateway.accept();
             Ok(PostAction::Continue)
         };
-        let token = room.handle.insert_source(source, call).map_err(|e| e.to_string())?;
+        let token = room
+            .handle
+            .insert_source(source, call)
+            .map_err(|e| e.to_string())?;
         self.token = Some(token);
         Ok(())
     }
@@ -58,7 +61,7 @@
     /// Takes waiting connections while descriptors last. Gives back whether room must be made for more.
     pub fn accept(&mut self, room: &mut Room) -> bool {
         for taken in 0..ACCEPT_MOST {
-            if room.descriptors.spare() == 0 {
+            if room.descriptors.available() == 0 {
                 // Guards against making room for nobody, at the cost of the one that was let in last: whether
                 // another waits behind it, the listener tells again.
                 if taken == 0 {
@@ -68,7 +71,12 @@
             }
             let stream = match self.listener.accept() {
                 Ok((stream, _)) => stream,
-                Err(e) if matches!(e.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionAborted) => {
+                Err(e)
+                    if matches!(
+                        e.kind(),
+                        ErrorKind::Interrupted | ErrorKind::ConnectionAborted
+                    ) =>
+                {
                     continue
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return false,
@@ -77,14 +85,31 @@
                     return true;
                 }
             };
-            let set = stream.set_nonblocking(true).and_then(|_| stream.set_nodelay(true));
-            let no = room.next_connection();
+            let set = stream
+                .set_nonblocking(true)
+                .and_then(|_| stream.set_nodelay(true));
+            let no = room.next_connection_id();
             let call = move |gateway: &mut Gateway, readiness| on_ready(gateway, no, readiness);
-            let made = set.and_then(|_| Connection::adopt(room, stream, Interest::READ, Purse::Client, call));
+            let made = set.and_then(|_| {
+                Connection::register(
+                    room,
+                    stream,
+                    Interest::READ,
+                    ResourceClass::Downstream,
+                    call,
+                )
+            });
             let Ok(connection) = made else { continue };
             room.counters.add(Count::ClientsAccepted);
-            let (intake, phase, since) = (Intake::default(), Phase::Reading, room.now());
-            let client = Client { connection, intake, phase, keeps: false, since, standing: None };
+            let (reader, phase, since) = (MessageReader::default(), Phase::Reading, room.now());
+            let client = Client {
+                connection,
+                reader,
+                phase,
+                keeps: false,
+                since,
+                standing: None,
+            };
             self.all.insert(no, client);
             self.note(no);
         }
--- a/crates/gateway/src/downstream/mod.rs
+++ b/crates/gateway/src/downstream/mod.rs
@@ -10,11 +10,11 @@
 use std::rc::Rc;
 
 use calloop::{Readiness, RegistrationToken};
-use harrierdock_event_loop::{Connection, ConnectionNo, Filled, Flushed};
-use harrierdock_http::{write, Fault, Intake, Progress, RequestHead};
-use harrierdock_types::interface::TxnId;
-use harrierdock_types::time::{Point, Span};
-use indexmap::IndexSet;
+use harrierdock_config::ClassNames;
+use harrierdock_event_loop::{Connection, ConnectionId, ReadResult, WriteResult};
+use harrierdock_http::{write, MessageReader, ParseError, Progress, RequestHead};
+use harrierdock_types::RequestId;
+use harrierdock_types::{TimeDelta, Timestamp};
 
 use crate::downstream::request_parser::{asked, Request};
 use crate::metrics::Count;
@@ -23,14 +23,14 @@
 use listener::{listen, Accepting};
 
 /// The protocol lets a connection without an open request be closed after this.
-pub const UNUSED: Span = Span(2_000_000);
+pub const UNUSED: TimeDelta = TimeDelta(2_000_000);
 /// The protocol lets clients hold one in this many descriptors for requests, at the most.
 const REQUESTS_PART: usize = 3;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
     Reading,
-    Waiting(TxnId),
+    Waiting(RequestId),
     /// An answer goes out; then the connection is kept, or it is not.
     Answering {
         kept: bool,
@@ -41,33 +41,33 @@
 
 struct Client {
     connection: Connection,
-    intake: Intake,
+    reader: MessageReader,
     phase: Phase,
     /// Whether the client wants the connection kept after this request.
     keeps: bool,
     /// Since when it stands as it does; a first request counts from the connection's coming.
-    since: Point,
+    since: Timestamp,
     /// Where it is noted as one that may make room.
-    standing: Option<(Standing, Point)>,
+    standing: Option<(Standing, Timestamp)>,
 }
 
 impl Client {
     /// Whether nothing stands behind the request.
     fn is_alone(&self) -> bool {
-        self.intake.body().end >= self.connection.input.len()
+        self.reader.body().end >= self.connection.input.len()
     }
 }
 
-/// A txn whose client waits.
+/// A request whose client waits.
 struct Asker {
-    no: ConnectionNo,
+    no: ConnectionId,
     name: String,
 }
 
-/// What a txn was answered with.
+/// What a request was answered with.
 pub enum Answer {
     Settled(Body),
-    Declined { retry_after: Option<Span> },
+    Declined { retry_after: Option<TimeDelta> },
     Voided,
 }
 
@@ -84,27 +84,27 @@
     listener: Rc<TcpListener>,
     token: Option<RegistrationToken>,
     accepting: Accepting,
-    all: BTreeMap<ConnectionNo, Client>,
-    standing: BTreeSet<(Standing, Point, ConnectionNo)>,
+    all: BTreeMap<ConnectionId, Client>,
+    standing: BTreeSet<(Standing, Timestamp, ConnectionId)>,
     unused: usize,
     most_unused: usize,
-    asking: BTreeMap<TxnId, Asker>,
-    /// The ids of the txns whose clients wait.
+    asking: BTreeMap<RequestId, Asker>,
+    /// The ids of the requests whose clients wait.
     open: BTreeSet<String>,
-    products: IndexSet<String>,
+    classes: ClassNames,
     /// How long a connection is kept unused, or an answer unread.
-    patience: Span,
+    patience: TimeDelta,
     /// How long one that has stalled is spared where others need room.
-    stall: Span,
+    stall: TimeDelta,
     serving: Serving,
 }
 
 impl Clients {
     pub fn new(
         address: SocketAddr,
-        products: IndexSet<String>,
-        patience: Span,
-        stall: Span,
+        classes: ClassNames,
+        patience: TimeDelta,
+        stall: TimeDelta,
         descriptors: usize,
     ) -> io::Result<Clients> {
         Ok(Clients {
@@ -117,7 +117,7 @@
             most_unused: descriptors / REQUESTS_PART / 2,
             asking: BTreeMap::new(),
             open: BTreeSet::new(),
-            products,
+            classes,
             patience,
             stall,
             serving: Serving::NotYet,
@@ -129,9 +129,14 @@
         self.serving = self.serving.max(serving);
     }
 
-    fn close(&mut self, room: &mut Room, no: ConnectionNo) {
-        let Some(client) = self.all.remove(&no) else { return };
-        client.standing.into_iter().for_each(|standing| self.unlist(no, standing));
+    fn close(&mut self, room: &mut Room, no: ConnectionId) {
+        let Some(client) = self.all.remove(&no) else {
+            return;
+        };
+        client
+            .standing
+            .into_iter()
+            .for_each(|standing| self.unlist(no, standing));
         if let Phase::Waiting(id) = client.phase {
             self.forget(id);
             room.counters.add(Count::Left);
@@ -140,28 +145,32 @@
         client.connection.close(room);
     }
 
-    /// The txn's client waits no more. Gives back on which connection it did.
-    fn forget(&mut self, id: TxnId) -> Option<ConnectionNo> {
+    /// The request's client waits no more. Gives back on which connection it did.
+    fn forget(&mut self, id: RequestId) -> Option<ConnectionId> {
         let asker = self.asking.remove(&id)?;
         self.open.remove(&asker.name);
         Some(asker.no)
     }
 
-    fn serve(&mut self, room: &mut Room, no: ConnectionNo, readiness: Readiness) {
+    fn serve(&mut self, room: &mut Room, no: ConnectionId, readiness: Readiness) {
         self.look(room, no, readiness);
         self.note(no);
     }
 
-    fn look(&mut self, room: &mut Room, no: ConnectionNo, readiness: Readiness) {
-        let Some(client) = self.all.get_mut(&no) else { return };
+    fn look(&mut self, room: &mut Room, no: ConnectionId, readiness: Readiness) {
+        let Some(client) = self.all.get_mut(&no) else {
+            return;
+        };
         if readiness.writable && matches!(client.phase, Phase::Answering { .. } | Phase::Reading) {
             self.send(room, no);
         }
-        let Some(client) = self.all.get_mut(&no) else { return };
+        let Some(client) = self.all.get_mut(&no) else {
+            return;
+        };
         if !readiness.readable {
             return;
         }
-        if !client.connection.reads() {
+        if !client.connection.is_reading() {
             // Nothing is read for now, so what woke us is a connection that broke.
             if !matches!(client.phase, Phase::Answering { .. }) {
                 self.close(room, no);
@@ -169,18 +178,25 @@
             return;
         }
         if client.phase == Phase::Parting {
-            if matches!(client.connection.pass_over(room), Filled::Ended | Filled::Failed) {
+            if matches!(
+                client.connection.discard_input(room),
+                ReadResult::EndOfStream | ReadResult::Failed
+            ) {
                 self.close(room, no);
             }
             return;
         }
         let begins = client.connection.input.is_empty();
-        // Guards against the end of a client that is not seen: what it sends while its txn is under way would fill the
+        // Guards against the end of a client that is not seen: what it sends while its request is under way would fill the
         // buffer, and nothing be read any more. That there was something closes its connection after the answer.
         let more = matches!(client.phase, Phase::Waiting(_)) && !client.is_alone();
-        let filled = if more { client.connection.pass_over(room) } else { client.connection.fill(room) };
+        let filled = if more {
+            client.connection.discard_input(room)
+        } else {
+            client.connection.read(room)
+        };
         match filled {
-            Filled::Some if client.phase == Phase::Reading => {
+            ReadResult::Data if client.phase == Phase::Reading => {
                 // A request counts from its first byte, the first one from the connection's coming, so that one
                 // sent drop by drop has no longer than others.
                 if begins && client.keeps {
@@ -188,61 +204,86 @@
                 }
                 self.advance(room, no);
             }
-            Filled::Some | Filled::Nothing => {}
-            Filled::Full => {
+            ReadResult::Data | ReadResult::WouldBlock => {}
+            ReadResult::NoBuffer => {
                 let lacks = client.connection.input.is_empty();
-                client.connection.wants(room, false, false);
+                client.connection.set_interest(room, false, false);
                 // Guards against half requests that hold all buffers: one that has stalled gives its own up.
                 if lacks && self.part_with(room, Standing::Unfinished, self.stall) {
                     self.read_again(room);
                 }
             }
-            Filled::Ended | Filled::Failed => self.close(room, no),
+            ReadResult::EndOfStream | ReadResult::Failed => self.close(room, no),
         }
     }
 
     /// Reads on in what has come in, and answers or takes what is whole.
-    fn advance(&mut self, room: &mut Room, no: ConnectionNo) {
+    fn advance(&mut self, room: &mut Room, no: ConnectionId) {
         while let Some(client) = self.all.get_mut(&no).filter(|c| c.phase == Phase::Reading) {
-            if client.intake.untouched(&client.connection.input) {
-                client.connection.release_empty(room);
+            if client.reader.is_untouched(&client.connection.input) {
+                client.connection.release_empty_buffers(room);
                 return;
             }
-            match client.intake.request(&mut client.connection.input) {
-                Ok(Progress::More) => return,
-                Ok(Progress::Asks) => {
-                    let Some(out) = client.connection.out(room) else { return self.close(room, no) };
-                    write::go_on(out);
+            match client.reader.read_request(&mut client.connection.input) {
+                Ok(Progress::Incomplete) => return,
+                Ok(Progress::ExpectsContinue) => {
+                    let Some(out) = client.connection.output_buffer(room) else {
+                        return self.close(room, no);
+                    };
+                    write::continue_response(out);
                     return self.send(room, no);
                 }
                 // Guards against doubt about what belongs to a request: clients send one at a time, so what
                 // stands behind one makes it unreadable, be it a length that is wrong or hundreds at once.
-                Ok(Progress::Whole) if !client.is_alone() => self.refuse(room, no, Fault::Malformed),
-                Ok(Progress::Whole) => self.take(room, no),
+                Ok(Progress::Complete) if !client.is_alone() => {
+                    self.refuse(room, no, ParseError::Malformed)
+                }
+                Ok(Progress::Complete) => self.take(room, no),
                 Err(fault) => self.refuse(room, no, fault),
             }
         }
     }
 
-    /// A request is whole: a txn is told to the driver, anything else is answered here.
-    fn take(&mut self, room: &mut Room, no: ConnectionNo) {
-        let Some(client) = self.all.get_mut(&no) else { return };
-        let head = match RequestHead::read(&client.connection.input) {
+    /// A request is whole: a request is told to the driver, anything else is answered here.
+    fn take(&mut self, room: &mut Room, no: ConnectionId) {
+        let Some(client) = self.all.get_mut(&no) else {
+            return;
+        };
+        let head = match RequestHead::parse(&client.connection.input) {
             Ok(Some(head)) => head,
-            Ok(None) => return self.refuse(room, no, Fault::Malformed),
+            Ok(None) => return self.refuse(room, no, ParseError::Malformed),
             Err(fault) => return self.refuse(room, no, fault),
         };
-        client.keeps = head.keeps();
-        let (status, more, word) = match Request::read(&head, &self.products) {
-            // Guards against a second copy of a txn that is under way, which goes on undisturbed.
+        client.keeps = head.keeps_alive();
+        let (status, more, word) = match Request::read(&head, &self.classes) {
+            // Guards against a second copy of a request that is under way, which goes on undisturbed.
             Request::Txn { name, .. } if self.open.contains(name) => (409, None, String::new()),
-            Request::Txn { name, product, key, again, left } => {
+            Request::Txn {
+                name,
+                class,
+                key,
+                again,
+                left,
+            } => {
                 let id = room.next_txn();
                 client.phase = Phase::Waiting(id);
                 self.open.insert(name.to_string());
-                self.asking.insert(id, Asker { no, name: name.to_string() });
+                self.asking.insert(
+                    id,
+                    Asker {
+                        no,
+                        name: name.to_string(),
+                    },
+                );
                 room.counters.add(Count::Taken);
-                return room.tell(Notice::Taken { id, product, key, again, left, inward: None });
+                return room.tell(Notice::Taken {
+                    id,
+                    class,
+                    key,
+                    again,
+                    left,
+                    inward: None,
+                });
             }
             Request::Ready if self.serving == Serving::Ready => (200, None, String::new()),
             Request::Ready => (503, None, String::new()),
@@ -254,26 +295,28 @@
         self.respond(room, no, status, more, word.as_bytes(), true);
     }
 
-    /// Looks once more at the txn's client, right before something is done for it. Gives back whether it still waits.
+    /// Looks once more at the request's client, right before something is done for it. Gives back whether it still waits.
     /// Guards against an attempt for a client that has left while the program was kept from its sockets: the end of
     /// its connection may stand behind what called for the attempt.
-    pub fn still_waits(&mut self, room: &mut Room, id: TxnId) -> bool {
+    pub fn still_waits(&mut self, room: &mut Room, id: RequestId) -> bool {
         if let Some(no) = self.asking.get(&id).map(|asker| asker.no) {
             self.serve(room, no, WAITING);
         }
         self.asking.contains_key(&id)
     }
 
-    /// The txn's request, as long as its client waits.
-    pub fn asked<T>(&self, id: TxnId, with: impl FnOnce(Asked) -> T) -> Option<T> {
+    /// The request's request, as long as its client waits.
+    pub fn asked<T>(&self, id: RequestId, with: impl FnOnce(Asked) -> T) -> Option<T> {
         let client = self.all.get(&self.asking.get(&id)?.no)?;
         let bytes = &client.connection.input;
-        let head = RequestHead::read(&bytes[client.intake.head()]).ok().flatten()?;
-        asked(&head, &bytes[client.intake.body()]).map(with)
+        let head = RequestHead::parse(&bytes[client.reader.head()])
+            .ok()
+            .flatten()?;
+        asked(&head, &bytes[client.reader.body()]).map(with)
     }
 
-    /// The txn's one final answer.
-    pub fn answer(&mut self, room: &mut Room, id: TxnId, answer: Answer) {
+    /// The request's one final answer.
+    pub fn answer(&mut self, room: &mut Room, id: RequestId, answer: Answer) {
         let Some(no) = self.forget(id) else { return };
         let (count, status) = match &answer {
             Answer::Settled(_) => (Count::Settled, 200),
@@ -283,11 +326,19 @@
         room.counters.add(count);
         match answer {
             Answer::Settled(mut told) => {
-                self.respond(room, no, status, None, &told.buffer[told.body.clone()], true);
-                room.pool.give_back(&mut told.buffer);
+                self.respond(
+                    room,
+                    no,
+                    status,
+                    None,
+                    &told.buffer[told.body.clone()],
+                    true,
+                );
+                room.buffers.release(&mut told.buffer);
             }
             Answer::Declined { retry_after } => {
-                let after = retry_after.map(|after| ("Retry-After", after.as_secs().to_string()));
+                let after =
+                    retry_after.map(|after| ("Retry-After", after.as_seconds().to_string()));
                 self.respond(room, no, status, after, b"", true);
             }
             Answer::Voided => self.respond(room, no, status, None, b"", true),
@@ -300,16 +351,21 @@
     fn respond(
         &mut self,
         room: &mut Room,
-        no: ConnectionNo,
+        no: ConnectionId,
         status: u16,
         more: Option<(&str, String)>,
         body: &[u8],
         whole: bool,
     ) {
-        let Some(client) = self.all.get_mut(&no) else { return };
-        let kept = whole && client.is_alone() && client.keeps && self.serving != Serving::ShuttingDown;
+        let Some(client) = self.all.get_mut(&no) else {
+            return;
+        };
+        let kept =
+            whole && client.is_alone() && client.keeps && self.serving != Serving::ShuttingDown;
         client.phase = Phase::Answering { kept };
-        let Some(out) = client.connection.out(room) else { return self.close(room, no) };
+        let Some(out) = client.connection.output_buffer(room) else {
+            return self.close(room, no);
+        };
         write::status_line(out, status);
         if let Some((name, value)) = more {
             write::field(out, name, value);
@@ -322,31 +378,37 @@
     }
 
     /// Guards against doubt about where the next request starts: a malformed one ends its connection.
-    fn refuse(&mut self, room: &mut Room, no: ConnectionNo, fault: Fault) {
+    fn refuse(&mut self, room: &mut Room, no: ConnectionId, fault: ParseError) {
         room.counters.add(Count::Malformed);
         self.respond(room, no, fault.status(), None, b"", false);
     }
 
-    fn send(&mut self, room: &mut Room, no: ConnectionNo) {
-        let Some(client) = self.all.get_mut(&no) else { return };
+    fn send(&mut self, room: &mut Room, no: ConnectionId) {
+        let Some(client) = self.all.get_mut(&no) else {
+            return;
+        };
         client.since = room.now();
         match client.connection.flush(room) {
-            Flushed::Failed => return self.close(room, no),
-            Flushed::Part => return client.connection.wants(room, client.phase == Phase::Reading, true),
-            Flushed::All => client.connection.wants(room, true, false),
+            WriteResult::Failed => return self.close(room, no),
+            WriteResult::Partial => {
+                return client
+                    .connection
+                    .set_interest(room, client.phase == Phase::Reading, true)
+            }
+            WriteResult::Complete => client.connection.set_interest(room, true, false),
         }
         match client.phase {
             Phase::Answering { kept: true } => {
-                client.intake.consume(&mut client.connection.input);
+                client.reader.consume(&mut client.connection.input);
                 client.phase = Phase::Reading;
-                client.connection.release_empty(room);
+                client.connection.release_empty_buffers(room);
                 self.advance(room, no);
             }
             Phase::Answering { kept: false } => {
                 client.phase = Phase::Parting;
-                client.connection.finish_sending();
+                client.connection.shut_down_sending();
                 client.connection.input.clear();
-                client.connection.release_empty(room);
+                client.connection.release_empty_buffers(room);
             }
             _ => {}
         }
--- a/crates/gateway/src/downstream/request_parser.rs
+++ b/crates/gateway/src/downstream/request_parser.rs
@@ -1,9 +1,9 @@
-//! What a client's request is: a txn, a look at whether the gateway is ready, or neither.
+//! What a client's request is: a request, a look at whether the gateway is ready, or neither.
 
+use harrierdock_config::ClassNames;
 use harrierdock_http::RequestHead;
-use harrierdock_types::interface::{Key, ProductIx};
-use harrierdock_types::time::Span;
-use indexmap::IndexSet;
+use harrierdock_types::TimeDelta;
+use harrierdock_types::{AffinityKey, ClassId};
 
 use crate::runtime::context::Asked;
 
@@ -25,25 +25,27 @@
     Ready,
     Txn {
         name: &'b str,
-        product: ProductIx,
-        key: Option<Key>,
+        class: ClassId,
+        key: Option<AffinityKey>,
         again: bool,
-        left: Span,
+        left: TimeDelta,
     },
     NotFound,
     NotAllowed {
         methods: String,
     },
-    /// The field that keeps it from being a txn.
+    /// The field that keeps it from being a request.
     Wrong {
         field: &'static str,
     },
 }
 
 /// A key is a small number at the door, whatever its text.
-fn key(text: &str) -> Key {
-    let number = (text.len() == 16).then(|| u64::from_str_radix(text, 16).ok()).flatten();
-    Key(number.unwrap_or_else(|| harrierdock_config::hash(text)))
+fn key(text: &str) -> AffinityKey {
+    let number = (text.len() == 16)
+        .then(|| u64::from_str_radix(text, 16).ok())
+        .flatten();
+    AffinityKey(number.unwrap_or_else(|| harrierdock_config::fnv1a(text)))
 }
 
 fn good_id(text: &str) -> bool {
@@ -51,41 +53,45 @@
 }
 
 impl<'b> Request<'b> {
-    pub fn read(head: &RequestHead<'b>, products: &IndexSet<String>) -> Request<'b> {
+    pub fn read(head: &RequestHead<'b>, classes: &ClassNames) -> Request<'b> {
         match head.path() {
             PATH_READY => Request::Ready,
-            PATH_TXN if !METHODS.contains(&head.method) => {
-                Request::NotAllowed { methods: METHODS.join(", ") }
-            }
-            PATH_TXN => txn(head, products).unwrap_or_else(|field| Request::Wrong { field }),
+            PATH_TXN if !METHODS.contains(&head.method) => Request::NotAllowed {
+                methods: METHODS.join(", "),
+            },
+            PATH_TXN => request(head, classes).unwrap_or_else(|field| Request::Wrong { field }),
             _ => Request::NotFound,
         }
     }
 }
 
-fn txn<'b>(head: &RequestHead<'b>, products: &IndexSet<String>) -> Result<Request<'b>, &'static str> {
-    let one = |name| head.fields.one(name).ok().flatten();
+fn request<'b>(head: &RequestHead<'b>, classes: &ClassNames) -> Result<Request<'b>, &'static str> {
+    let one = |name| head.fields.single(name).ok().flatten();
     let name = one(FIELD_TXN).filter(|id| good_id(id)).ok_or(FIELD_TXN)?;
-    head.fields.one(FIELD_REFERENCE).map_err(|_| FIELD_REFERENCE)?;
+    head.fields
+        .single(FIELD_REFERENCE)
+        .map_err(|_| FIELD_REFERENCE)?;
     let digits = one(FIELD_LEFT).filter(|left| left.bytes().all(|b| b.is_ascii_digit()));
-    let left: u32 = digits.and_then(|left| left.parse().ok()).ok_or(FIELD_LEFT)?;
-    let product = one(FIELD_PRODUCT).and_then(|name| products.get_index_of(name));
+    let left: u32 = digits
+        .and_then(|left| left.parse().ok())
+        .ok_or(FIELD_LEFT)?;
+    let class = one(FIELD_PRODUCT).and_then(|name| classes.id(name));
     Ok(Request::Txn {
         name,
-        product: product.ok_or(FIELD_PRODUCT)?,
-        key: head.parameter(PARAMETER_KEY).map(key),
+        class: class.ok_or(FIELD_PRODUCT)?,
+        key: head.query_parameter(PARAMETER_KEY).map(key),
         again: one(FIELD_AGAIN) == Some("1"),
-        left: Span(i64::from(left) * 1000),
+        left: TimeDelta(i64::from(left) * 1000),
     })
 }
 
-/// What of a txn's request goes on to a server.
+/// What of a request's request goes on to a endpoint.
 pub fn asked<'a>(head: &RequestHead<'a>, body: &'a [u8]) -> Option<Asked<'a>> {
     Some(Asked {
         method: head.method,
         target: head.target,
-        txn: head.fields.one(FIELD_TXN).ok().flatten()?,
-        reference: head.fields.one(FIELD_REFERENCE).ok().flatten(),
+        request: head.fields.single(FIELD_TXN).ok().flatten()?,
+        reference: head.fields.single(FIELD_REFERENCE).ok().flatten(),
         body,
     })
 }
--- a/crates/gateway/src/flow_export/exporter.rs
+++ b/crates/gateway/src/flow_export/exporter.rs
@@ -12,10 +12,12 @@
 use harrierdock_flow_metering::{
     Dropped, Flow, Flows, Kind, Outcome, Pending, Road as Way, Sums, BUCKETS, KEYS,
 };
-use harrierdock_ipfix::{Element, Form, Kind as Type, Semantics, Template, Value, Writer, ENTERPRISE};
+use harrierdock_ipfix::{
+    Element, Form, Kind as Type, Semantics, Template, Value, Writer, ENTERPRISE,
+};
 use harrierdock_site_transport::Credentials;
-use harrierdock_types::interface::{Outcome as Ended, ProductIx, StageNews};
-use harrierdock_types::time::{Point, Span};
+use harrierdock_types::{AttemptOutcome as Ended, ClassId, EndpointId, RolloutUpdate};
+use harrierdock_types::{TimeDelta, Timestamp};
 use nanorand::{Rng, WyRand};
 use rustls::{ClientConfig, ClientConnection, RootCertStore};
 use socket2::{Domain, Protocol, Socket, Type as SocketType};
@@ -27,35 +29,57 @@
 const UDP_MOST: usize = 1400;
 const STREAM_MOST: usize = 8 * 1024;
 /// What is allowed and not used is saved for so long.
-const SAVED: Span = Span(2_000_000);
+const SAVED: TimeDelta = TimeDelta(2_000_000);
 /// Octets written for a collector and not taken by its socket, at the most.
 const WAITING_MOST: usize = 64 * 1024;
 /// Messages to one UDP collector in one turn, so that a burst does not overrun it.
 const UDP_BURST: usize = 16;
 /// Over UDP templates are sent again this often (RFC 7011, 8.4), and statistics everywhere.
-const TEMPLATES_EVERY: Span = Span(10_000_000);
-const STATISTICS_EVERY: Span = Span(5_000_000);
+const TEMPLATES_EVERY: TimeDelta = TimeDelta(10_000_000);
+const STATISTICS_EVERY: TimeDelta = TimeDelta(5_000_000);
 /// How long a connection may take, and the pauses between tries: doubled, with jitter, up to the most.
-const CONNECT: Span = Span(2_000_000);
-const PAUSE: Span = Span(250_000);
-const PAUSE_MOST: Span = Span(8_000_000);
+const CONNECT: TimeDelta = TimeDelta(2_000_000);
+const PAUSE: TimeDelta = TimeDelta(250_000);
+const PAUSE_MOST: TimeDelta = TimeDelta(8_000_000);
 /// What was written so lately when a connection breaks may not have arrived.
-const IN_DOUBT: Span = Span(1_000_000);
+const IN_DOUBT: TimeDelta = TimeDelta(1_000_000);
 /// Releases whose shares wait for one collector, at the most.
 const SHARES_MOST: usize = 256;
 /// Rows of the last tally, at the most.
 const TALLIES_MOST: usize = 512;
 const MILLION: u64 = 1_000_000;
 
-const fn iana(id: u16, name: &'static str, kind: Type, semantics: Semantics, units: u16) -> Element {
-    Element { enterprise: None, id, name, kind, semantics, units }
+const fn iana(
+    id: u16,
+    name: &'static str,
+    kind: Type,
+    semantics: Semantics,
+    units: u16,
+) -> Element {
+    Element {
+        enterprise: None,
+        id,
+        name,
+        kind,
+        semantics,
+        units,
+    }
 }
 
 const fn own(id: u16, name: &'static str, kind: Type, semantics: Semantics, units: u16) -> Element {
-    Element { enterprise: Some(ENTERPRISE), id, name, kind, semantics, units }
+    Element {
+        enterprise: Some(ENTERPRISE),
+        id,
+        name,
+        kind,
+        semantics,
+        units,
+    }
 }
 
-use Semantics::{Default as Plain, DeltaCounter as Delta, Identifier, Quantity, TotalCounter as Total};
+use Semantics::{
+    Default as Plain, DeltaCounter as Delta, Identifier, Quantity, TotalCounter as Total,
+};
 use Type::{Milliseconds, Text, Unsigned16, Unsigned32, Unsigned64, Unsigned8};
 
 const START: Element = iana(152, "flowStartMilliseconds", Milliseconds, Plain, 0);
@@ -74,10 +98,14 @@
 const BACK: Element = own(12, "hdAnswerOctets", Unsigned64, Delta, 2);
 const CAP: Element = own(13, "hdCapPartsPerMillion", Unsigned32, Quantity, 0);
 const TAKEN: Element = own(14, "hdTaken", Unsigned64, Delta, 0);
-const RECORDED: [Element; 2] =
-    [own(15, "hdRecordedSubmissions", Unsigned64, Total, 0), own(16, "hdRecordedTxns", Unsigned64, Total, 0)];
-const DROPPED: [Element; 2] =
-    [own(17, "hdDroppedSubmissions", Unsigned64, Total, 0), own(18, "hdDroppedTxns", Unsigned64, Total, 0)];
+const RECORDED: [Element; 2] = [
+    own(15, "hdRecordedSubmissions", Unsigned64, Total, 0),
+    own(16, "hdRecordedTxns", Unsigned64, Total, 0),
+];
+const DROPPED: [Element; 2] = [
+    own(17, "hdDroppedSubmissions", Unsigned64, Total, 0),
+    own(18, "hdDroppedTxns", Unsigned64, Total, 0),
+];
 const TIMES: [Element; BUCKETS] = [
     own(21, "hdTimesUpToEighthSla", Unsigned64, Delta, 0),
     own(22, "hdTimesUpToQuarterSla", Unsigned64, Delta, 0),
@@ -105,7 +133,7 @@
 
 struct Templates {
     submissions: Template,
-    txns: Template,
+    requests: Template,
     shares: Template,
     statistics: Template,
     types: Template,
@@ -118,28 +146,39 @@
         let head = [START, END, PRODUCT, OUTCOME, ROAD];
         Templates {
             submissions: template(256, 0, [&head[..], &[BUILD, STAGE, SERVER], &sums].concat()),
-            txns: template(257, 0, [&head[..], &sums].concat()),
+            requests: template(257, 0, [&head[..], &sums].concat()),
             shares: template(258, 0, vec![START, END, BUILD, STAGE, CAP, TAKEN, COUNT]),
             statistics: template(
                 259,
                 1,
-                [&[PROCESS, MESSAGES, EXPORTED, NOT_SENT, IGNORED][..], &RECORDED, &DROPPED].concat(),
+                [
+                    &[PROCESS, MESSAGES, EXPORTED, NOT_SENT, IGNORED][..],
+                    &RECORDED,
+                    &DROPPED,
+                ]
+                .concat(),
             ),
             types: template(260, 2, TYPE_FIELDS.to_vec()),
         }
     }
 
     fn all(&self) -> [&Template; 5] {
-        [&self.submissions, &self.txns, &self.shares, &self.statistics, &self.types]
+        [
+            &self.submissions,
+            &self.requests,
+            &self.shares,
+            &self.statistics,
+            &self.types,
+        ]
     }
 }
 
 /// How a release stands beside its cap, over an interval.
 #[derive(Clone, Copy)]
 struct Share {
-    from: Point,
-    until: Point,
-    cap: u64,
+    from: Timestamp,
+    until: Timestamp,
+    exposure_limit: u64,
     taken: u64,
     submissions: u64,
 }
@@ -154,18 +193,18 @@
     Udp(UdpSocket),
     Stream(Box<Stream>),
     /// Not connected; tried again at this point.
-    Resting(Point),
+    Resting(Timestamp),
 }
 
 struct Stream {
     socket: TcpStream,
-    since: Point,
+    since: Timestamp,
     up: bool,
     tls: Option<ClientConnection>,
     /// Octets of the first message that have gone already.
     gone: usize,
     /// What was written lately.
-    lately: VecDeque<(Point, u64)>,
+    lately: VecDeque<(Timestamp, u64)>,
 }
 
 /// What goes one way: what waits, and the messages made of it.
@@ -173,13 +212,13 @@
     form: Form,
     most: usize,
     /// How often templates are told again, if at all.
-    again: Option<Span>,
+    again: Option<TimeDelta>,
     pub pending: Pending,
     shares: BTreeMap<(u32, u8), Share>,
     writer: Writer,
     sealed: VecDeque<Sealed>,
-    templates_due: Point,
-    statistics_due: Point,
+    templates_due: Timestamp,
+    statistics_due: Timestamp,
     messages: u64,
     records: u64,
     octets: u64,
@@ -194,7 +233,7 @@
     in_doubt: u64,
     /// Octets that may be sealed by now, and when that was reckoned.
     allowed: f64,
-    reckoned: Point,
+    reckoned: Timestamp,
 }
 
 /// What is summed up when all is over, for one collector.
@@ -213,37 +252,37 @@
     collectors: Vec<Collector>,
     file: Option<FlowFile>,
     chance: WyRand,
-    slas: Vec<Span>,
-    start: Point,
+    slas: Vec<TimeDelta>,
+    start: Timestamp,
     /// The newest build told, its stage, and its cap in parts of a million.
     stage: (u32, u8, u64),
     taken: u64,
     by_build: BTreeMap<u32, u64>,
-    /// All that was recorded, by kind, build and product: what the sums are checked against.
-    tally: BTreeMap<(Kind, u32, ProductIx), u64>,
-    share_from: Point,
+    /// All that was recorded, by kind, build and request class: what the sums are checked against.
+    tally: BTreeMap<(Kind, u32, ClassId), u64>,
+    share_from: Timestamp,
 }
 
 fn outcome(ended: Ended) -> Outcome {
     match ended {
-        Ended::Served => Outcome::Served,
-        Ended::Errored => Outcome::Errored,
-        Ended::Full => Outcome::Full,
+        Ended::Succeeded => Outcome::Served,
+        Ended::ServerError => Outcome::Errored,
+        Ended::Rejected => Outcome::Full,
         Ended::TimedOut => Outcome::TimedOut,
         Ended::ConnectFailed => Outcome::ConnectFailed,
         Ended::Reset => Outcome::Reset,
-        Ended::Recalled => Outcome::Recalled,
-        Ended::Moot => Outcome::Moot,
+        Ended::Cancelled => Outcome::Recalled,
+        Ended::NotSent => Outcome::Moot,
     }
 }
 
-/// A submission that ended, as the driver saw it.
+/// A attempt that ended, as the driver saw it.
 pub struct Submission {
-    pub product: ProductIx,
+    pub class: ClassId,
     pub build: u32,
-    pub server: usize,
+    pub endpoint: usize,
     pub ended: Ended,
-    pub took: Span,
+    pub duration: TimeDelta,
     pub second: bool,
     pub inward: bool,
     pub out: usize,
@@ -251,14 +290,19 @@
 }
 
 fn unix_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_millis() as u64
 }
 
 /// Client's end of TLS on TCP, with the keys that the file names.
 fn tls(credentials: &Credentials) -> Result<Arc<ClientConfig>, String> {
     let mut roots = RootCertStore::empty();
     for certificate in &credentials.authority {
-        roots.add(certificate.clone()).map_err(|e| format!("authority: {e}"))?;
+        roots
+            .add(certificate.clone())
+            .map_err(|e| format!("authority: {e}"))?;
     }
     let provider = Arc::new(rustls::crypto::ring::default_provider());
     let config = ClientConfig::builder_with_provider(provider)
@@ -271,7 +315,13 @@
 }
 
 impl Outbox {
-    pub fn new(now: Point, form: Form, domain: u32, most: usize, again: Option<Span>) -> Outbox {
+    pub fn new(
+        now: Timestamp,
+        form: Form,
+        domain: u32,
+        most: usize,
+        again: Option<TimeDelta>,
+    ) -> Outbox {
         Outbox {
             form,
             most,
@@ -289,7 +339,7 @@
     }
 
     /// A new session, with its templates and its sequence.
-    pub fn begin(&mut self, now: Point, domain: u32) {
+    pub fn begin(&mut self, now: Timestamp, domain: u32) {
         self.writer = Writer::new(self.form, domain, self.most);
         (self.templates_due, self.statistics_due) = (now, now);
     }
@@ -303,7 +353,10 @@
     /// What was sealed waits again.
     fn unseal(&mut self) {
         for sealed in std::mem::take(&mut self.sealed) {
-            sealed.flows.into_iter().for_each(|flow| self.pending.put_back(flow));
+            sealed
+                .flows
+                .into_iter()
+                .for_each(|flow| self.pending.put_back(flow));
         }
     }
 
@@ -316,7 +369,7 @@
         let room = self.shares.len() < SHARES_MOST;
         match self.shares.get_mut(&of) {
             Some(held) => {
-                (held.until, held.cap) = (share.until, share.cap);
+                (held.until, held.exposure_limit) = (share.until, share.exposure_limit);
                 held.taken += share.taken;
                 held.submissions += share.submissions;
             }
@@ -328,13 +381,22 @@
     }
 
     /// Writes what waits into messages, as much as the socket is likely to take.
-    pub fn seal(&mut self, now: Point, export: &Sources, most: usize) {
-        let Sources { templates, names, .. } = export;
+    pub fn seal(&mut self, now: Timestamp, export: &Sources, most: usize) {
+        let Sources {
+            templates, names, ..
+        } = export;
         let waiting: usize = self.sealed.iter().map(|s| s.bytes.len()).sum();
         let (mut room, mut flows) = (most.saturating_sub(waiting), Vec::new());
         if now >= self.templates_due && room > 0 {
-            let told = templates.all().into_iter().try_for_each(|t| self.writer.template(t));
-            let own = templates.all().into_iter().flat_map(|t| &t.fields).filter(|f| f.enterprise.is_some());
+            let told = templates
+                .all()
+                .into_iter()
+                .try_for_each(|t| self.writer.template(t));
+            let own = templates
+                .all()
+                .into_iter()
+                .flat_map(|t| &t.fields)
+                .filter(|f| f.enterprise.is_some());
             let mut seen = Vec::new();
             for field in own.filter(|_| self.form == Form::Ipfix) {
                 if !seen.contains(&field.id) {
@@ -351,60 +413,89 @@
                 }
             }
             debug_assert!(told.is_ok(), "templates fit a message");
-            self.templates_due = self.again.map_or(Point(i64::MAX), |again| now + again);
+            self.templates_due = self.again.map_or(Timestamp(i64::MAX), |again| now + again);
         }
         if now >= self.statistics_due && room > 0 {
             let dropped = self.pending.dropped();
-            let values: Vec<Value> =
-                [u64::from(std::process::id()), self.messages, self.records, dropped.flows, export.ignored]
-                    .into_iter()
-                    .chain(export.recorded)
-                    .chain(dropped.counts)
-                    .map(Value::Number)
-                    .collect();
+            let values: Vec<Value> = [
+                u64::from(std::process::id()),
+                self.messages,
+                self.records,
+                dropped.flows,
+                export.ignored,
+            ]
+            .into_iter()
+            .chain(export.recorded)
+            .chain(dropped.counts)
+            .map(Value::Number)
+            .collect();
             let _ = self.writer.record(&templates.statistics, &values);
             self.statistics_due = now + STATISTICS_EVERY;
         }
-        let at = |point: Point| export.unix_ms.saturating_sub(((now - point).0 / 1000).max(0) as u64);
+        let at = |point: Timestamp| {
+            export
+                .unix_ms
+                .saturating_sub(((now - point).0 / 1000).max(0) as u64)
+        };
         while room > 0 {
-            let Some((key, share)) = self.shares.pop_first() else { break };
+            let Some((key, share)) = self.shares.pop_first() else {
+                break;
+            };
             let values = [
                 at(share.from),
                 at(share.until),
                 u64::from(key.0),
                 u64::from(key.1),
-                share.cap,
+                share.exposure_limit,
                 share.taken,
                 share.submissions,
             ];
-            let _ = self.writer.record(&templates.shares, &values.map(Value::Number));
+            let _ = self
+                .writer
+                .record(&templates.shares, &values.map(Value::Number));
             room = room.saturating_sub(64);
         }
         while room > 0 {
-            let Some(flow) = self.pending.take() else { break };
+            let Some(flow) = self.pending.take() else {
+                break;
+            };
             let key = flow.key;
-            let product = names.products.get_index(usize::from(key.product)).map_or("", String::as_str);
+            let class = names.classes.name(ClassId(usize::from(key.class)));
             let mut values = vec![
                 Value::Number(at(flow.from)),
                 Value::Number(at(flow.until)),
-                Value::from(product),
+                Value::from(class),
                 Value::from(key.outcome.name()),
                 Value::from(key.road.name()),
             ];
             let template = match key.kind {
                 Kind::Submission => {
-                    let server = key.server.and_then(|s| names.servers.name(s as usize)).unwrap_or("");
+                    let endpoint = key
+                        .endpoint
+                        .and_then(|s| names.endpoints.name(EndpointId(s as usize)))
+                        .unwrap_or("");
                     values.extend([
                         Value::Number(u64::from(key.build)),
                         Value::Number(u64::from(key.stage)),
-                        Value::from(server),
+                        Value::from(endpoint),
                     ]);
                     &templates.submissions
                 }
-                Kind::Txn => &templates.txns,
+                Kind::Txn => &templates.requests,
             };
-            let Sums { count, second, late, time, times, out, back } = flow.sums;
-            let sums = [count, second, late, time].into_iter().chain(times).chain([out, back]);
+            let Sums {
+                count,
+                second,
+                late,
+                time,
+                times,
+                out,
+                back,
+            } = flow.sums;
+            let sums = [count, second, late, time]
+                .into_iter()
+                .chain(times)
+                .chain([out, back]);
             values.extend(sums.map(Value::Number));
             let written = self.writer.record(template, &values);
             debug_assert!(written.is_ok(), "a record fits a message");
@@ -418,7 +509,7 @@
 
     /// Takes the messages that are done. A message's flows are those recorded until it was done, but for the one
     /// that began the next.
-    fn collect(&mut self, now: Point, export: &Sources, flows: &mut Vec<Flow>, all: bool) {
+    fn collect(&mut self, now: Timestamp, export: &Sources, flows: &mut Vec<Flow>, all: bool) {
         let up = ((now - export.start).0 / 1000) as u32;
         let done = self.writer.take((export.unix_ms / 1000) as u32, up);
         let last = done.len().saturating_sub(1);
@@ -433,16 +524,29 @@
 }
 
 impl Collector {
-    fn new(now: Point, told: &CollectorTold, with: &With, domain: u32) -> Result<Collector, String> {
+    fn new(
+        now: Timestamp,
+        told: &CollectorTold,
+        with: &With,
+        domain: u32,
+    ) -> Result<Collector, String> {
         let tls = match &told.keys {
-            Some(files) => {
-                Some(tls(&with.read_keys(files, &format!("flows.collectors.{}.keys", told.name))?)?)
-            }
+            Some(files) => Some(tls(
+                &with.read_keys(files, &format!("flows.collectors.{}.keys", told.name))?
+            )?),
             None => None,
         };
-        let form = if told.form == FlowForm::V9 { Form::V9 } else { Form::Ipfix };
+        let form = if told.form == FlowForm::V9 {
+            Form::V9
+        } else {
+            Form::Ipfix
+        };
         let udp = told.road == CollectorRoad::Udp;
-        let most = if udp { told.message_octets.unwrap_or(UDP_MOST) } else { STREAM_MOST };
+        let most = if udp {
+            told.message_octets.unwrap_or(UDP_MOST)
+        } else {
+            STREAM_MOST
+        };
         // Over a connection templates are told once.
         let outbox = Outbox::new(now, form, domain, most, udp.then_some(TEMPLATES_EVERY));
         Ok(Collector {
@@ -458,12 +562,20 @@
     }
 
     /// Goes on to the next try after a while. What was not sent waits again.
-    fn rest(&mut self, now: Point, chance: &mut WyRand, domain: u32, why: &str) {
+    fn rest(&mut self, now: Timestamp, chance: &mut WyRand, domain: u32, why: &str) {
         if self.tries == 0 {
-            tracing::warn!("flows: collector {} at {}: {why}", self.told.name, self.told.address);
+            tracing::warn!(
+                "flows: collector {} at {}: {why}",
+                self.told.name,
+                self.told.address
+            );
         }
         if let Line::Stream(stream) = &self.line {
-            let lately = stream.lately.iter().filter(|(at, _)| now - *at < IN_DOUBT).map(|(_, n)| n);
+            let lately = stream
+                .lately
+                .iter()
+                .filter(|(at, _)| now - *at < IN_DOUBT)
+                .map(|(_, n)| n);
             self.in_doubt += lately.sum::<u64>();
         }
         self.outbox.unseal();
@@ -477,10 +589,14 @@
         (self.outbox.templates_due, self.outbox.statistics_due) = (now, now);
     }
 
-    fn open(&mut self, now: Point) -> std::io::Result<()> {
+    fn open(&mut self, now: Timestamp) -> std::io::Result<()> {
         let address: SocketAddr = self.told.address;
         if self.told.road == CollectorRoad::Udp {
-            let unspecified = if address.is_ipv4() { "0.0.0.0:0" } else { "[::]:0" };
+            let unspecified = if address.is_ipv4() {
+                "0.0.0.0:0"
+            } else {
+                "[::]:0"
+            };
             let socket = UdpSocket::bind(unspecified)?;
             socket.set_nonblocking(true)?;
             socket.connect(address)?;
@@ -497,20 +613,32 @@
         }
         let tls = match &self.tls {
             Some(config) => {
-                let name = self.told.server_name.clone().unwrap_or_else(|| address.ip().to_string());
-                let name = rustls_pki_types::ServerName::try_from(name).map_err(std::io::Error::other)?;
+                let name = self
+                    .told
+                    .server_name
+                    .clone()
+                    .unwrap_or_else(|| address.ip().to_string());
+                let name =
+                    rustls_pki_types::ServerName::try_from(name).map_err(std::io::Error::other)?;
                 Some(ClientConnection::new(config.clone(), name).map_err(std::io::Error::other)?)
             }
             None => None,
         };
         let lately = VecDeque::new();
-        let stream = Stream { socket: socket.into(), since: now, up: false, tls, gone: 0, lately };
+        let stream = Stream {
+            socket: socket.into(),
+            since: now,
+            up: false,
+            tls,
+            gone: 0,
+            lately,
+        };
         self.line = Line::Stream(Box::new(stream));
         Ok(())
     }
 
     /// Whether something may be written now; `Err` says why the line is of no use any more.
-    fn is_up(&mut self, now: Point) -> Result<bool, String> {
+    fn is_up(&mut self, now: Timestamp) -> Result<bool, String> {
         match &mut self.line {
             Line::Udp(_) => Ok(true),
             Line::Resting(_) => Ok(false),
@@ -519,12 +647,14 @@
     }
 
     /// Sends what is sealed, as far as it goes. `Err` says why the line is of no use any more.
-    fn send(&mut self, now: Point) -> Result<(), String> {
+    fn send(&mut self, now: Timestamp) -> Result<(), String> {
         match &mut self.line {
             Line::Resting(_) => Ok(()),
             Line::Udp(socket) => {
                 for _ in 0..UDP_BURST {
-                    let Some(sealed) = self.outbox.sealed.front() else { return Ok(()) };
+                    let Some(sealed) = self.outbox.sealed.front() else {
+                        return Ok(());
+                    };
                     match socket.send(&sealed.bytes) {
                         Ok(_) => {
                             self.outbox.sealed.pop_front();
@@ -555,7 +685,7 @@
         }
     }
 
-    fn drive(&mut self, now: Point, chance: &mut WyRand, export: &Sources) {
+    fn drive(&mut self, now: Timestamp, chance: &mut WyRand, export: &Sources) {
         if let Line::Resting(until) = self.line {
             if now < until {
                 return;
@@ -570,14 +700,24 @@
                     tracing::info!("flows: collector {} is reached", self.told.name);
                     self.tries = 0;
                 }
-                let most =
-                    if self.told.road == CollectorRoad::Udp { UDP_BURST * UDP_MOST } else { WAITING_MOST };
+                let most = if self.told.road == CollectorRoad::Udp {
+                    UDP_BURST * UDP_MOST
+                } else {
+                    WAITING_MOST
+                };
                 // Guards against a gateway that suddenly carries much of the traffic, or has much to make up for,
                 // sending at another rate than before. At the end all goes.
-                let (rate, waited) = (f64::from(self.told.octets_a_second), (now - self.reckoned).as_secs());
-                self.allowed = (self.allowed + rate * waited).min(rate * SAVED.as_secs());
+                let (rate, waited) = (
+                    f64::from(self.told.octets_a_second),
+                    (now - self.reckoned).as_seconds(),
+                );
+                self.allowed = (self.allowed + rate * waited).min(rate * SAVED.as_seconds());
                 self.reckoned = now;
-                let most = if export.ends { most } else { most.min(self.allowed as usize) };
+                let most = if export.ends {
+                    most
+                } else {
+                    most.min(self.allowed as usize)
+                };
                 let before = self.outbox.octets;
                 self.outbox.seal(now, export, most);
                 self.allowed -= (self.outbox.octets - before) as f64;
@@ -591,14 +731,25 @@
     }
 
     fn tally(&self) -> Tally {
-        let Outbox { pending, messages, records, .. } = &self.outbox;
+        let Outbox {
+            pending,
+            messages,
+            records,
+            ..
+        } = &self.outbox;
         let (name, dropped, in_doubt) = (self.told.name.clone(), pending.dropped(), self.in_doubt);
-        Tally { name, dropped, messages: *messages, records: *records, in_doubt }
+        Tally {
+            name,
+            dropped,
+            messages: *messages,
+            records: *records,
+            in_doubt,
+        }
     }
 }
 
 impl Stream {
-    fn is_up(&mut self, now: Point) -> Result<bool, String> {
+    fn is_up(&mut self, now: Timestamp) -> Result<bool, String> {
         if let Ok(Some(e)) | Err(e) = self.socket.take_error() {
             return Err(e.to_string());
         }
@@ -637,7 +788,9 @@
             match read {
                 Ok(0) => return Err("has closed".into()),
                 Ok(_) => {}
-                Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => return Ok(()),
+                Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => {
+                    return Ok(())
+                }
                 Err(e) => return Err(e.to_string()),
             }
         }
@@ -646,7 +799,9 @@
 
     /// Moves what TLS has for the socket. Gives back whether all has gone.
     fn push(&mut self) -> Result<bool, String> {
-        let Some(tls) = &mut self.tls else { return Ok(true) };
+        let Some(tls) = &mut self.tls else {
+            return Ok(true);
+        };
         while tls.wants_write() {
             match tls.write_tls(&mut self.socket) {
                 Ok(_) => {}
@@ -689,7 +844,7 @@
 pub struct Sources<'a> {
     templates: &'a Templates,
     names: &'a Names,
-    start: Point,
+    start: Timestamp,
     unix_ms: u64,
     domain: u32,
     recorded: [u64; 2],
@@ -700,15 +855,29 @@
 
 impl Export {
     /// None where the file tells of no export.
-    pub fn open(now: Point, with: &With, slas: Vec<Span>, seed: u64) -> Result<Option<Export>, String> {
-        let Some(told) = &with.flows else { return Ok(None) };
-        let collectors = told.collectors.iter().map(|c| Collector::new(now, c, with, told.domain));
+    pub fn open(
+        now: Timestamp,
+        with: &With,
+        slas: Vec<TimeDelta>,
+        seed: u64,
+    ) -> Result<Option<Export>, String> {
+        let Some(told) = &with.flows else {
+            return Ok(None);
+        };
+        let collectors = told
+            .collectors
+            .iter()
+            .map(|c| Collector::new(now, c, with, told.domain));
         let file = told
             .file
             .as_ref()
             .map(|f| FlowFile::open(now, with.path(&f.path), f, told.domain))
             .transpose()?;
-        tracing::info!("flows: {} collectors, told every {} ms", told.collectors.len(), told.active_ms);
+        tracing::info!(
+            "flows: {} collectors, told every {} ms",
+            told.collectors.len(),
+            told.active_ms
+        );
         Ok(Some(Export {
             flows: Flows::new(now, told.active()),
             templates: Templates::new(),
@@ -726,81 +895,104 @@
         }))
     }
 
-    pub fn stage(&mut self, news: &StageNews) {
-        let cap = (news.cap.clamp(0.0, 1.0) * MILLION as f64) as u64;
-        self.stage = (news.build, news.stage.min(255) as u8, cap);
+    pub fn stage(&mut self, news: &RolloutUpdate) {
+        let exposure_limit = (news.exposure_limit.clamp(0.0, 1.0) * MILLION as f64) as u64;
+        self.stage = (news.build.0, news.stage.min(255) as u8, exposure_limit);
     }
 
     pub fn taken(&mut self) {
         self.taken += 1;
     }
 
-    pub fn submission(&mut self, now: Point, of: &Submission) {
+    pub fn submission(&mut self, now: Timestamp, of: &Submission) {
         *self.by_build.entry(of.build).or_default() += 1;
-        self.count(Kind::Submission, of.build, of.product);
-        let stage = if of.build == self.stage.0 { self.stage.1 } else { 0 };
+        self.count(Kind::Submission, of.build, of.class);
+        let stage = if of.build == self.stage.0 {
+            self.stage.1
+        } else {
+            0
+        };
         self.flows.record(
             now,
             &harrierdock_flow_metering::Ended {
                 kind: Kind::Submission,
                 build: of.build,
                 stage,
-                product: of.product.min(255) as u8,
+                class: of.class.0.min(255) as u8,
                 outcome: outcome(of.ended),
                 road: if of.inward { Way::Inward } else { Way::Here },
-                server: u32::try_from(of.server).ok(),
+                endpoint: u32::try_from(of.endpoint).ok(),
                 second: of.second,
-                took: of.took,
-                sla: self.slas.get(of.product).copied().unwrap_or(Span(1)),
+                took: of.duration,
+                sla: self.slas.get(of.class.0).copied().unwrap_or(TimeDelta(1)),
                 out: of.out as u64,
                 back: of.back as u64,
             },
         );
     }
 
-    fn count(&mut self, kind: Kind, build: u32, product: ProductIx) {
+    fn count(&mut self, kind: Kind, build: u32, class: ClassId) {
         // Builds beyond are counted together; only a log line depends on it.
-        let build = if self.tally.len() < TALLIES_MOST { build } else { 0 };
-        *self.tally.entry((kind, build, product)).or_default() += 1;
+        let build = if self.tally.len() < TALLIES_MOST {
+            build
+        } else {
+            0
+        };
+        *self.tally.entry((kind, build, class)).or_default() += 1;
     }
 
-    /// What was recorded, as one line of JSON: kind, build, product, how many.
+    /// What was recorded, as one line of JSON: kind, build, request class, how many.
     pub fn tally(&self, names: &Names) -> String {
-        let name = |p: ProductIx| names.products.get_index(p).map_or("", String::as_str);
-        let rows = self.tally.iter().map(|((kind, build, p), n)| (kind.name(), build, name(*p), n));
+        let name = |p: ClassId| names.classes.name(p);
+        let rows = self
+            .tally
+            .iter()
+            .map(|((kind, build, p), n)| (kind.name(), build, name(*p), n));
         serde_json::to_string(&rows.collect::<Vec<_>>()).unwrap_or_default()
     }
 
-    pub fn txn(&mut self, now: Point, product: ProductIx, outcome: Outcome, road: Way, took: Span) {
-        self.count(Kind::Txn, 0, product);
+    pub fn request(
+        &mut self,
+        now: Timestamp,
+        class: ClassId,
+        outcome: Outcome,
+        road: Way,
+        duration: TimeDelta,
+    ) {
+        self.count(Kind::Txn, 0, class);
         self.flows.record(
             now,
             &harrierdock_flow_metering::Ended {
                 kind: Kind::Txn,
                 build: 0,
                 stage: 0,
-                product: product.min(255) as u8,
+                class: class.0.min(255) as u8,
                 outcome,
                 road,
-                server: None,
+                endpoint: None,
                 second: false,
-                took,
-                sla: self.slas.get(product).copied().unwrap_or(Span(1)),
+                took: duration,
+                sla: self.slas.get(class.0).copied().unwrap_or(TimeDelta(1)),
                 out: 0,
                 back: 0,
             },
         );
     }
 
-    pub fn next(&self) -> Point {
+    pub fn next(&self) -> Timestamp {
         self.flows.next()
     }
 
     /// A turn of the wheel: what is due joins what waits, and all lines are moved on.
-    pub fn turn(&mut self, now: Point, names: &Names, ends: bool) {
-        let due = if ends { self.flows.flush(now) } else { self.flows.due(now) };
+    pub fn turn(&mut self, now: Timestamp, names: &Names, ends: bool) {
+        let due = if ends {
+            self.flows.flush(now)
+        } else {
+            self.flows.due(now)
+        };
         for collector in &mut self.collectors {
-            due.iter().for_each(|flow| collector.outbox.pending.add(*flow));
+            due.iter()
+                .for_each(|flow| collector.outbox.pending.add(*flow));
         }
         if now - self.share_from >= self.told.active() || ends {
             self.tell_shares(now);
@@ -823,29 +1015,49 @@
         }
     }
 
-    fn tell_shares(&mut self, now: Point) {
-        let (build, stage, cap) = self.stage;
+    fn tell_shares(&mut self, now: Timestamp) {
+        let (build, stage, exposure_limit) = self.stage;
         let taken = std::mem::take(&mut self.taken);
         for (of, submissions) in std::mem::take(&mut self.by_build) {
             // Whoever is not the newest has no cap.
-            let (stage, cap) = if of == build { (stage, cap) } else { (0, MILLION) };
-            let share = Share { from: self.share_from, until: now, cap, taken, submissions };
+            let (stage, exposure_limit) = if of == build {
+                (stage, exposure_limit)
+            } else {
+                (0, MILLION)
+            };
+            let share = Share {
+                from: self.share_from,
+                until: now,
+                exposure_limit,
+                taken,
+                submissions,
+            };
             let boxes = self.collectors.iter_mut().map(|c| &mut c.outbox);
-            boxes.chain(self.file.as_mut().map(|f| &mut f.outbox)).for_each(|b| b.share((of, stage), share));
+            boxes
+                .chain(self.file.as_mut().map(|f| &mut f.outbox))
+                .for_each(|b| b.share((of, stage), share));
         }
         self.share_from = now;
     }
 
     /// Turns to the collectors of a new file. Those of the same name keep what waits for them.
-    pub fn renew(&mut self, now: Point, with: &With) -> Result<(), String> {
+    pub fn renew(&mut self, now: Timestamp, with: &With) -> Result<(), String> {
         let Some(told) = &with.flows else {
             return Err("flows: export ends with the next start only".into());
         };
-        let made = told.collectors.iter().map(|c| Collector::new(now, c, with, told.domain));
+        let made = told
+            .collectors
+            .iter()
+            .map(|c| Collector::new(now, c, with, told.domain));
         let mut collectors = made.collect::<Result<Vec<Collector>, String>>()?;
         for collector in &mut collectors {
-            let same = self.collectors.iter().position(|c| c.told.name == collector.told.name);
-            let Some(mut old) = same.map(|at| self.collectors.swap_remove(at)) else { continue };
+            let same = self
+                .collectors
+                .iter()
+                .position(|c| c.told.name == collector.told.name);
+            let Some(mut old) = same.map(|at| self.collectors.swap_remove(at)) else {
+                continue;
+            };
             if old.told == collector.told && old.told.keys.is_none() {
                 *collector = old;
                 continue;
@@ -859,7 +1071,10 @@
             gone.outbox.unseal();
             gone.outbox.pending.give_up();
             let dropped = gone.outbox.pending.dropped().counts;
-            tracing::warn!("flows: collector {} is gone; given up in all: {dropped:?}", gone.told.name);
+            tracing::warn!(
+                "flows: collector {} is gone; given up in all: {dropped:?}",
+                gone.told.name
+            );
         }
         self.collectors = collectors;
         self.told.collectors.clone_from(&told.collectors);
@@ -867,7 +1082,7 @@
     }
 
     /// All is over: what waits is given up, and what became of everything is told.
-    pub fn end(&mut self, now: Point, names: &Names) -> ([u64; 2], Vec<Tally>) {
+    pub fn end(&mut self, now: Timestamp, names: &Names) -> ([u64; 2], Vec<Tally>) {
         self.turn(now, names, true);
         for collector in &mut self.collectors {
             collector.outbox.unseal();
@@ -876,6 +1091,9 @@
         if let Some(file) = self.file.take() {
             file.close();
         }
-        (self.flows.recorded(), self.collectors.iter().map(Collector::tally).collect())
+        (
+            self.flows.recorded(),
+            self.collectors.iter().map(Collector::tally).collect(),
+        )
     }
 }
--- a/crates/gateway/src/flow_export/file.rs
+++ b/crates/gateway/src/flow_export/file.rs
@@ -9,7 +9,7 @@
 
 use harrierdock_flow_metering::Flow;
 use harrierdock_ipfix::{split_file, Form, Torn};
-use harrierdock_types::time::Point;
+use harrierdock_types::Timestamp;
 
 use crate::config::extensions::FlowFileTold;
 use crate::flow_export::exporter::Outbox;
@@ -46,7 +46,12 @@
     /// Opens a file to go on with. A message that a kill has torn is cut off; what is no such file is put aside.
     fn open(path: PathBuf, most: u64, keep: u32) -> Result<Disk, String> {
         let wrong = |e: std::io::Error| format!("flows.file.path: {}: {e}", path.display());
-        let mut file = OpenOptions::new().read(true).append(true).create(true).open(&path).map_err(wrong)?;
+        let mut file = OpenOptions::new()
+            .read(true)
+            .append(true)
+            .create(true)
+            .open(&path)
+            .map_err(wrong)?;
         let mut bytes = Vec::new();
         file.read_to_end(&mut bytes).map_err(wrong)?;
         match split_file(&bytes) {
@@ -56,11 +61,20 @@
                 file.set_len(end as u64).map_err(wrong)?;
             }
             Err((at, _)) => {
-                return Err(format!("flows.file.path: {}: no IPFIX at octet {at}", path.display()))
+                return Err(format!(
+                    "flows.file.path: {}: no IPFIX at octet {at}",
+                    path.display()
+                ))
             }
         }
         let size = file.metadata().map_err(wrong)?.len();
-        Ok(Disk { path, file, size, most, keep })
+        Ok(Disk {
+            path,
+            file,
+            size,
+            most,
+            keep,
+        })
     }
 
     fn write(&mut self, message: &[u8]) -> std::io::Result<()> {
@@ -73,12 +87,18 @@
     fn rotate(&mut self) -> std::io::Result<()> {
         for number in (1..self.keep).rev() {
             // One that is not there need not move.
-            let _ = rename(numbered(&self.path, number), numbered(&self.path, number + 1));
+            let _ = rename(
+                numbered(&self.path, number),
+                numbered(&self.path, number + 1),
+            );
         }
         if self.keep > 0 {
             rename(&self.path, numbered(&self.path, 1))?;
         }
-        self.file = OpenOptions::new().append(true).create(true).open(&self.path)?;
+        self.file = OpenOptions::new()
+            .append(true)
+            .create(true)
+            .open(&self.path)?;
         if self.keep == 0 {
             self.file.set_len(0)?;
         }
@@ -88,7 +108,12 @@
 }
 
 impl FlowFile {
-    pub fn open(now: Point, path: PathBuf, told: &FlowFileTold, domain: u32) -> Result<FlowFile, String> {
+    pub fn open(
+        now: Timestamp,
+        path: PathBuf,
+        told: &FlowFileTold,
+        domain: u32,
+    ) -> Result<FlowFile, String> {
         let most = u64::from(told.most_mb.max(1)) * MEGABYTE;
         let mut disk = Disk::open(path, most, told.keep)?;
         let (to, messages) = sync_channel::<Vec<u8>>(WAITING_MOST);
@@ -101,7 +126,9 @@
                 }
                 let full = disk.size + message.len() as u64 > disk.most;
                 let written = if full {
-                    disk.rotate().and_then(|()| disk.write(&templates)).and_then(|()| disk.write(&message))
+                    disk.rotate()
+                        .and_then(|()| disk.write(&templates))
+                        .and_then(|()| disk.write(&message))
                 } else {
                     disk.write(&message)
                 };
@@ -116,7 +143,12 @@
             let _ = disk.file.sync_all();
         });
         let outbox = Outbox::new(now, Form::Ipfix, domain, MESSAGE_MOST, None);
-        Ok(FlowFile { outbox, held: None, to: Some(to), thread: Some(thread) })
+        Ok(FlowFile {
+            outbox,
+            held: None,
+            to: Some(to),
+            thread: Some(thread),
+        })
     }
 
     /// What is due joins what waits, and goes to the thread as far as that takes it.
--- a/crates/gateway/src/lease/handlers.rs
+++ b/crates/gateway/src/lease/handlers.rs
@@ -1,11 +1,14 @@
 //! Duties on sockets: what `fleet` and `steward` ask for is done here, with the peers' road and the loop's dues.
 
 use calloop::Readiness;
-use harrierdock_event_loop::ConnectionNo;
+use harrierdock_event_loop::ConnectionId;
 use harrierdock_lease::{Duty, Event};
 use harrierdock_rollout_controller::{self as ballots, Action, Answer, Event as StewardEvent};
-use harrierdock_types::interface::{Build, Event as ModuleEvent, PeerIx, Phase, StageNews, Verdict, Word};
-use harrierdock_types::time::{Point, Span};
+use harrierdock_types::{
+    BuildId, Event as ModuleEvent, PeerId, PlatformStatus, RolloutDecision, RolloutPhase,
+    RolloutUpdate,
+};
+use harrierdock_types::{TimeDelta, Timestamp};
 
 use crate::config::extensions::With;
 use crate::config::gateway::Told;
@@ -19,11 +22,15 @@
 impl Gateway {
     /// Begins this gateway's part in the fleet, where one is told.
     pub fn begin_duties(&mut self, told: &Told, with: &With, spans: &Spans) -> Result<(), String> {
-        let Some(shared) = &with.fleet else { return Ok(()) };
+        let Some(shared) = &with.fleet else {
+            return Ok(());
+        };
         let terms = shared.terms(&told.beside()?).map_err(|e| e.to_string())?;
         let (now, own) = (self.room.now(), (terms.own, terms.ids.len()));
         if let Some(steward) = &shared.steward {
-            self.stewarding = Some(Box::new(Stewarding::new(now, steward, &told.name, own, spans)));
+            self.stewarding = Some(Box::new(Stewarding::new(
+                now, steward, &told.name, own, spans,
+            )));
         }
         tracing::info!("fleet: {}", shared.summary(&told.name));
         let (duties, asked) = Duties::new(now, shared.clone(), terms, &told.name, told.seed());
@@ -48,14 +55,21 @@
         for asked in asked {
             match asked {
                 Asked::Send { to, bytes } => self.send_to(to, bytes),
-                Asked::Holds { duty: Duty::Steward, epoch } => {
+                Asked::Holds {
+                    duty: Duty::Steward,
+                    epoch,
+                } => {
                     self.steward(StewardEvent::Holds { epoch: epoch.0 });
                 }
-                Asked::Ended { duty: Duty::Steward } => self.steward(StewardEvent::Lost),
+                Asked::Ended {
+                    duty: Duty::Steward,
+                } => self.steward(StewardEvent::Lost),
                 Asked::Holds { .. } | Asked::Ended { .. } => {}
                 Asked::WakeAt(at) => {
                     let dues = &mut self.room.dues;
-                    self.fleet_armed.into_iter().for_each(|before| dues.clear(before, Due::Fleet));
+                    self.fleet_armed
+                        .into_iter()
+                        .for_each(|before| dues.cancel(before, Due::Fleet));
                     dues.set(at, Due::Fleet);
                     self.fleet_armed = Some(at);
                 }
@@ -63,7 +77,7 @@
         }
     }
 
-    fn send_to(&mut self, to: PeerIx, mut bytes: Vec<u8>) {
+    fn send_to(&mut self, to: PeerId, mut bytes: Vec<u8>) {
         if let Some((peers, duties)) = self.peers.as_ref().zip(self.duties.as_ref()) {
             duties.reform(&mut bytes);
             peers.send(&mut self.room, to, &bytes);
@@ -71,9 +85,11 @@
     }
 
     /// A datagram of a gateway of the fleet. What cannot be read changes nothing.
-    pub fn fleet_mail(&mut self, from: PeerIx, mut bytes: Vec<u8>) {
+    pub fn fleet_mail(&mut self, from: PeerId, mut bytes: Vec<u8>) {
         let now = self.room.now();
-        self.duties.iter().for_each(|duties| duties.reform(&mut bytes));
+        self.duties
+            .iter()
+            .for_each(|duties| duties.reform(&mut bytes));
         if bytes.first() == Some(&ballots::FIRST) && self.stewarding.is_some() {
             match ballots::read(&bytes) {
                 Ok(told) => {
@@ -97,28 +113,36 @@
     }
 
     /// The module votes. Gives back whether the vote goes to the steward, and not to the platform.
-    pub fn vote_by_steward(&mut self, build: Build, stage: usize, verdict: Verdict) -> bool {
+    pub fn vote_by_steward(
+        &mut self,
+        build: BuildId,
+        stage: usize,
+        verdict: RolloutDecision,
+    ) -> bool {
         if self.stewarding.is_none() {
             return false;
         }
         self.room.counters.add(Count::Votes);
-        self.steward(StewardEvent::Cast(controller::ballot(build, stage, verdict)));
+        self.steward(StewardEvent::Cast(controller::ballot(
+            build, stage, verdict,
+        )));
         // To the module the vote stands: it renews it as it would at the platform.
-        let news = StageNews {
+        let news = RolloutUpdate {
             build,
             stage,
-            phase: Phase::Trial,
-            cap: 0.0,
-            word: Word::Moot,
+            phase: RolloutPhase::Canary,
+            exposure_limit: 0.0,
+            status: PlatformStatus::Superseded,
             answers_vote: true,
-            age: Span::ZERO,
+            age: TimeDelta::ZERO,
         };
-        self.room.tell(Notice::Event(ModuleEvent::Stage(news)));
+        self.room
+            .tell(Notice::Event(ModuleEvent::RolloutUpdated(news)));
         true
     }
 
     /// The platform has told how a build stands.
-    pub fn steward_news(&mut self, news: &StageNews) {
+    pub fn steward_news(&mut self, news: &RolloutUpdate) {
         if let Some(event) = controller::stage(news).filter(|_| self.stewarding.is_some()) {
             self.steward(event);
         }
@@ -132,7 +156,10 @@
                 Action::Tell(told) => {
                     let electors = self.duties.as_ref().map(|d| d.electors());
                     let bytes = ballots::write(&told);
-                    electors.into_iter().flatten().for_each(|to| self.send_to(to, bytes.to_vec()));
+                    electors
+                        .into_iter()
+                        .flatten()
+                        .for_each(|to| self.send_to(to, bytes.to_vec()));
                 }
                 Action::Call { ballot, again } => self.call(ballot, again),
                 Action::Said(_) => {}
@@ -141,10 +168,15 @@
         }
     }
 
-    fn wake_steward(&mut self, at: Point) {
-        let Some(stewarding) = &mut self.stewarding else { return };
+    fn wake_steward(&mut self, at: Timestamp) {
+        let Some(stewarding) = &mut self.stewarding else {
+            return;
+        };
         let dues = &mut self.room.dues;
-        stewarding.due.into_iter().for_each(|before| dues.clear(before, Due::Steward));
+        stewarding
+            .due
+            .into_iter()
+            .for_each(|before| dues.cancel(before, Due::Steward));
         dues.set(at, Due::Steward);
         stewarding.due = Some(at);
     }
@@ -157,36 +189,63 @@
     }
 
     fn call(&mut self, ballot: ballots::Ballot, again: bool) {
-        let Some(stewarding) = &mut self.stewarding else { return };
-        let no = self.room.next_connection();
+        let Some(stewarding) = &mut self.stewarding else {
+            return;
+        };
+        let no = self.room.next_connection_id();
         let ready = move |gateway: &mut Gateway, readiness| {
             gateway.call_ready(no, readiness);
             gateway.settle();
         };
         match stewarding.begin(&mut self.room.net, (ballot, again), no, ready) {
             Some(due) => self.room.dues.set(due, Due::Call(no)),
-            None => self.steward(StewardEvent::Answered { ballot, answer: Answer::NotWritten }),
+            None => self.steward(StewardEvent::Answered {
+                ballot,
+                answer: Answer::NotWritten,
+            }),
         }
     }
 
-    fn call_ready(&mut self, no: ConnectionNo, readiness: Readiness) {
-        let Gateway { stewarding, duties, room, .. } = self;
+    fn call_ready(&mut self, no: ConnectionId, readiness: Readiness) {
+        let Gateway {
+            stewarding,
+            duties,
+            room,
+            ..
+        } = self;
         let may_act = |now| duties.as_ref().and_then(|d| d.may_act(now, Duty::Steward));
-        let ended = stewarding.as_mut().and_then(|s| s.serve(&mut room.net, no, readiness, may_act));
+        let ended = stewarding
+            .as_mut()
+            .and_then(|s| s.serve(&mut room.net, no, readiness, may_act));
         self.call_ended(ended);
     }
 
-    pub fn give_up_call(&mut self, no: ConnectionNo) {
-        let ended = self.stewarding.as_mut().and_then(|s| s.give_up(&mut self.room.net, no));
+    pub fn give_up_call(&mut self, no: ConnectionId) {
+        let ended = self
+            .stewarding
+            .as_mut()
+            .and_then(|s| s.give_up(&mut self.room.net, no));
         self.call_ended(ended);
     }
 
     fn call_ended(&mut self, ended: Option<Ended>) {
-        let Some(Ended { ballot, answer, newest, no, due }) = ended else { return };
-        self.room.dues.clear(due, Due::Call(no));
+        let Some(Ended {
+            ballot,
+            answer,
+            newest,
+            no,
+            due,
+        }) = ended
+        else {
+            return;
+        };
+        self.room.dues.cancel(due, Due::Call(no));
         self.steward(StewardEvent::Answered { ballot, answer });
         if let Some(newest) = newest {
-            self.fleet(Event::Refused { duty: Duty::Steward, newest });
+            self.fleet(Event::Refused {
+                duty: Duty::Steward,
+                newest,
+            });
         }
     }
 
--- a/crates/gateway/src/lease/participant.rs
+++ b/crates/gateway/src/lease/participant.rs
@@ -2,21 +2,21 @@
 //! and the lines that say who holds what. Knows no socket: it takes bytes and points, and gives back what to do.
 
 use harrierdock_lease::{form, Action, Duty, Epoch, Event, Fleet, Terms, Unread, Why};
-use harrierdock_types::interface::PeerIx;
-use harrierdock_types::time::{Point, Span};
+use harrierdock_types::PeerId;
+use harrierdock_types::{TimeDelta, Timestamp};
 
 use crate::config::lease::{FleetMisfit, FleetTold};
 
 /// Messages that begin from here on are of a fleet; no text does.
 pub const FLEET_FROM: u8 = 0xF5;
 /// How often messages that cannot be read are told in the log.
-const UNREAD_EVERY: Span = Span(10_000_000);
+const UNREAD_EVERY: TimeDelta = TimeDelta(10_000_000);
 
 /// What is asked of the driver.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Asked {
     Send {
-        to: PeerIx,
+        to: PeerId,
         bytes: Vec<u8>,
     },
     /// A duty is this gateway's from now on.
@@ -28,18 +28,18 @@
         duty: Duty,
     },
     /// To be woken then, and at no earlier point asked for before.
-    WakeAt(Point),
+    WakeAt(Timestamp),
 }
 
 /// A clock that a rehearsal lets run fast or slow. Only what `crates/lease` is told goes by it.
 #[derive(Clone, Copy, Debug)]
 struct Pace {
-    start: Point,
+    start: Timestamp,
     rate: f64,
 }
 
 impl Pace {
-    fn told(self, now: Point) -> Point {
+    fn told(self, now: Timestamp) -> Timestamp {
         if self.rate == 1.0 {
             return now;
         }
@@ -51,16 +51,22 @@
     fleet: Fleet,
     told: FleetTold,
     name: String,
-    own: PeerIx,
+    own: PeerId,
     pace: Pace,
     form: u8,
     unread: u64,
-    unread_told: Option<Point>,
+    unread_told: Option<Timestamp>,
 }
 
 impl Duties {
     /// Begins, and would hold the told duties where this gateway is an elector.
-    pub fn new(now: Point, told: FleetTold, terms: Terms, name: &str, seed: u64) -> (Duties, Vec<Asked>) {
+    pub fn new(
+        now: Timestamp,
+        told: FleetTold,
+        terms: Terms,
+        name: &str,
+        seed: u64,
+    ) -> (Duties, Vec<Asked>) {
         let rehearsal = told.rehearsal.as_ref();
         let (rate, form) = rehearsal.map_or((1.0, form::FORM), |r| (r.clock_rate, r.form));
         let pace = Pace { start: now, rate };
@@ -69,8 +75,16 @@
         // Unix time in milliseconds, as points begin with it.
         let incarnation = (now.0 / 1000) as u64;
         let fleet = Fleet::new(terms, incarnation, seed ^ incarnation, now);
-        let mut duties =
-            Duties { fleet, told, name: name.into(), own, pace, form, unread: 0, unread_told: None };
+        let mut duties = Duties {
+            fleet,
+            told,
+            name: name.into(),
+            own: PeerId(own),
+            pace,
+            form,
+            unread: 0,
+            unread_told: None,
+        };
         let mut asked = duties.take(now, Event::Wake);
         for duty in wanted.into_iter().filter(|_| elector) {
             asked.extend(duties.take(now, Event::Wants { duty, wants: true }));
@@ -79,13 +93,21 @@
     }
 
     /// The electors but for this gateway.
-    pub fn electors(&self) -> Vec<PeerIx> {
-        self.fleet.electorate().0.electors.iter().copied().filter(|e| *e != self.own).collect()
+    pub fn electors(&self) -> Vec<PeerId> {
+        self.fleet
+            .electorate()
+            .0
+            .electors
+            .iter()
+            .copied()
+            .map(PeerId)
+            .filter(|e| *e != self.own)
+            .collect()
     }
 
     /// Whether this gateway may act in this duty right now. To be asked immediately before the bytes of each act go
     /// out. Guards against acts of one that was stalled, cut off or late: no other place knows the time of the act.
-    pub fn may_act(&self, now: Point, duty: Duty) -> Option<Epoch> {
+    pub fn may_act(&self, now: Timestamp, duty: Duty) -> Option<Epoch> {
         self.fleet.may_act(self.pace.told(now), duty)
     }
 
@@ -93,7 +115,11 @@
     /// message, whichever way it goes.
     pub fn reform(&self, bytes: &mut [u8]) {
         if let Some(form) = bytes.get_mut(1).filter(|_| self.form != form::FORM) {
-            *form = if *form == self.form { form::FORM } else { self.form };
+            *form = if *form == self.form {
+                form::FORM
+            } else {
+                self.form
+            };
         }
     }
 
@@ -101,17 +127,30 @@
     ///
     /// # Errors
     /// It cannot be read, and changes nothing.
-    pub fn hear(&mut self, now: Point, from: PeerIx, bytes: &[u8]) -> Result<Vec<Asked>, Unread> {
+    pub fn hear(
+        &mut self,
+        now: Timestamp,
+        from: PeerId,
+        bytes: &[u8],
+    ) -> Result<Vec<Asked>, Unread> {
         match form::read(bytes) {
-            Ok(message) => Ok(self.take(now, Event::Heard { from, message })),
+            Ok(message) => Ok(self.take(
+                now,
+                Event::Heard {
+                    from: from.0,
+                    message,
+                },
+            )),
             Err(e) => {
                 self.unread += 1;
                 // Guards against a log full of one garbled road or an old build: a line in a while says how many.
                 if self.unread_told.is_none_or(|at| now - at >= UNREAD_EVERY) {
                     let many = std::mem::take(&mut self.unread);
                     self.unread_told = Some(now);
-                    let name = self.told.gateways.get(from).map_or("?", String::as_str);
-                    tracing::warn!("fleet: {many} messages refused lately, the last from {name}: {e}");
+                    let name = self.told.gateways.get(from.0).map_or("?", String::as_str);
+                    tracing::warn!(
+                        "fleet: {many} messages refused lately, the last from {name}: {e}"
+                    );
                 }
                 Err(e)
             }
@@ -119,22 +158,32 @@
     }
 
     /// Tells `crates/lease`, says what has changed, and gives back what is to be done.
-    pub fn take(&mut self, now: Point, event: Event) -> Vec<Asked> {
+    pub fn take(&mut self, now: Timestamp, event: Event) -> Vec<Asked> {
         let actions = self.fleet.take(self.pace.told(now), event);
-        actions.into_iter().map(|action| self.asked(now, action)).collect()
+        actions
+            .into_iter()
+            .map(|action| self.asked(now, action))
+            .collect()
     }
 
-    fn asked(&self, now: Point, action: Action) -> Asked {
+    fn asked(&self, now: Timestamp, action: Action) -> Asked {
         match action {
-            Action::Tell { to, message } => Asked::Send { to, bytes: form::write(&message) },
+            Action::Tell { to, message } => Asked::Send {
+                to: PeerId(to),
+                bytes: form::write(&message),
+            },
             Action::Holds { duty, epoch } => {
                 tracing::info!("fleet: holds {duty}, epoch {epoch}");
                 Asked::Holds { duty, epoch }
             }
             Action::Ended { duty, epoch, why } => {
                 match why {
-                    Why::HandedOn => tracing::info!("fleet: {duty} ended, epoch {epoch}: handed on"),
-                    Why::Lapsed => tracing::warn!("fleet: {duty} ended, epoch {epoch}: not renewed in time"),
+                    Why::HandedOn => {
+                        tracing::info!("fleet: {duty} ended, epoch {epoch}: handed on")
+                    }
+                    Why::Lapsed => {
+                        tracing::warn!("fleet: {duty} ended, epoch {epoch}: not renewed in time")
+                    }
                     Why::Refused => {
                         tracing::warn!("fleet: {duty} ended, epoch {epoch}: a later one is known")
                     }
@@ -150,9 +199,11 @@
     ///
     /// # Errors
     /// What does not fit: the running fleet goes on with what it had.
-    pub fn renew(&mut self, now: Point, told: &FleetTold) -> Result<Vec<Asked>, FleetMisfit> {
+    pub fn renew(&mut self, now: Timestamp, told: &FleetTold) -> Result<Vec<Asked>, FleetMisfit> {
         if told.differs_beyond_electorate(&self.told) {
-            tracing::warn!("fleet: what is told beside the electorate counts from the next start on only");
+            tracing::warn!(
+                "fleet: what is told beside the electorate counts from the next start on only"
+            );
         }
         let same = (&told.electorate, told.electorate_number);
         if same == (&self.told.electorate, self.told.electorate_number) {
@@ -160,11 +211,15 @@
         }
         let next = told.electorate(&self.name)?;
         self.fleet.may_change(&next).map_err(FleetMisfit::of)?;
-        tracing::info!("fleet: electorate {} begins: {}", next.number, told.electorate.join(" "));
+        tracing::info!(
+            "fleet: electorate {} begins: {}",
+            next.number,
+            told.electorate.join(" ")
+        );
         self.told.electorate = told.electorate.clone();
         self.told.electorate_number = told.electorate_number;
-        let before = self.fleet.electorate().0.electors.contains(&self.own);
-        let after = next.electors.contains(&self.own);
+        let before = self.fleet.electorate().0.electors.contains(&self.own.0);
+        let after = next.electors.contains(&self.own.0);
         let mut asked = self.take(now, Event::Electorate(next));
         if before != after {
             for duty in told.duties.iter().filter_map(|d| d.parse().ok()) {
@@ -175,18 +230,24 @@
     }
 
     /// For the counters' line: what was counted, and who holds what as far as is known here.
-    pub fn counts(&self, now: Point) -> String {
+    pub fn counts(&self, now: Timestamp) -> String {
         let counts = self.fleet.counts();
         let holder = |duty: &str| -> Option<&str> {
             let known = self.fleet.holder(self.pace.told(now), duty.parse().ok()?)?;
             self.told.gateways.get(known.holder).map(String::as_str)
         };
         let told = self.told.duties.iter();
-        let holders: String =
-            told.map(|duty| format!(" {duty}={}", holder(duty).unwrap_or("nobody"))).collect();
+        let holders: String = told
+            .map(|duty| format!(" {duty}={}", holder(duty).unwrap_or("nobody")))
+            .collect();
         format!(
             "fleet: taken={} handed-on={} lapsed={} outdated={} unlike={} absurd={}{holders}",
-            counts.taken, counts.handed_on, counts.lapsed, counts.outdated, counts.unlike, counts.absurd
+            counts.taken,
+            counts.handed_on,
+            counts.lapsed,
+            counts.outdated,
+            counts.unlike,
+            counts.absurd
         )
     }
 }
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -30,7 +30,12 @@
 fn run(command: Command) -> Result<(), String> {
     let print = |text: String| say(io::stdout(), &text);
     match command {
-        Command::Serve { log, form, config, with } => {
+        Command::Serve {
+            log,
+            form,
+            config,
+            with,
+        } => {
             logging::start(log, form);
             runtime::gateway::serve(&Told::read(config)?, with)
         }
@@ -42,17 +47,23 @@
         Command::Keys(Keys::Authority { name, days, folder }) => {
             print(cli::keys::make_authority(&folder, &name, days)?)
         }
-        Command::Keys(Keys::Issue { days, folder, gateways }) => {
-            print(cli::keys::issue_all(&folder, &gateways, days)?)
-        }
+        Command::Keys(Keys::Issue {
+            days,
+            folder,
+            gateways,
+        }) => print(cli::keys::issue_all(&folder, &gateways, days)?),
         Command::Keys(Keys::Show { file }) => print(cli::keys::show_file(&file)?),
         Command::Flows { chart, files } => {
             let read = cli::flow_report::Read::files(&files)?;
-            read.notes.iter().try_for_each(|note| say(io::stderr(), note))?;
+            read.notes
+                .iter()
+                .try_for_each(|note| say(io::stderr(), note))?;
             print(read.table())?;
             chart.map_or(Ok(()), |path| read.chart(&path))
         }
-        Command::Site { word, control } => print(multi_site::control_socket::say(&control, word.as_str())?),
+        Command::Site { word, control } => {
+            print(multi_site::control_socket::say(&control, word.as_str())?)
+        }
         Command::Version => print(concat!("harrierdock ", env!("CARGO_PKG_VERSION")).into()),
     }
 }
@@ -62,7 +73,10 @@
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             // With nobody left to read it, the exit code still tells.
-            let _ = say(io::stderr(), &format!("harrierdock: {}", e.replace('\n', " ")));
+            let _ = say(
+                io::stderr(),
+                &format!("harrierdock: {}", e.replace('\n', " ")),
+            );
             ExitCode::from(2)
         }
     }
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -119,8 +119,9 @@
 impl fmt::Display for Counters {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         let seen = NAMES.iter().filter(|(what, _)| self.0[*what as usize] > 0);
-        let all: Vec<String> =
-            seen.map(|(what, name)| format!("{name}={}", self.0[*what as usize])).collect();
+        let all: Vec<String> = seen
+            .map(|(what, name)| format!("{name}={}", self.0[*what as usize]))
+            .collect();
         f.write_str(&all.join(" "))
     }
 }
--- a/crates/gateway/src/multi_site/control_socket.rs
+++ b/crates/gateway/src/multi_site/control_socket.rs
@@ -8,17 +8,17 @@
 
 use calloop::generic::Generic;
 use calloop::{Interest, LoopHandle, Mode, PostAction, RegistrationToken};
-use harrierdock_types::time::{Point, Span};
+use harrierdock_types::{TimeDelta, Timestamp};
 
 use crate::runtime::gateway::Gateway;
 
 /// Callers at once, at the most, and how long one may say nothing.
 const MOST: usize = 4;
-const PATIENCE: Span = Span(2_000_000);
+const PATIENCE: TimeDelta = TimeDelta(2_000_000);
 const WORD_MOST: usize = 64;
 
 struct Caller {
-    since: Point,
+    since: Timestamp,
     token: RegistrationToken,
 }
 
@@ -38,44 +38,53 @@
         let _ = std::fs::remove_file(&path);
         let listener = UnixListener::bind(&path).map_err(wrong)?;
         listener.set_nonblocking(true).map_err(wrong)?;
-        let call = |_, listener: &mut calloop::generic::NoIoDrop<UnixListener>, gateway: &mut Gateway| {
-            if let Ok((stream, _)) = listener.accept() {
-                let (now, handle) = (gateway.room.now(), gateway.room.handle.clone());
-                if let Some(control) = &mut gateway.control {
-                    control.adopt(&handle, stream, now);
+        let call =
+            |_, listener: &mut calloop::generic::NoIoDrop<UnixListener>, gateway: &mut Gateway| {
+                if let Ok((stream, _)) = listener.accept() {
+                    let (now, handle) = (gateway.room.now(), gateway.room.handle.clone());
+                    if let Some(control) = &mut gateway.control {
+                        control.adopt(&handle, stream, now);
+                    }
                 }
-            }
-            Ok(PostAction::Continue)
-        };
+                Ok(PostAction::Continue)
+            };
         handle
             .insert_source(Generic::new(listener, Interest::READ, Mode::Level), call)
             .map_err(|e| wrong(io::Error::other(e.error)))?;
-        Ok(Control { path, callers: Vec::new() })
+        Ok(Control {
+            path,
+            callers: Vec::new(),
+        })
     }
 
-    fn adopt(&mut self, handle: &LoopHandle<'static, Gateway>, stream: UnixStream, now: Point) {
+    fn adopt(&mut self, handle: &LoopHandle<'static, Gateway>, stream: UnixStream, now: Timestamp) {
         if self.callers.len() >= MOST || stream.set_nonblocking(true).is_err() {
             return;
         }
-        let call = |_, stream: &mut calloop::generic::NoIoDrop<UnixStream>, gateway: &mut Gateway| {
-            let mut word = [0; WORD_MOST];
-            let read = (&**stream).read(&mut word);
-            if matches!(&read, Err(e) if e.kind() == ErrorKind::WouldBlock) {
-                return Ok(PostAction::Continue);
-            }
-            let word = String::from_utf8_lossy(&word[..read.unwrap_or(0)]).trim().to_string();
-            let answer = gateway.by_hand(&word);
-            // It fits the socket's buffer; whoever does not take it has gone.
-            let _ = (&**stream).write_all(answer.as_bytes());
-            Ok(PostAction::Remove)
-        };
-        if let Ok(token) = handle.insert_source(Generic::new(stream, Interest::READ, Mode::Level), call) {
+        let call =
+            |_, stream: &mut calloop::generic::NoIoDrop<UnixStream>, gateway: &mut Gateway| {
+                let mut word = [0; WORD_MOST];
+                let read = (&**stream).read(&mut word);
+                if matches!(&read, Err(e) if e.kind() == ErrorKind::WouldBlock) {
+                    return Ok(PostAction::Continue);
+                }
+                let word = String::from_utf8_lossy(&word[..read.unwrap_or(0)])
+                    .trim()
+                    .to_string();
+                let answer = gateway.by_hand(&word);
+                // It fits the socket's buffer; whoever does not take it has gone.
+                let _ = (&**stream).write_all(answer.as_bytes());
+                Ok(PostAction::Remove)
+            };
+        if let Ok(token) =
+            handle.insert_source(Generic::new(stream, Interest::READ, Mode::Level), call)
+        {
             self.callers.push(Caller { since: now, token });
         }
     }
 
     /// Closes those who have said nothing for too long.
-    pub fn tend(&mut self, handle: &LoopHandle<'static, Gateway>, now: Point) {
+    pub fn tend(&mut self, handle: &LoopHandle<'static, Gateway>, now: Timestamp) {
         self.callers.retain(|caller| {
             let stays = now - caller.since < PATIENCE;
             if !stays {
@@ -96,7 +105,9 @@
 pub fn say(path: &Path, word: &str) -> Result<String, String> {
     let wrong = |e: io::Error| format!("control socket {}: {e}", path.display());
     let mut stream = UnixStream::connect(path).map_err(wrong)?;
-    stream.set_read_timeout(Some(Duration::from_secs(5))).map_err(wrong)?;
+    stream
+        .set_read_timeout(Some(Duration::from_secs(5)))
+        .map_err(wrong)?;
     stream.write_all(word.as_bytes()).map_err(wrong)?;
     let mut answer = String::new();
     stream.read_to_string(&mut answer).map_err(wrong)?;
--- a/crates/gateway/src/multi_site/forwarding.rs
+++ b/crates/gateway/src/multi_site/forwarding.rs
@@ -1,4 +1,4 @@
-//! Between two sites on sockets: the link's UDP socket, the letters on it, and the txns that cross. What is to
+//! Between two sites on sockets: the link's UDP socket, the letters on it, and the requests that cross. What is to
 //! cross, and what becomes of it, is decided in `crates/multi-site`; this file obeys.
 
 use std::collections::BTreeMap;
@@ -9,12 +9,14 @@
 
 use calloop::generic::Generic;
 use calloop::{Interest, Mode, PostAction};
-use harrierdock_event_loop::Purse;
-use harrierdock_multi_site::{status, Action, Change, Event, Hand, InwardNo, Place, Product, Sites};
+use harrierdock_event_loop::ResourceClass;
+use harrierdock_multi_site::{
+    status, Action, Change, Event, Hand, InwardNo, Place, RequestClass, Sites,
+};
 use harrierdock_site_messages::{self as letters, Handover, Letter, Party, Verdict};
 use harrierdock_site_transport::{Heard, Link, RoadNo};
-use harrierdock_types::interface::{Event as ModuleEvent, Lifecycle, TxnId};
-use harrierdock_types::time::{Point, Span};
+use harrierdock_types::{BuildId, Event as ModuleEvent, Lifecycle, RequestId};
+use harrierdock_types::{TimeDelta, Timestamp};
 use socket2::{Domain, Protocol, Socket, Type};
 
 use crate::config::extensions::With;
@@ -25,7 +27,7 @@
 use crate::runtime::gateway::Gateway;
 use crate::runtime::timer::Due;
 
-/// The longest datagram that is read, and how many in one go, so that a flood of them gives way to txns.
+/// The longest datagram that is read, and how many in one go, so that a flood of them gives way to requests.
 const DATAGRAM_MOST: usize = 2048;
 const READ_MOST: usize = 64;
 /// What the socket may hold for us meanwhile.
@@ -42,17 +44,17 @@
     socket: Rc<UdpSocket>,
     /// Those that were dialled and have not come up.
     dialled: BTreeMap<RoadNo, Party>,
-    /// The txns taken in from the other site, as they were written there.
-    held: BTreeMap<TxnId, (InwardNo, Handover)>,
-    inward: BTreeMap<InwardNo, TxnId>,
-    link_due: Option<Point>,
-    sites_due: Option<Point>,
+    /// The requests taken in from the other site, as they were written there.
+    held: BTreeMap<RequestId, (InwardNo, Handover)>,
+    inward: BTreeMap<InwardNo, RequestId>,
+    link_due: Option<Timestamp>,
+    sites_due: Option<Timestamp>,
     refused: u64,
-    refused_told: Option<Point>,
+    refused_told: Option<Timestamp>,
 }
 
 /// How often it is said that strangers were turned away.
-const REFUSED_EVERY: Span = Span(10_000_000);
+const REFUSED_EVERY: TimeDelta = TimeDelta(10_000_000);
 
 fn bind(address: SocketAddr) -> io::Result<UdpSocket> {
     let kind = Type::DGRAM.nonblocking().cloexec();
@@ -67,23 +69,31 @@
 impl Across {
     /// None where the file names no other site.
     pub fn open(room: &Room, told: &Told, with: &With) -> Result<Option<Across>, String> {
-        let Some(between) = &with.sites else { return Ok(None) };
+        let Some(between) = &with.sites else {
+            return Ok(None);
+        };
         let (terms, names) = told.terms()?;
         let own = between.own(&told.name);
         let credentials = with.credentials(&own)?;
-        let link = Link::new(&credentials, &between.other.site).map_err(|e| format!("sites.keys: {e}"))?;
+        let link =
+            Link::new(&credentials, &between.other.site).map_err(|e| format!("sites.keys: {e}"))?;
         let listens = |e: io::Error| format!("sites.listen: {}: {e}", between.listen);
         let socket = Rc::new(bind(between.listen).map_err(listens)?);
         let address = socket.local_addr().map_err(listens)?;
-        let product = |(name, told): (&String, &harrierdock_types::interface::ProductTerms)| Product {
-            name: name.clone(),
-            repeat: told.repeat,
-            sla: told.sla,
-            expiry: told.expiry,
-            revenue: told.revenue,
-            spans: between.groups_spanning.contains(name),
+        let class = |(name, told): (&str, &harrierdock_types::ClassParameters)| RequestClass {
+            name: name.to_string(),
+            repeat: told.retry_safety,
+            latency_objective: told.latency_objective,
+            expiry: told.timeout,
+            priority_weight: told.priority_weight,
+            spans: between
+                .groups_spanning
+                .iter()
+                .any(|spanning| spanning == name),
         };
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
         let place = Place {
             own: own.clone(),
             address: Some(between.reached_at.unwrap_or(address)),
@@ -91,8 +101,13 @@
             incarnation: unix.as_micros() as u64,
             other_site: between.other.site.clone(),
             seeds: between.seeds(),
-            products: names.products.iter().zip(&terms.products).map(product).collect(),
-            warm: terms.rules.ramp,
+            classes: names
+                .classes
+                .iter()
+                .zip(&terms.classes)
+                .map(class)
+                .collect(),
+            warm: terms.safety.slow_start_window,
             tick: terms.tick,
             retry_after: terms.limits.retry_after,
             memory: told.limits.memory_mb * MEGABYTE / MEMORY_PART,
@@ -106,8 +121,13 @@
             gateway.settle();
             Ok(PostAction::Continue)
         };
-        room.handle.insert_source(source, call).map_err(|e| format!("sites: {}", e.error))?;
-        tracing::info!("sites: {own} listens on {address} for gateways of {}", between.other.site);
+        room.handle
+            .insert_source(source, call)
+            .map_err(|e| format!("sites: {}", e.error))?;
+        tracing::info!(
+            "sites: {own} listens on {address} for gateways of {}",
+            between.other.site
+        );
         Ok(Some(Across {
             sites: Sites::new(room.now(), place),
             link,
@@ -136,13 +156,13 @@
         }
     }
 
-    /// A txn taken in, as its client wrote it at the other site.
-    pub fn asked<T>(&self, id: TxnId, with: impl FnOnce(Asked) -> T) -> Option<T> {
+    /// A request taken in, as its client wrote it at the other site.
+    pub fn asked<T>(&self, id: RequestId, with: impl FnOnce(Asked) -> T) -> Option<T> {
         let (_, handover) = self.held.get(&id)?;
         Some(with(Asked {
             method: &handover.method,
             target: &handover.target,
-            txn: &handover.txn,
+            request: &handover.txn,
             reference: handover.reference.as_deref(),
             body: &handover.body,
         }))
@@ -150,9 +170,15 @@
 
     fn send(&mut self, room: &mut Room, road: RoadNo, letter: &Letter) -> bool {
         match letters::write(letter) {
-            Ok(bytes) => self.link.send(Instant::now(), road, bytes, matches!(letter, Letter::Beat(_))),
+            Ok(bytes) => self.link.send(
+                Instant::now(),
+                road,
+                bytes,
+                matches!(letter, Letter::Beat(_)),
+            ),
             Err(e) => {
-                room.counters.must(false, &format!("a letter can be written: {e}"));
+                room.counters
+                    .must(false, &format!("a letter can be written: {e}"));
                 false
             }
         }
@@ -164,12 +190,19 @@
             // A datagram may be lost on its way as well.
             let _ = self.socket.send_to(&bytes, to);
         }
-        let after = |at: Instant| Span(at.saturating_duration_since(Instant::now()).as_micros() as i64);
+        let after = |at: Instant| {
+            TimeDelta(at.saturating_duration_since(Instant::now()).as_micros() as i64)
+        };
         let due = self.link.next_timeout().map(|at| room.now() + after(at));
         // A little earlier or later is the same time.
-        let same = self.link_due.zip(due).is_some_and(|(a, b)| (a - b).0.abs() < 1000);
+        let same = self
+            .link_due
+            .zip(due)
+            .is_some_and(|(a, b)| (a - b).0.abs() < 1000);
         if !same && self.link_due != due {
-            self.link_due.into_iter().for_each(|at| room.dues.clear(at, Due::Link));
+            self.link_due
+                .into_iter()
+                .for_each(|at| room.dues.cancel(at, Due::Link));
             due.into_iter().for_each(|at| room.dues.set(at, Due::Link));
             self.link_due = due;
         }
@@ -177,14 +210,21 @@
 
     pub fn renew(&mut self, with: &With) -> Result<(), String> {
         let credentials = with.credentials(&self.own)?;
-        self.link.renew(&credentials).map_err(|e| format!("sites.keys: {e}"))
+        self.link
+            .renew(&credentials)
+            .map_err(|e| format!("sites.keys: {e}"))
     }
 }
 
 fn plain(change: &Change) -> String {
     match change {
         Change::Joined { party } => format!("{party} is known"),
-        Change::Member { party, standing, back, reborn } => {
+        Change::Member {
+            party,
+            standing,
+            back,
+            reborn,
+        } => {
             let word = format!("{standing:?}").to_lowercase();
             let more = match (back, reborn) {
                 (_, true) => ", started anew",
@@ -203,8 +243,10 @@
 
 impl Gateway {
     /// Tells `crates/multi-site`, and does what it asks for.
-    pub fn sites(&mut self, now: Point, event: Event) {
-        let Some(across) = &mut self.across else { return };
+    pub fn sites(&mut self, now: Timestamp, event: Event) {
+        let Some(across) = &mut self.across else {
+            return;
+        };
         for action in across.sites.take(now, event) {
             self.obey_sites(now, action);
         }
@@ -236,15 +278,22 @@
         self.sites(now, Event::Wake);
     }
 
-    fn link_heard(&mut self, now: Point, heard: Heard) {
-        let Some(across) = &mut self.across else { return };
+    fn link_heard(&mut self, now: Timestamp, heard: Heard) {
+        let Some(across) = &mut self.across else {
+            return;
+        };
         match heard {
             Heard::Up { road, peer } => {
                 across.dialled.remove(&road);
                 tracing::info!("sites: linked with {peer}");
                 self.sites(now, Event::Up { road, peer });
             }
-            Heard::Down { road, peer, orderly, why } => {
+            Heard::Down {
+                road,
+                peer,
+                orderly,
+                why,
+            } => {
                 let dialled = across.dialled.remove(&road);
                 match (dialled, peer) {
                     (Some(peer), _) => {
@@ -264,7 +313,10 @@
             Heard::Refused { remote, why } => {
                 across.refused += 1;
                 // Guards against a log full of strangers: one line in a while says how many there were.
-                if across.refused_told.is_none_or(|at| now - at >= REFUSED_EVERY) {
+                if across
+                    .refused_told
+                    .is_none_or(|at| now - at >= REFUSED_EVERY)
+                {
                     let many = std::mem::take(&mut across.refused);
                     across.refused_told = Some(now);
                     tracing::warn!("sites: {many} refused lately, the last from {remote}: {why}");
@@ -280,17 +332,37 @@
         }
     }
 
-    fn obey_sites(&mut self, now: Point, action: Action) {
+    fn obey_sites(&mut self, now: Timestamp, action: Action) {
         match action {
             Action::Here { id, left } => self.hand_in(now, id, left),
-            Action::Across { id, road, crossing, to, beat, left } => {
-                let blank = Handover { crossing, to, beat, ..Handover::default() };
+            Action::Across {
+                id,
+                road,
+                crossing,
+                to,
+                beat,
+                left,
+            } => {
+                let blank = Handover {
+                    crossing,
+                    to,
+                    beat,
+                    ..Handover::default()
+                };
                 self.hand_over(now, id, road, blank, left)
             }
             Action::Settle { id, body, build } => self.settled_across(now, id, &body, build),
-            Action::Decline { id, retry_after } => self.answer(id, Answer::Declined { retry_after }),
+            Action::Decline { id, retry_after } => {
+                self.answer(id, Answer::Declined { retry_after })
+            }
             Action::Void { id } => self.answer(id, Answer::Voided),
-            Action::TakeIn { inward, product, key, left, handover } => {
+            Action::TakeIn {
+                inward,
+                class,
+                key,
+                left,
+                handover,
+            } => {
                 let id = self.room.next_txn();
                 let (again, least) = (handover.again, handover.least_build);
                 if let Some(across) = &mut self.across {
@@ -299,18 +371,35 @@
                 }
                 self.room.counters.add(Count::TakenIn);
                 if let Some(key) = key.filter(|_| least > 0) {
-                    let pinned = ModuleEvent::Pinned { key, build: least };
+                    let pinned = ModuleEvent::StickyVersionLearned {
+                        key,
+                        build: BuildId(least),
+                    };
                     self.room.tell(Notice::Event(pinned));
                 }
-                self.room.tell(Notice::Taken { id, product, key, again, left, inward: Some(inward) });
+                self.room.tell(Notice::Taken {
+                    id,
+                    class,
+                    key,
+                    again,
+                    left,
+                    inward: Some(inward),
+                });
             }
             Action::Abandon { inward } => {
-                if let Some(id) = self.across.as_ref().and_then(|a| a.inward.get(&inward)).copied() {
+                if let Some(id) = self
+                    .across
+                    .as_ref()
+                    .and_then(|a| a.inward.get(&inward))
+                    .copied()
+                {
                     self.room.tell(Notice::Left { id });
                 }
             }
             Action::Dial { peer, address } => {
-                let Some(across) = &mut self.across else { return };
+                let Some(across) = &mut self.across else {
+                    return;
+                };
                 match across.link.dial(Instant::now(), address, &peer) {
                     Ok(road) => {
                         across.dialled.insert(road, peer);
@@ -334,14 +423,19 @@
             }
             Action::Changed(change) => match change {
                 Change::Joined { .. } => tracing::debug!("sites: {}", plain(&change)),
-                Change::Home { .. } | Change::Strange { .. } => tracing::warn!("sites: {}", plain(&change)),
+                Change::Home { .. } | Change::Strange { .. } => {
+                    tracing::warn!("sites: {}", plain(&change))
+                }
                 Change::Member { .. } => tracing::info!("sites: {}", plain(&change)),
             },
             Action::Wake { after } => {
                 let Gateway { across, room, .. } = self;
                 if let Some(across) = across {
                     let at = now + after;
-                    across.sites_due.into_iter().for_each(|before| room.dues.clear(before, Due::Sites));
+                    across
+                        .sites_due
+                        .into_iter()
+                        .for_each(|before| room.dues.cancel(before, Due::Sites));
                     room.dues.set(at, Due::Sites);
                     across.sites_due = Some(at);
                 }
@@ -349,52 +443,92 @@
         }
     }
 
-    /// Writes a client's txn to the other site.
-    fn hand_over(&mut self, now: Point, id: TxnId, road: RoadNo, blank: Handover, left: Span) {
-        let Some((product, key, again)) = self.crosses(id) else { return };
-        let least_build = key.map_or(0, |key| self.driver.pin_of(key));
-        let Gateway { across, room, clients, driver, .. } = self;
+    /// Writes a client's request to the other site.
+    fn hand_over(
+        &mut self,
+        now: Timestamp,
+        id: RequestId,
+        road: RoadNo,
+        blank: Handover,
+        left: TimeDelta,
+    ) {
+        let Some((class, key, again)) = self.crosses(id) else {
+            return;
+        };
+        let least_build = key.map_or(0, |key| self.driver.pin_of(key).0);
+        let Gateway {
+            across,
+            room,
+            clients,
+            driver,
+            ..
+        } = self;
         let Some(across) = across else { return };
         let (from, crossing) = (across.sites.incarnation(), blank.crossing);
-        let name = driver.names.products.get_index(product).cloned().unwrap_or_default();
+        let name = driver.names.classes.name(class).to_string();
         let write = |asked: Asked<'_>| Handover {
             from,
-            product: name,
+            class: name,
             left_ms: (left.0 / 1000).clamp(0, i64::from(u32::MAX)) as u32,
             again,
             key: key.map(|k| k.0),
             least_build,
             method: asked.method.into(),
             target: asked.target.into(),
-            txn: asked.txn.into(),
+            txn: asked.request.into(),
             reference: asked.reference.map(str::to_string),
             body: asked.body.to_vec(),
             ..blank
         };
         // One whose client has gone is told as left, and nothing is sent for it.
-        let Some(handover) = clients.asked(id, write) else { return };
+        let Some(handover) = clients.asked(id, write) else {
+            return;
+        };
         room.counters.add(Count::HandedOver);
         if !across.send(room, road, &Letter::Handover(handover)) {
             // Not sent, so not taken, for certain.
             let verdict = Verdict::NotTaken;
-            let answer = letters::Answer { crossing, to: from, verdict, build: None, body: Vec::new() };
-            self.sites(now, Event::Heard { road, letter: Letter::Answer(answer) });
+            let answer = letters::Answer {
+                crossing,
+                to: from,
+                verdict,
+                build: None,
+                body: Vec::new(),
+            };
+            self.sites(
+                now,
+                Event::Heard {
+                    road,
+                    letter: Letter::Answer(answer),
+                },
+            );
         }
     }
 
-    fn settled_across(&mut self, now: Point, id: TxnId, body: &[u8], build: Option<u32>) {
+    fn settled_across(
+        &mut self,
+        now: Timestamp,
+        id: RequestId,
+        body: &[u8],
+        build: Option<BuildId>,
+    ) {
         // One that has its answer already takes no buffer.
-        let Some((_, key, _)) = self.crosses(id) else { return };
+        let Some((_, key, _)) = self.crosses(id) else {
+            return;
+        };
         if let Some((key, build)) = key.zip(build) {
-            self.take(now, ModuleEvent::Pinned { key, build });
+            self.take(now, ModuleEvent::StickyVersionLearned { key, build });
         }
-        let answer = match self.room.pool.lend(Purse::Server) {
+        let answer = match self.room.buffers.acquire(ResourceClass::Upstream) {
             Some(mut buffer) if body.len() <= buffer.capacity() => {
                 buffer.extend_from_slice(body);
-                Answer::Settled(Body { buffer, body: 0..body.len() })
+                Answer::Settled(Body {
+                    buffer,
+                    body: 0..body.len(),
+                })
             }
             Some(mut buffer) => {
-                self.room.pool.give_back(&mut buffer);
+                self.room.buffers.release(&mut buffer);
                 Answer::Voided
             }
             None => Answer::Voided,
@@ -402,23 +536,35 @@
         self.answer(id, answer);
     }
 
-    /// A txn that was taken in has had its answer here.
+    /// A request that was taken in has had its answer here.
     pub fn answer_across(
         &mut self,
-        now: Point,
-        id: TxnId,
+        now: Timestamp,
+        id: RequestId,
         verdict: Verdict,
-        build: Option<u32>,
+        build: Option<BuildId>,
         body: Vec<u8>,
     ) {
-        let Some(across) = &mut self.across else { return };
-        let Some((inward, _)) = across.held.remove(&id) else { return };
+        let Some(across) = &mut self.across else {
+            return;
+        };
+        let Some((inward, _)) = across.held.remove(&id) else {
+            return;
+        };
         across.inward.remove(&inward);
-        self.sites(now, Event::Answered { inward, verdict, build, body });
+        self.sites(
+            now,
+            Event::Answered {
+                inward,
+                verdict,
+                build,
+                body,
+            },
+        );
     }
 
     /// Discovery's list has changed.
-    pub fn look_home(&mut self, now: Point) {
+    pub fn look_home(&mut self, now: Timestamp) {
         if self.across.is_some() {
             let ready = self.driver.count(Lifecycle::Ready);
             self.sites(now, Event::Home { ready });
@@ -432,24 +578,40 @@
             "drain" => Some(Hand::Drain),
             "resume" => Some(Hand::Resume),
             "status" => None,
-            odd => return format!("{{\"error\":\"unknown word '{}'\"}}\n", odd.escape_default()),
+            odd => {
+                return format!(
+                    "{{\"error\":\"unknown word '{}'\"}}\n",
+                    odd.escape_default()
+                )
+            }
         };
         if let Some(hand) = hand {
             tracing::warn!("sites: told by hand to {word}");
             self.sites(now, Event::Hand(hand));
             self.settle();
         }
-        let status = self.across.as_ref().map(|a| serde_json::to_string(&a.sites.status()));
+        let status = self
+            .across
+            .as_ref()
+            .map(|a| serde_json::to_string(&a.sites.status()));
         format!(
             "{}\n",
-            status.and_then(Result::ok).unwrap_or_else(|| r#"{"error":"no other site is told"}"#.into())
+            status
+                .and_then(Result::ok)
+                .unwrap_or_else(|| r#"{"error":"no other site is told"}"#.into())
         )
     }
 
     /// New keys and certificates for the links that come up from now on.
     pub fn renew_keys(&mut self, with: &With) {
-        let Some(across) = &mut self.across else { return };
-        if with.sites.as_ref().is_some_and(|s| s.other.site != across.other_site) {
+        let Some(across) = &mut self.across else {
+            return;
+        };
+        if with
+            .sites
+            .as_ref()
+            .is_some_and(|s| s.other.site != across.other_site)
+        {
             return tracing::warn!("sites: another other site counts from the next start on");
         }
         match across.renew(with) {
--- a/crates/gateway/src/rollout/controller.rs
+++ b/crates/gateway/src/rollout/controller.rs
@@ -4,14 +4,14 @@
 use std::net::SocketAddr;
 
 use calloop::Readiness;
-use harrierdock_event_loop::{ConnectionNo, Errand, Net, Step};
+use harrierdock_event_loop::{ConnectionId, ExchangeEvent, IoContext, RequestExchange};
 use harrierdock_lease::Epoch;
 use harrierdock_rollout_controller::{
     Action, Answer, Ballot, Event, Said, Standing, Steward, Terms, Wave, Way,
 };
-use harrierdock_types::interface::{Build, Phase};
-use harrierdock_types::interface::{StageNews, Verdict, Word};
-use harrierdock_types::time::{Point, Span};
+use harrierdock_types::{BuildId, PeerId, RolloutPhase};
+use harrierdock_types::{PlatformStatus, RolloutDecision, RolloutUpdate};
+use harrierdock_types::{TimeDelta, Timestamp};
 use serde::Deserialize;
 use serde_json::json;
 
@@ -30,12 +30,12 @@
 
 /// A call under way.
 struct Out {
-    no: ConnectionNo,
+    no: ConnectionId,
     ballot: Ballot,
     again: bool,
-    errand: Errand,
+    errand: RequestExchange,
     epoch: Option<Epoch>,
-    due: Point,
+    due: Timestamp,
 }
 
 /// What became of a call.
@@ -44,8 +44,8 @@
     pub answer: Answer,
     /// The installation knows this later epoch.
     pub newest: Option<Epoch>,
-    pub no: ConnectionNo,
-    pub due: Point,
+    pub no: ConnectionId,
+    pub due: Timestamp,
 }
 
 pub struct Stewarding {
@@ -54,14 +54,17 @@
     name: String,
     incarnation: u64,
     /// How long a call may take.
-    wait: Span,
+    wait: TimeDelta,
     out: Option<Out>,
     /// When it asked to be woken.
-    pub due: Option<Point>,
+    pub due: Option<Timestamp>,
 }
 
 fn plain(ballot: Ballot) -> String {
-    let Ballot { wave: Wave { build, stage }, way } = ballot;
+    let Ballot {
+        wave: Wave { build, stage },
+        way,
+    } = ballot;
     format!("build {build} stage {stage} {}", word(way))
 }
 
@@ -73,36 +76,42 @@
 }
 
 /// What a module's vote is to the steward: a hold, or a vote taken away, moves nothing.
-pub fn ballot(build: Build, stage: usize, verdict: Verdict) -> Option<Ballot> {
+pub fn ballot(build: BuildId, stage: usize, verdict: RolloutDecision) -> Option<Ballot> {
     let way = match verdict {
-        Verdict::On => Way::On,
-        Verdict::Back => Way::Back,
-        Verdict::Hold | Verdict::Withdraw => return None,
+        RolloutDecision::Promote => Way::On,
+        RolloutDecision::RollBack => Way::Back,
+        RolloutDecision::Hold | RolloutDecision::Withdraw => return None,
     };
-    Some(Ballot { wave: Wave { build, stage }, way })
+    Some(Ballot {
+        wave: Wave { build, stage },
+        way,
+    })
 }
 
 /// How the wave stands by the platform's news.
-pub fn stage(news: &StageNews) -> Option<Event> {
+pub fn stage(news: &RolloutUpdate) -> Option<Event> {
     let standing = match news.phase {
-        Phase::Trial => Standing::Trial,
-        Phase::Released => Standing::Released,
-        Phase::GoingBack | Phase::Withdrawn => Standing::Over,
+        RolloutPhase::Canary => Standing::Trial,
+        RolloutPhase::Released => Standing::Released,
+        RolloutPhase::RollingBack | RolloutPhase::RolledBack => Standing::Over,
     };
-    let wave = Wave { build: news.build, stage: news.stage };
-    (news.word == Word::Valid).then_some(Event::Stage { wave, standing })
+    let wave = Wave {
+        build: news.build,
+        stage: news.stage,
+    };
+    (news.status == PlatformStatus::Valid).then_some(Event::Stage { wave, standing })
 }
 
 /// Spans that the steward goes by, beside what is told.
 pub struct Spans {
-    pub vote_life: Span,
-    pub call_wait: Span,
-    pub heartbeat: Span,
+    pub vote_ttl: TimeDelta,
+    pub call_wait: TimeDelta,
+    pub heartbeat: TimeDelta,
 }
 
 impl Stewarding {
     pub fn new(
-        now: Point,
+        now: Timestamp,
         told: &StewardTold,
         name: &str,
         (own, gateways): (usize, usize),
@@ -110,12 +119,12 @@
     ) -> Stewarding {
         let incarnation = (now.0 / 1000) as u64;
         let terms = Terms {
-            own,
+            own: PeerId(own),
             gateways,
             on_votes: told.on_votes,
             back_votes: told.back_votes,
-            bound: Span(i64::from(told.bound_ms) * 1000),
-            vote_life: spans.vote_life,
+            bound: TimeDelta(i64::from(told.bound_ms) * 1000),
+            vote_life: spans.vote_ttl,
             // As often as leases are renewed: a lost ballot costs no more than a lost renewal.
             retell: spans.heartbeat,
             retry: spans.call_wait / 2.0,
@@ -133,7 +142,7 @@
     }
 
     /// Tells `crates/rollout-controller`, says what is worth a line, and gives back the rest.
-    pub fn take(&mut self, now: Point, event: Event) -> Vec<Action> {
+    pub fn take(&mut self, now: Timestamp, event: Event) -> Vec<Action> {
         let actions = self.steward.take(now, event);
         let said = |action: &Action| match action {
             Action::Said(said) => {
@@ -148,13 +157,29 @@
     fn say(&self, said: Said) {
         match said {
             Said::Done { ballot, votes } => {
-                tracing::info!("fleet: steward: {} is done, on {votes} votes", plain(ballot));
+                tracing::info!(
+                    "fleet: steward: {} is done, on {votes} votes",
+                    plain(ballot)
+                );
             }
             Said::Barred { ballot, epoch } => {
-                tracing::warn!("fleet: steward: {} refused, epoch {epoch} is over", plain(ballot));
+                tracing::warn!(
+                    "fleet: steward: {} refused, epoch {epoch} is over",
+                    plain(ballot)
+                );
             }
-            Said::Overdue { wave, on, back, needs, holds } => {
-                let holder = if holds { "this gateway is steward" } else { "another is steward, or nobody" };
+            Said::Overdue {
+                wave,
+                on,
+                back,
+                needs,
+                holds,
+            } => {
+                let holder = if holds {
+                    "this gateway is steward"
+                } else {
+                    "another is steward, or nobody"
+                };
                 tracing::warn!(
                     "fleet: steward: build {} stage {} has no decision in its time: {on} votes on, {back} back, \
                      {needs} needed; {holder}",
@@ -168,35 +193,45 @@
     /// Begins a call: the connection first. Gives back when it must have had its answer; none if it could not begin.
     pub fn begin<D>(
         &mut self,
-        net: &mut Net<D>,
+        net: &mut IoContext<D>,
         (ballot, again): (Ballot, bool),
-        no: ConnectionNo,
+        no: ConnectionId,
         on_ready: impl Fn(&mut D, Readiness) + 'static,
-    ) -> Option<Point> {
-        let errand = Errand::begin(net, self.installation, on_ready)?;
+    ) -> Option<Timestamp> {
+        let errand = RequestExchange::connect(net, self.installation, on_ready)?;
         let due = net.now() + self.wait;
-        self.out = Some(Out { no, ballot, again, errand, epoch: None, due });
+        self.out = Some(Out {
+            no,
+            ballot,
+            again,
+            errand,
+            epoch: None,
+            due,
+        });
         Some(due)
     }
 
     /// The call's connection is ready. `may_act` is asked when the bytes can go out, and not before.
     pub fn serve<D>(
         &mut self,
-        net: &mut Net<D>,
-        no: ConnectionNo,
+        net: &mut IoContext<D>,
+        no: ConnectionId,
         readiness: Readiness,
-        may_act: impl FnOnce(Point) -> Option<Epoch>,
+        may_act: impl FnOnce(Timestamp) -> Option<Epoch>,
     ) -> Option<Ended> {
         let out = self.out.as_mut().filter(|o| o.no == no)?;
-        let (answer, newest) = match out.errand.serve(net, readiness) {
-            Step::Waits => return None,
-            Step::Up => {
+        let (answer, newest) = match out.errand.handle_readiness(net, readiness) {
+            ExchangeEvent::Pending => return None,
+            ExchangeEvent::Connected => {
                 let Some(epoch) = may_act(net.now()) else {
-                    tracing::info!("fleet: steward: {} is left: not steward any more", plain(out.ballot));
+                    tracing::info!(
+                        "fleet: steward: {} is left: not steward any more",
+                        plain(out.ballot)
+                    );
                     return self.end(net, Answer::NotWritten, None);
                 };
                 let Ballot { wave, way } = out.ballot;
-                let body = json!({"image": wave.build, "ring": wave.stage, "way": word(way), "epoch": epoch.0,
+                let body = json!({"image": wave.build.0, "ring": wave.stage, "way": word(way), "epoch": epoch.0,
                     "gateway": self.name, "start": self.incarnation, "again": out.again});
                 out.epoch = Some(epoch);
                 if out.errand.post(net, PATH, body.to_string().as_bytes()) {
@@ -204,9 +239,12 @@
                 }
                 (Answer::Unknown, None)
             }
-            Step::Answered { status, body } => {
+            ExchangeEvent::Responded { status, body } => {
                 let held = serde_json::from_slice::<Held>(&body).ok();
-                let newest = held.as_ref().map(|h| Epoch(h.epoch)).filter(|e| Some(*e) > out.epoch);
+                let newest = held
+                    .as_ref()
+                    .map(|h| Epoch(h.epoch))
+                    .filter(|e| Some(*e) > out.epoch);
                 match (status, held) {
                     (200, _) => (Answer::Done, None),
                     (409, _) if newest.is_some() => (Answer::Older, newest),
@@ -214,22 +252,44 @@
                     _ => (Answer::Unknown, None),
                 }
             }
-            Step::Failed => (Answer::Unknown, None),
+            ExchangeEvent::Failed => (Answer::Unknown, None),
         };
         self.end(net, answer, newest)
     }
 
     /// It has not had its answer in its time.
-    pub fn give_up<D>(&mut self, net: &mut Net<D>, no: ConnectionNo) -> Option<Ended> {
+    pub fn give_up<D>(&mut self, net: &mut IoContext<D>, no: ConnectionId) -> Option<Ended> {
         self.out.as_ref().filter(|o| o.no == no)?;
         self.end(net, Answer::Unknown, None)
     }
 
-    fn end<D>(&mut self, net: &mut Net<D>, answer: Answer, newest: Option<Epoch>) -> Option<Ended> {
-        let Out { no, ballot, errand, epoch, due, .. } = self.out.take()?;
+    fn end<D>(
+        &mut self,
+        net: &mut IoContext<D>,
+        answer: Answer,
+        newest: Option<Epoch>,
+    ) -> Option<Ended> {
+        let Out {
+            no,
+            ballot,
+            errand,
+            epoch,
+            due,
+            ..
+        } = self.out.take()?;
         errand.close(net);
         // What never went out was not done, for certain.
-        let answer = if answer == Answer::Unknown && epoch.is_none() { Answer::NotWritten } else { answer };
-        Some(Ended { ballot, answer, newest, no, due })
+        let answer = if answer == Answer::Unknown && epoch.is_none() {
+            Answer::NotWritten
+        } else {
+            answer
+        };
+        Some(Ended {
+            ballot,
+            answer,
+            newest,
+            no,
+            due,
+        })
     }
 }
--- a/crates/gateway/src/runtime/gateway.rs
+++ b/crates/gateway/src/runtime/gateway.rs
@@ -4,8 +4,8 @@
 
 use calloop::signals::{Event, Signal, Signals};
 use calloop::EventLoop;
-use harrierdock_event_loop::{logging, Descriptors, Net, Pool};
-use harrierdock_types::time::{Point, Span};
+use harrierdock_event_loop::{logging, BufferPool, DescriptorBudget, IoContext};
+use harrierdock_types::{TimeDelta, Timestamp};
 
 use crate::config::extensions::With;
 use crate::config::gateway::{RolloutsTold, Told};
@@ -22,25 +22,25 @@
 use crate::rollout::controller::{Spans, Stewarding};
 use crate::runtime::context::Room;
 use crate::runtime::timer::Due;
-use crate::upstream::Servers;
+use crate::upstream::Upstream;
 
 /// How long after a signal to end new requests may still come.
-const SHUTDOWN_GRACE: Span = Span(700_000);
+const SHUTDOWN_GRACE: TimeDelta = TimeDelta(700_000);
 /// The longest time that a client's wait counts for in ending.
-const LONGEST_WAIT: Span = Span(3_000_000);
+const LONGEST_WAIT: TimeDelta = TimeDelta(3_000_000);
 /// The shortest pause of periodic work, whatever is told.
-const LEAST: Span = Span(1_000);
+const LEAST: TimeDelta = TimeDelta(1_000);
 /// Kept aside: standard streams (3), the loop's own (3), signals, listener, peers, discovery, the platform's
 /// stream, as many again for those being replaced, and votes.
 const RESERVE: usize = 24;
 
-const REPORT: Span = Span(10_000_000);
+const REPORT: TimeDelta = TimeDelta(10_000_000);
 
 pub struct Gateway {
     pub room: Room,
     pub driver: Driver,
     pub clients: Clients,
-    pub servers: Servers,
+    pub servers: Upstream,
     pub discovery: Discovery,
     pub platform: Option<Platform>,
     pub peers: Option<Peers>,
@@ -52,19 +52,19 @@
     pub duties: Option<Box<Duties>>,
     pub stewarding: Option<Box<Stewarding>>,
     /// When the fleet's part asked to be woken.
-    pub fleet_armed: Option<Point>,
+    pub fleet_armed: Option<Timestamp>,
     /// The file of our own that a reload reads again.
     with: Option<PathBuf>,
     /// The file that a reload reads again.
     path: PathBuf,
-    vote_wait: Span,
+    vote_timeout: TimeDelta,
     /// How often connections and streams are looked after: as long as a connection may take to come up, and
     /// often enough to close those that say nothing in their time.
-    tending: Span,
+    tending: TimeDelta,
     /// How often it is looked at whether the end has come: at each tick of the settings.
-    tick: Span,
-    longest: Span,
-    shutdown_since: Option<Point>,
+    tick: TimeDelta,
+    longest: TimeDelta,
+    shutdown_since: Option<Timestamp>,
     ended: bool,
 }
 
@@ -73,13 +73,23 @@
     let mut event_loop: EventLoop<Gateway> =
         EventLoop::try_new().map_err(|e| format!("no event loop: {e}"))?;
     let mut gateway = Gateway::new(told, with, &event_loop)?;
-    let address = gateway.clients.address().map_err(|e| format!("no address: {e}"))?;
+    let address = gateway
+        .clients
+        .address()
+        .map_err(|e| format!("no address: {e}"))?;
     tracing::info!("{} serves on {address}", told.name);
     while !gateway.ended {
-        let wait = gateway.room.dues.next().map(|at| gateway.room.clock.until(at));
+        let wait = gateway
+            .room
+            .dues
+            .next_deadline()
+            .map(|at| gateway.room.clock.duration_until(at));
         // Guards against one socket's trouble ending them all: the loop goes on.
         if let Err(e) = event_loop.dispatch(wait, &mut gateway) {
-            gateway.room.counters.must(false, &format!("the loop goes through: {e}"));
+            gateway
+                .room
+                .counters
+                .must(false, &format!("the loop goes through: {e}"));
         }
         gateway.fall_due();
     }
@@ -99,47 +109,70 @@
         told.check_with(with_path.as_deref(), &with)?;
         let (terms, names) = told.terms()?;
         let limits = &terms.limits;
-        let (connect, idle, tick) = (limits.connect, limits.idle, terms.tick.max(LEAST));
-        let longest = terms.products.iter().map(|p| p.expiry).max().unwrap_or(LONGEST_WAIT).min(LONGEST_WAIT);
-        let pool = Pool::new(told.limits.memory_mb);
-        let descriptors = Descriptors::new(told.limits.sockets, RESERVE + with.descriptors());
-        let mut room = Room::new(Net::new(event_loop.handle(), pool, descriptors));
+        let (connect, idle, tick) = (
+            limits.connect_timeout,
+            limits.idle_timeout,
+            terms.tick.max(LEAST),
+        );
+        let longest = terms
+            .classes
+            .iter()
+            .map(|p| p.timeout)
+            .max()
+            .unwrap_or(LONGEST_WAIT)
+            .min(LONGEST_WAIT);
+        let pool = BufferPool::new(told.limits.memory_mb);
+        let descriptors = DescriptorBudget::new(told.limits.sockets, RESERVE + with.descriptors());
+        let mut room = Room::new(IoContext::new(event_loop.handle(), pool, descriptors));
         let listens = |e| format!("cannot listen on {}: {e}", told.listen);
         let tending = connect.clamp(LEAST, UNUSED / 4.0);
-        let (products, sockets) = (names.products.clone(), told.limits.sockets);
-        let clients = Clients::new(told.listen, products, idle, tending, sockets).map_err(listens)?;
+        let (classes, sockets) = (names.classes.clone(), told.limits.sockets);
+        let clients =
+            Clients::new(told.listen, classes, idle, tending, sockets).map_err(listens)?;
         let on_mail = |gateway: &mut Gateway| {
             if let Some(peers) = &gateway.peers {
                 peers.hear(&mut gateway.room);
             }
             gateway.settle();
         };
-        let peers = Peers::open(&room.handle, told, terms.ordinal, on_mail);
+        let peers = Peers::open(&room.handle, told, terms.local_peer, on_mail);
         let peers = peers.map_err(|e| format!("cannot hear peers: {e}"))?;
         let across = Across::open(&room, told, &with)?;
-        let control = with.sites.as_ref().and_then(|s| s.control.as_ref()).map(|path| with.path(path));
-        let control = control.map(|path| Control::open(&room.handle, path)).transpose()?;
-        let (vote_wait, vote_life) = (terms.release.vote_wait, terms.release.vote_life);
-        let platform = told.rollouts.as_ref().map(|r| Platform::new(r.address, vote_wait, tending));
+        let control = with
+            .sites
+            .as_ref()
+            .and_then(|s| s.control.as_ref())
+            .map(|path| with.path(path));
+        let control = control
+            .map(|path| Control::open(&room.handle, path))
+            .transpose()?;
+        let (vote_timeout, vote_ttl) = (terms.rollout.vote_timeout, terms.rollout.vote_ttl);
+        let platform = told
+            .rollouts
+            .as_ref()
+            .map(|r| Platform::new(r.address, vote_timeout, tending));
         let discovery = Discovery::new(room.now(), told.discovery, tending, &terms, told.seed());
         let signals = Signals::new(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP])
             .map_err(|e| format!("no signals: {e}"))?;
         // Guards against a signal that ends the program at once: a helper thread takes over the signals that are held
         // back when it starts, so it starts only now.
-        let slas = terms.products.iter().map(|p| p.sla).collect();
+        let slas = terms.classes.iter().map(|p| p.latency_objective).collect();
         let export = Export::open(room.now(), &with, slas, told.seed())?.map(Box::new);
         let on_signal = |event: Event, _: &mut (), gateway: &mut Gateway| match event.signal() {
             Signal::SIGHUP => gateway.reload(),
             _ => gateway.shut_down(),
         };
-        event_loop.handle().insert_source(signals, on_signal).map_err(|e| format!("no signals: {e}"))?;
-        room.due_in(Span::ZERO, Due::Tend);
+        event_loop
+            .handle()
+            .insert_source(signals, on_signal)
+            .map_err(|e| format!("no signals: {e}"))?;
+        room.due_in(TimeDelta::ZERO, Due::Tend);
         room.due_in(REPORT, Due::Report);
         let mut gateway = Gateway {
             room,
             driver: Driver::new(terms, names, told.seed()),
             clients,
-            servers: Servers::new(connect, idle),
+            servers: Upstream::new(connect, idle),
             discovery,
             platform,
             peers,
@@ -151,22 +184,38 @@
             fleet_armed: None,
             with: with_path,
             path: told.path.clone(),
-            vote_wait,
+            vote_timeout,
             tending,
             tick,
             longest,
             shutdown_since: None,
             ended: false,
         };
-        let Gateway { room, driver, servers, discovery, platform, .. } = &mut gateway;
+        let Gateway {
+            room,
+            driver,
+            servers,
+            discovery,
+            platform,
+            ..
+        } = &mut gateway;
         discovery.recall(room, &mut driver.names, servers, &told.known);
-        if let (Some(platform), Some(news)) = (platform, told.rollouts.as_ref().and_then(|r| r.news)) {
+        if let (Some(platform), Some(news)) =
+            (platform, told.rollouts.as_ref().and_then(|r| r.news))
+        {
             platform.learn(room, news, false);
         }
         let now = gateway.room.now();
         gateway.sites(now, harrierdock_multi_site::Event::Wake);
-        let heartbeat = with.fleet.as_ref().map_or(tending, |f| Span(i64::from(f.heartbeat_ms) * 1000));
-        let spans = Spans { vote_life, call_wait: vote_wait.max(tending), heartbeat };
+        let heartbeat = with
+            .fleet
+            .as_ref()
+            .map_or(tending, |f| TimeDelta(i64::from(f.heartbeat_ms) * 1000));
+        let spans = Spans {
+            vote_ttl,
+            call_wait: vote_timeout.max(tending),
+            heartbeat,
+        };
         gateway.begin_duties(told, &with, &spans)?;
         gateway.settle();
         gateway.look_ready();
@@ -176,7 +225,7 @@
 
     fn fall_due(&mut self) {
         let now = self.room.now();
-        while let Some(due) = self.room.dues.pop(now) {
+        while let Some(due) = self.room.dues.pop_expired(now) {
             match due {
                 Due::Wake => self.wake(),
                 Due::Submission(no) => self.servers.give_up(&mut self.room, no),
@@ -203,7 +252,7 @@
     }
 
     fn tend(&mut self) {
-        if self.clients.is_paused() && self.room.descriptors.spare() == 0 {
+        if self.clients.is_paused() && self.room.descriptors.available() == 0 {
             self.make_room();
         }
         let room = &mut self.room;
@@ -223,7 +272,9 @@
 
     /// Ends once no client is left, after the time in which new ones may come.
     fn advance_shutdown(&mut self) {
-        let Some(since) = self.shutdown_since else { return };
+        let Some(since) = self.shutdown_since else {
+            return;
+        };
         self.accept();
         let none_left = self.clients.close_between_requests(&mut self.room);
         self.settle();
@@ -236,15 +287,15 @@
         self.room.due_in(self.tick, Due::Shutdown);
     }
 
-    /// How long a txn taken now may take at the most. Guards against a kill that finds it unanswered: one that comes
+    /// How long a request taken now may take at the most. Guards against a kill that finds it unanswered: one that comes
     /// after the time in which new ones may come has its answer as long before the earliest kill as a connection may
     /// take to come up. Those before it have until their own time is up.
-    pub fn left_before_kill(&self, now: Point) -> Span {
+    pub fn left_before_kill(&self, now: Timestamp) -> TimeDelta {
         match self.shutdown_since {
             Some(since) if now > since + SHUTDOWN_GRACE => {
-                (since + SHUTDOWN_GRACE + self.longest - self.tending - now).max(Span::ZERO)
+                (since + SHUTDOWN_GRACE + self.longest - self.tending - now).max(TimeDelta::ZERO)
             }
-            _ => Span(i64::MAX),
+            _ => TimeDelta(i64::MAX),
         }
     }
 
@@ -262,14 +313,16 @@
     }
 
     /// Closes a connection to make room for another. Guards against strangers that cost others their connections:
-    /// kept ones to servers go only when no client's is to be spared, and clients' used lately come last.
+    /// kept ones to endpoints go only when no client's is to be spared, and clients' used lately come last.
     pub fn make_room(&mut self) -> bool {
         let room = &mut self.room;
-        self.clients.make_room(room) || self.servers.close_idle(room) || self.clients.close_unused(room)
+        self.clients.make_room(room)
+            || self.servers.close_idle(room)
+            || self.clients.close_unused(room)
     }
 
     /// Reads the configuration again and turns to the addresses it tells. All else stays as it is: what is
-    /// known, what is under way, every connection to clients and servers. A file that cannot be read changes
+    /// known, what is under way, every connection to clients and endpoints. A file that cannot be read changes
     /// nothing.
     fn reload(&mut self) {
         let told = match Told::read_again(&self.path) {
@@ -285,16 +338,22 @@
         }
         self.discovery.turn_to(&mut self.room, told.discovery);
         if let Some(RolloutsTold { address, .. }) = told.rollouts {
-            let new = || Platform::new(address, self.vote_wait, self.tending);
-            self.platform.get_or_insert_with(new).turn_to(&mut self.room, address);
+            let new = || Platform::new(address, self.vote_timeout, self.tending);
+            self.platform
+                .get_or_insert_with(new)
+                .turn_to(&mut self.room, address);
         }
     }
 
     /// The file of our own was read again: new keys, and new collectors.
     fn renew(&mut self, told: &Told, with: &With) {
-        let fleet = told.beside().and_then(|b| with.check_fleet(&b).map_err(|e| e.to_string()));
+        let fleet = told
+            .beside()
+            .and_then(|b| with.check_fleet(&b).map_err(|e| e.to_string()));
         if let Err(e) = with.check_flows().and(fleet) {
-            return tracing::warn!("told to reload, what is told beside the configuration stays: {e}");
+            return tracing::warn!(
+                "told to reload, what is told beside the configuration stays: {e}"
+            );
         }
         self.renew_keys(with);
         self.renew_duties(with);
@@ -339,7 +398,9 @@
     /// The last line on flows says what was recorded and what became of it.
     fn end_export(&mut self) {
         let now = self.room.now();
-        let Some(mut export) = self.export.take() else { return };
+        let Some(mut export) = self.export.take() else {
+            return;
+        };
         tracing::info!("flows: tally {}", export.tally(&self.driver.names));
         let (recorded, tallies) = export.end(now, &self.driver.names);
         for t in tallies {
@@ -356,12 +417,22 @@
 
     fn report(&mut self) {
         let room = &mut self.room;
-        room.counters.set(Count::LogLinesLost, logging::lost());
-        room.counters.set(Count::PoolBroken, room.net.pool.broken);
-        room.counters.set(Count::NoBuffer, room.net.no_buffer);
-        room.counters.set(Count::StreamsOpened, room.net.streams_opened);
-        let (held, lent) = (room.descriptors.held, room.pool.lent);
-        self.duties.iter().for_each(|duties| tracing::info!("counts: {}", duties.counts(room.net.now())));
-        tracing::info!("counts: {} open={held} lent={lent} owed={}", room.counters, self.driver.owed());
+        room.counters
+            .set(Count::LogLinesLost, logging::dropped_lines());
+        room.counters
+            .set(Count::PoolBroken, room.net.buffers.violations);
+        room.counters
+            .set(Count::NoBuffer, room.net.buffer_shortages);
+        room.counters
+            .set(Count::StreamsOpened, room.net.streams_opened);
+        let (held, lent) = (room.descriptors.in_use, room.buffers.in_use);
+        self.duties
+            .iter()
+            .for_each(|duties| tracing::info!("counts: {}", duties.counts(room.net.now())));
+        tracing::info!(
+            "counts: {} open={held} lent={lent} owed={}",
+            room.counters,
+            self.driver.owed()
+        );
     }
 }
--- a/crates/gateway/src/runtime/timer.rs
+++ b/crates/gateway/src/runtime/timer.rs
@@ -1,18 +1,18 @@
 //! The kinds of what falls due in a gateway.
 
-use harrierdock_event_loop::ConnectionNo;
-use harrierdock_types::interface::TxnId;
+use harrierdock_event_loop::ConnectionId;
+use harrierdock_types::RequestId;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Due {
     /// The module asked to be woken.
     Wake,
-    /// A submission has waited for its connection or its answer for as long as it may.
-    Submission(ConnectionNo),
+    /// A attempt has waited for its connection or its answer for as long as it may.
+    Submission(ConnectionId),
     /// A vote has waited for its answer for as long as it may.
-    Vote(ConnectionNo),
-    /// A txn must have been answered by now.
-    Txn(TxnId),
+    Vote(ConnectionId),
+    /// A request must have been answered by now.
+    Txn(RequestId),
     /// The link to the other site has something due.
     Link,
     /// What goes between the sites is looked after.
@@ -22,7 +22,7 @@
     /// The steward's ballots and waves are looked after.
     Steward,
     /// A call of the installation has waited for its answer for as long as it may.
-    Call(ConnectionNo),
+    Call(ConnectionId),
     /// Connections, streams and descriptors are looked after.
     Tend,
     /// The counters are logged.
