--- a/crates/http/src/head.rs
+++ b/crates/http/src/head.rs
@@ -1,167 +1,269 @@
-//! The first lines of requests and answers, and what they say of the body behind them.
+//! Message heads, and what they say of the body that follows.
 
-use httparse::{Error, Header, Status, EMPTY_HEADER};
+use httparse::{Header, Status, EMPTY_HEADER};
 
-use crate::{Fault, BODY_MOST, HEAD_MOST};
+use crate::{ParseError, MAX_BODY_BYTES, MAX_HEAD_BYTES};
 
-const FIELDS_MOST: usize = 64;
+const MAX_FIELDS: usize = 64;
 
-/// The fields of a head, as they were written.
-pub struct Fields<'b> {
-    all: [Header<'b>; FIELDS_MOST],
+const FIELD_CONNECTION: &str = "connection";
+const FIELD_CONTENT_LENGTH: &str = "content-length";
+const FIELD_EXPECT: &str = "expect";
+const FIELD_TRANSFER_ENCODING: &str = "transfer-encoding";
+
+/// The header fields of a message, as they were written.
+pub struct HeaderFields<'b> {
+    fields: [Header<'b>; MAX_FIELDS],
     count: usize,
 }
 
-/// How far a body goes.
+/// Where a body ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
+    /// After this many bytes.
     Length(usize),
+    /// After its last chunk.
     Chunked,
+    /// With the connection.
     UntilEnd,
 }
 
+/// The head of a request.
 pub struct RequestHead<'b> {
+    /// The method.
     pub method: &'b str,
+    /// The request target, in origin or absolute form.
     pub target: &'b str,
-    pub fields: Fields<'b>,
+    /// The header fields.
+    pub fields: HeaderFields<'b>,
+    /// The size of the head in bytes.
     pub size: usize,
-    minor: u8,
+    minor_version: u8,
 }
 
-pub struct AnswerHead<'b> {
+/// The head of a response.
+pub struct ResponseHead<'b> {
+    /// The status code.
     pub status: u16,
-    pub fields: Fields<'b>,
+    /// The header fields.
+    pub fields: HeaderFields<'b>,
+    /// The size of the head in bytes.
     pub size: usize,
-    minor: u8,
+    minor_version: u8,
 }
 
-fn fault(error: Error) -> Fault {
-    match error {
-        Error::TooManyHeaders => Fault::HeadTooLarge,
-        _ => Fault::Malformed,
+impl From<httparse::Error> for ParseError {
+    fn from(error: httparse::Error) -> ParseError {
+        match error {
+            httparse::Error::TooManyHeaders => ParseError::HeadTooLarge,
+            _ => ParseError::Malformed,
+        }
     }
 }
 
-impl<'b> Fields<'b> {
-    fn named<'s>(&'s self, name: &'s str) -> impl Iterator<Item = &'b [u8]> + 's {
-        let of_name = move |h: &&Header| h.name.eq_ignore_ascii_case(name);
-        self.all[..self.count].iter().filter(of_name).map(|h| h.value)
+impl<'b> HeaderFields<'b> {
+    fn values<'s>(&'s self, name: &'s str) -> impl Iterator<Item = &'b [u8]> + 's {
+        let has_name = move |field: &&Header<'_>| field.name.eq_ignore_ascii_case(name);
+        self.fields[..self.count]
+            .iter()
+            .filter(has_name)
+            .map(|field| field.value)
     }
 
-    /// The field's value, if it stands there once, as text.
-    pub fn one(&self, name: &str) -> Result<Option<&'b str>, Fault> {
-        let mut values = self.named(name);
-        let Some(value) = values.next() else { return Ok(None) };
+    /// The value of a field that may be given once, trimmed; `None` if it is not given.
+    ///
+    /// # Errors
+    ///
+    /// `Malformed` if it is given twice or is not UTF-8.
+    pub fn single(&self, name: &str) -> Result<Option<&'b str>, ParseError> {
+        let mut values = self.values(name);
+        let Some(value) = values.next() else {
+            return Ok(None);
+        };
         if values.next().is_some() {
-            return Err(Fault::Malformed);
+            return Err(ParseError::Malformed);
         }
-        std::str::from_utf8(value).map(|v| Some(v.trim())).map_err(|_| Fault::Malformed)
+        let text = std::str::from_utf8(value).map_err(|_| ParseError::Malformed)?;
+        Ok(Some(text.trim()))
     }
 
-    pub fn says(&self, name: &str, token: &str) -> bool {
-        let said =
-            |v: &[u8]| v.split(|b| *b == b',').any(|t| t.trim_ascii().eq_ignore_ascii_case(token.as_bytes()));
-        self.named(name).any(said)
+    /// Whether a field that holds a list has this token, in any case.
+    pub fn has_token(&self, name: &str, token: &str) -> bool {
+        let is_token = |part: &[u8]| part.trim_ascii().eq_ignore_ascii_case(token.as_bytes());
+        self.values(name)
+            .any(|value| value.split(|byte| *byte == b',').any(is_token))
     }
 
-    fn keeps(&self, minor: u8) -> bool {
-        !self.says("connection", "close") && (minor > 0 || self.says("connection", "keep-alive"))
+    fn keeps_alive(&self, minor_version: u8) -> bool {
+        let is_default = minor_version > 0;
+        !self.has_token(FIELD_CONNECTION, "close")
+            && (is_default || self.has_token(FIELD_CONNECTION, "keep-alive"))
     }
 
-    /// What the fields say of the body. Guards against two readers who part a message in two ways: both kinds
-    /// of length, two lengths, or a coding that is not plainly chunked are refused.
-    fn framing(&self, minor: u8) -> Result<Option<Framing>, Fault> {
-        let (coding, length) = (self.one("transfer-encoding")?, self.one("content-length")?);
+    /// Where the fields say that the body ends. Whatever two readers could take differently (both kinds of length, two
+    /// lengths, a coding that is not plainly chunked) is refused, so that no request can be smuggled behind another.
+    fn framing(&self, minor_version: u8) -> Result<Option<Framing>, ParseError> {
+        let coding = self.single(FIELD_TRANSFER_ENCODING)?;
+        let length = self.single(FIELD_CONTENT_LENGTH)?;
         match (coding, length) {
             (None, None) => Ok(None),
-            (Some(_), Some(_)) => Err(Fault::Malformed),
-            (Some(_), None) if minor == 0 => Err(Fault::Malformed),
-            (Some(c), None) if c.eq_ignore_ascii_case("chunked") => Ok(Some(Framing::Chunked)),
-            (Some(_), None) => Err(Fault::UnknownCoding),
-            (None, Some(digits)) if digits.is_empty() || !digits.bytes().all(|b| b.is_ascii_digit()) => {
-                Err(Fault::Malformed)
+            (Some(_), Some(_)) => Err(ParseError::Malformed),
+            (Some(_), None) if minor_version == 0 => Err(ParseError::Malformed),
+            (Some(coding), None) if coding.eq_ignore_ascii_case("chunked") => {
+                Ok(Some(Framing::Chunked))
             }
-            (None, Some(digits)) => match digits.parse() {
-                Ok(length) if length <= BODY_MOST => Ok(Some(Framing::Length(length))),
-                _ => Err(Fault::BodyTooLarge),
-            },
+            (Some(_), None) => Err(ParseError::UnknownCoding),
+            (None, Some(digits)) => parse_length(digits).map(Some),
         }
     }
 }
 
-/// Reads a head into room for its fields; none while it is not whole.
-fn fields<'b>(
-    read: impl FnOnce(&mut [Header<'b>]) -> Result<Status<usize>, Error>,
-) -> Result<Option<(Fields<'b>, usize)>, Fault> {
-    let mut all = [EMPTY_HEADER; FIELDS_MOST];
-    let Status::Complete(size) = read(&mut all).map_err(fault)? else { return Ok(None) };
-    if size > HEAD_MOST {
-        return Err(Fault::HeadTooLarge);
-    }
-    let count = all.iter().position(|h| h.name.is_empty()).unwrap_or(FIELDS_MOST);
-    Ok(Some((Fields { all, count }, size)))
+fn parse_length(digits: &str) -> Result<Framing, ParseError> {
+    if digits.is_empty() || !digits.bytes().all(|byte| byte.is_ascii_digit()) {
+        return Err(ParseError::Malformed);
+    }
+    match digits.parse() {
+        Ok(length) if length <= MAX_BODY_BYTES => Ok(Framing::Length(length)),
+        _ => Err(ParseError::BodyTooLarge),
+    }
+}
+
+/// Parses a head into the fields' storage and returns them with the head's size. `None` while the head is incomplete.
+fn parse_fields<'b>(
+    parse: impl FnOnce(&mut [Header<'b>]) -> httparse::Result<usize>,
+) -> Result<Option<(HeaderFields<'b>, usize)>, ParseError> {
+    let mut fields = [EMPTY_HEADER; MAX_FIELDS];
+    let Status::Complete(size) = parse(&mut fields)? else {
+        return Ok(None);
+    };
+    if size > MAX_HEAD_BYTES {
+        return Err(ParseError::HeadTooLarge);
+    }
+    let count = fields
+        .iter()
+        .position(|field| field.name.is_empty())
+        .unwrap_or(MAX_FIELDS);
+    Ok(Some((HeaderFields { fields, count }, size)))
 }
 
 impl<'b> RequestHead<'b> {
-    pub fn read(bytes: &'b [u8]) -> Result<Option<RequestHead<'b>>, Fault> {
-        let (mut method, mut target, mut minor) = ("", "", 1);
-        let found = fields(|all| {
-            let mut request = httparse::Request::new(all);
+    /// Parses the head at the front of the bytes. `None` while it is incomplete.
+    ///
+    /// # Errors
+    ///
+    /// The head is malformed or too large.
+    pub fn parse(bytes: &'b [u8]) -> Result<Option<RequestHead<'b>>, ParseError> {
+        let mut method = "";
+        let mut target = "";
+        let mut minor_version = 1;
+        let parsed = parse_fields(|fields| {
+            let mut request = httparse::Request::new(fields);
             let status = request.parse(bytes)?;
             method = request.method.unwrap_or("");
             target = request.path.unwrap_or("");
-            minor = request.version.unwrap_or(1);
+            minor_version = request.version.unwrap_or(1);
             Ok(status)
         })?;
-        Ok(found.map(|(fields, size)| RequestHead { method, target, fields, size, minor }))
+        Ok(parsed.map(|(fields, size)| RequestHead {
+            method,
+            target,
+            fields,
+            size,
+            minor_version,
+        }))
     }
 
-    pub fn framing(&self) -> Result<Framing, Fault> {
-        Ok(self.fields.framing(self.minor)?.unwrap_or(Framing::Length(0)))
+    /// Where the body ends.
+    ///
+    /// # Errors
+    ///
+    /// The fields are ambiguous, or the body is too large.
+    pub fn framing(&self) -> Result<Framing, ParseError> {
+        Ok(self
+            .fields
+            .framing(self.minor_version)?
+            .unwrap_or(Framing::Length(0)))
     }
 
-    pub fn keeps(&self) -> bool {
-        self.fields.keeps(self.minor)
+    /// Whether the client wants the connection kept open.
+    pub fn keeps_alive(&self) -> bool {
+        self.fields.keeps_alive(self.minor_version)
     }
 
-    pub fn awaits_continue(&self) -> bool {
-        self.minor > 0 && self.fields.says("expect", "100-continue")
+    /// Whether the client waits for `100 Continue` before it sends the body.
+    pub fn expects_continue(&self) -> bool {
+        self.minor_version > 0 && self.fields.has_token(FIELD_EXPECT, "100-continue")
     }
 
-    /// The target's path, whether or not the authority stands before it.
+    /// The path of the target, in origin or absolute form.
     pub fn path(&self) -> &'b str {
-        let path = self.target.split_once('?').map_or(self.target, |(path, _)| path);
-        let Some((_, rest)) = path.split_once("://") else { return path };
-        rest.find('/').map_or("/", |at| &rest[at..])
+        let path = self
+            .target
+            .split_once('?')
+            .map_or(self.target, |(path, _)| path);
+        let Some((_, authority_and_path)) = path.split_once("://") else {
+            return path;
+        };
+        match authority_and_path.find('/') {
+            Some(at) => &authority_and_path[at..],
+            None => "/",
+        }
     }
 
-    /// The first query parameter of this name.
-    pub fn parameter(&self, name: &str) -> Option<&'b str> {
+    /// The value of the first query parameter of this name.
+    pub fn query_parameter(&self, name: &str) -> Option<&'b str> {
         let (_, query) = self.target.split_once('?')?;
-        query.split('&').filter_map(|pair| pair.split_once('=')).find(|p| p.0 == name).map(|p| p.1)
+        let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
+        pairs.find(|(key, _)| *key == name).map(|(_, value)| value)
     }
 }
 
-impl<'b> AnswerHead<'b> {
-    pub fn read(bytes: &'b [u8]) -> Result<Option<AnswerHead<'b>>, Fault> {
-        let (mut status, mut minor) = (0, 1);
-        let found = fields(|all| {
-            let mut answer = httparse::Response::new(all);
-            let read = answer.parse(bytes)?;
-            (status, minor) = (answer.code.unwrap_or(0), answer.version.unwrap_or(1));
-            Ok(read)
+impl<'b> ResponseHead<'b> {
+    /// Parses the head at the front of the bytes. `None` while it is incomplete.
+    ///
+    /// # Errors
+    ///
+    /// The head is malformed or too large.
+    pub fn parse(bytes: &'b [u8]) -> Result<Option<ResponseHead<'b>>, ParseError> {
+        let mut status = 0;
+        let mut minor_version = 1;
+        let parsed = parse_fields(|fields| {
+            let mut response = httparse::Response::new(fields);
+            let parsed = response.parse(bytes)?;
+            status = response.code.unwrap_or(0);
+            minor_version = response.version.unwrap_or(1);
+            Ok(parsed)
         })?;
-        Ok(found.map(|(fields, size)| AnswerHead { status, fields, size, minor }))
+        Ok(parsed.map(|(fields, size)| ResponseHead {
+            status,
+            fields,
+            size,
+            minor_version,
+        }))
+    }
+
+    /// Whether the final response is still to come (1xx).
+    pub fn is_interim(&self) -> bool {
+        (100..200).contains(&self.status)
     }
 
-    pub fn framing(&self) -> Result<Framing, Fault> {
+    /// Where the body ends.
+    ///
+    /// # Errors
+    ///
+    /// The fields are ambiguous, or the body is too large.
+    pub fn framing(&self) -> Result<Framing, ParseError> {
         if self.status < 200 || matches!(self.status, 204 | 304) {
             return Ok(Framing::Length(0));
         }
-        Ok(self.fields.framing(self.minor)?.unwrap_or(Framing::UntilEnd))
+        Ok(self
+            .fields
+            .framing(self.minor_version)?
+            .unwrap_or(Framing::UntilEnd))
     }
 
-    pub fn keeps(&self) -> bool {
-        self.fields.keeps(self.minor)
+    /// Whether the server keeps the connection open.
+    pub fn keeps_alive(&self) -> bool {
+        self.fields.keeps_alive(self.minor_version)
     }
 }
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,38 +1,28 @@
-//! HTTP/1.1 on byte buffers, with no sockets: heads, lengths, chunked bodies, limits and writers.
-//! An `Intake` follows one message as its bytes come in; `head` reads its first lines; `write` writes messages.
+//! HTTP/1.1 on byte buffers, without sockets: message heads, body framing, limits, and writers.
+//!
+//! A [`MessageReader`] follows one message as its bytes arrive, [`head`] parses its head, and [`write`](mod@write) writes
+//! messages.
 
-mod chunks;
+#![warn(missing_docs, unreachable_pub)]
+
+mod chunked;
+mod error;
 pub mod head;
-mod intake;
+mod message_reader;
 pub mod write;
 
-pub use head::{AnswerHead, Fields, RequestHead};
-pub use intake::{Intake, Progress};
+pub use error::ParseError;
+pub use head::{Framing, HeaderFields, RequestHead, ResponseHead};
+pub use message_reader::{MessageReader, Progress};
+
+/// The longest head that is read, its first line included.
+pub const MAX_HEAD_BYTES: usize = 16 * 1024;
 
-/// The longest head, with its first line, that is read.
-pub const HEAD_MOST: usize = 16 * 1024;
 /// The longest body that is read or written.
-pub const BODY_MOST: usize = 64 * 1024;
-/// What holds the longest message, and the framing of a chunk beside it.
-pub const BUFFER: usize = HEAD_MOST + BODY_MOST + 1024;
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
 
-/// Why a message cannot be read.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
-    Malformed,
-    HeadTooLarge,
-    BodyTooLarge,
-    UnknownCoding,
-}
+/// The framing of a chunk, beside head and body.
+const MAX_CHUNK_FRAMING_BYTES: usize = 1024;
 
-impl Fault {
-    /// The answer that fits a request with this fault.
-    pub fn status(self) -> u16 {
-        match self {
-            Fault::Malformed => 400,
-            Fault::HeadTooLarge => 431,
-            Fault::BodyTooLarge => 413,
-            Fault::UnknownCoding => 501,
-        }
-    }
-}
+/// The size of a buffer that holds any message.
+pub const BUFFER_BYTES: usize = MAX_HEAD_BYTES + MAX_BODY_BYTES + MAX_CHUNK_FRAMING_BYTES;
--- a/crates/http/src/write.rs
+++ b/crates/http/src/write.rs
@@ -1,4 +1,4 @@
-//! Writes heads, and answers of our own, onto a buffer.
+//! Writes messages onto a buffer.
 
 use std::fmt::Display;
 use std::io::Write;
@@ -21,40 +21,43 @@
     }
 }
 
+/// Writes the first line of a request.
 pub fn request_line(out: &mut Vec<u8>, method: &str, target: &str) {
     for part in [method, " ", target, " HTTP/1.1\r\n"] {
         out.extend_from_slice(part.as_bytes());
     }
 }
 
+/// Writes the first line of a response.
 pub fn status_line(out: &mut Vec<u8>, status: u16) {
-    field_line(out, format_args!("HTTP/1.1 {status} {}", reason(status)));
+    line(out, format_args!("HTTP/1.1 {status} {}", reason(status)));
 }
 
+/// Writes a header field.
 pub fn field(out: &mut Vec<u8>, name: &str, value: impl Display) {
-    field_line(out, format_args!("{name}: {value}"));
+    line(out, format_args!("{name}: {value}"));
 }
 
-fn field_line(out: &mut Vec<u8>, line: std::fmt::Arguments) {
-    // Writing onto a vector cannot fail.
+fn line(out: &mut Vec<u8>, line: std::fmt::Arguments<'_>) {
+    // Writing to a vector cannot fail.
     let _ = out.write_fmt(line);
     out.extend_from_slice(b"\r\n");
 }
 
-/// Ends the head with the body's length, and writes the body.
+/// Ends a head with the body's length, and writes the body.
 pub fn body(out: &mut Vec<u8>, body: &[u8]) {
     field(out, "Content-Length", body.len());
     out.extend_from_slice(b"\r\n");
     out.extend_from_slice(body);
 }
 
-/// Ends a head without a body.
-pub fn end(out: &mut Vec<u8>) {
+/// Ends a head that no body follows.
+pub fn end_of_head(out: &mut Vec<u8>) {
     out.extend_from_slice(b"\r\n");
 }
 
-/// The word that lets the other side go on with its body.
-pub fn go_on(out: &mut Vec<u8>) {
+/// Writes the interim response that lets the client send its body.
+pub fn continue_response(out: &mut Vec<u8>) {
     status_line(out, 100);
-    end(out);
+    end_of_head(out);
 }
--- a/crates/ipfix/src/read.rs
+++ b/crates/ipfix/src/read.rs
@@ -34,7 +34,10 @@
 impl Record {
     /// The octets of one element.
     pub fn octets(&self, enterprise: u32, id: u16) -> Option<&[u8]> {
-        self.fields.iter().find(|f| f.0 == enterprise && f.1 == id).map(|f| &f.2[..])
+        self.fields
+            .iter()
+            .find(|f| f.0 == enterprise && f.1 == id)
+            .map(|f| &f.2[..])
     }
 
     /// An element as a number of up to eight octets.
@@ -46,7 +49,11 @@
     /// An element as text, without the noughts that NetFlow v9 puts behind it.
     pub fn text(&self, enterprise: u32, id: u16) -> Option<String> {
         let octets = self.octets(enterprise, id)?;
-        Some(String::from_utf8_lossy(octets).trim_end_matches('\0').to_string())
+        Some(
+            String::from_utf8_lossy(octets)
+                .trim_end_matches('\0')
+                .to_string(),
+        )
     }
 }
 
@@ -88,7 +95,8 @@
     }
 
     fn u32(&mut self) -> Result<u32, Fault> {
-        self.take(4).map(|b| u32::from_be_bytes([b[0], b[1], b[2], b[3]]))
+        self.take(4)
+            .map(|b| u32::from_be_bytes([b[0], b[1], b[2], b[3]]))
     }
 }
 
@@ -99,7 +107,9 @@
     /// Says that no message begins here.
     pub fn length(bytes: &[u8]) -> Result<Option<usize>, Fault> {
         let mut head = Bytes(bytes);
-        let (Ok(version), Ok(length)) = (head.u16(), head.u16()) else { return Ok(None) };
+        let (Ok(version), Ok(length)) = (head.u16(), head.u16()) else {
+            return Ok(None);
+        };
         match (version, usize::from(length)) {
             (10, length) if length >= 16 => Ok(Some(length)),
             (10, _) => Err(Fault::Length),
@@ -131,7 +141,14 @@
         }
         let (time, sequence, domain) = (rest.u32()?, rest.u32()?, rest.u32()?);
         let (records, unknown_sets) = (Vec::new(), 0);
-        let mut message = Message { version, time, sequence, domain, records, unknown_sets };
+        let mut message = Message {
+            version,
+            time,
+            sequence,
+            domain,
+            records,
+            unknown_sets,
+        };
         while !rest.0.is_empty() {
             let (id, length) = (rest.u16()?, usize::from(rest.u16()?));
             let set = Bytes(rest.take(length.checked_sub(4).ok_or(Fault::Length)?)?);
@@ -153,7 +170,11 @@
         while set.0.len() >= 4 {
             let id = set.u16()?;
             if id < 256 {
-                return if id == 0 && set.0.iter().all(|b| *b == 0) { Ok(()) } else { Err(Fault::Form) };
+                return if id == 0 && set.0.iter().all(|b| *b == 0) {
+                    Ok(())
+                } else {
+                    Err(Fault::Form)
+                };
             }
             let (mut count, mut scope) = (usize::from(set.u16()?), 0);
             if options && v9 {
@@ -172,11 +193,23 @@
             let mut fields = Vec::with_capacity(count);
             for at in 0..count {
                 let (element, length) = (set.u16()?, set.u16()?);
-                let enterprise = if element & 0x8000 != 0 && !v9 { set.u32()? } else { 0 };
+                let enterprise = if element & 0x8000 != 0 && !v9 {
+                    set.u32()?
+                } else {
+                    0
+                };
                 // NetFlow v9 has no numbers of enterprises: its large types are taken for ours.
-                let enterprise = if v9 && element & 0x8000 != 0 { crate::ENTERPRISE } else { enterprise };
+                let enterprise = if v9 && element & 0x8000 != 0 {
+                    crate::ENTERPRISE
+                } else {
+                    enterprise
+                };
                 // Scopes of NetFlow v9 are numbered by themselves.
-                let enterprise = if v9 && at < usize::from(scope) { V9_SCOPE } else { enterprise };
+                let enterprise = if v9 && at < usize::from(scope) {
+                    V9_SCOPE
+                } else {
+                    enterprise
+                };
                 fields.push((enterprise, element & 0x7fff, length));
             }
             let held = self.templates.entry(domain).or_default();
@@ -193,8 +226,17 @@
             message.unknown_sets += 1;
             return Ok(());
         };
-        let least: usize =
-            held.fields.iter().map(|f| if f.2 == crate::VARIABLE { 1 } else { usize::from(f.2) }).sum();
+        let least: usize = held
+            .fields
+            .iter()
+            .map(|f| {
+                if f.2 == crate::VARIABLE {
+                    1
+                } else {
+                    usize::from(f.2)
+                }
+            })
+            .sum();
         // Guards against a template of empty fields, whose records would never end.
         if least == 0 {
             return Err(Fault::Form);
@@ -211,7 +253,11 @@
                 }
                 fields.push((*enterprise, *element, set.take(count)?.to_vec()));
             }
-            message.records.push(Record { template: id, scope: held.scope, fields });
+            message.records.push(Record {
+                template: id,
+                scope: held.scope,
+                fields,
+            });
         }
         Ok(())
     }
--- a/crates/ipfix/src/write.rs
+++ b/crates/ipfix/src/write.rs
@@ -92,14 +92,19 @@
     pub fn template(&mut self, template: &Template) -> Result<(), Full> {
         let mut bytes = Vec::new();
         put16(&mut bytes, template.id);
-        let (scope, rest) = template.fields.split_at(usize::from(template.scope).min(template.fields.len()));
+        let (scope, rest) = template
+            .fields
+            .split_at(usize::from(template.scope).min(template.fields.len()));
         match self.form {
             Form::Ipfix => {
                 put16(&mut bytes, template.fields.len() as u16);
                 if template.scope > 0 {
                     put16(&mut bytes, template.scope);
                 }
-                template.fields.iter().for_each(|f| self.specifier(&mut bytes, f));
+                template
+                    .fields
+                    .iter()
+                    .for_each(|f| self.specifier(&mut bytes, f));
             }
             Form::V9 if template.scope > 0 => {
                 put16(&mut bytes, 4 * template.scope);
@@ -113,7 +118,10 @@
             }
             Form::V9 => {
                 put16(&mut bytes, template.fields.len() as u16);
-                template.fields.iter().for_each(|f| self.specifier(&mut bytes, f));
+                template
+                    .fields
+                    .iter()
+                    .for_each(|f| self.specifier(&mut bytes, f));
             }
         }
         self.put(self.form.template_set(template.scope > 0), &bytes, false)
@@ -128,7 +136,11 @@
 
     fn specifier(&self, bytes: &mut Vec<u8>, element: &Element) {
         // Enterprise elements have the high bit; NetFlow v9 knows no enterprises and takes it for a large type.
-        let high = if element.enterprise.is_some() { 0x8000 } else { 0 };
+        let high = if element.enterprise.is_some() {
+            0x8000
+        } else {
+            0
+        };
         put16(bytes, element.id | high);
         put16(bytes, self.length(element));
         if let (Some(enterprise), Form::Ipfix) = (element.enterprise, self.form) {
@@ -149,8 +161,14 @@
                 (_, Kind::Text) => self.text(&mut bytes, ""),
                 (Some(Value::Number(number)), _) => {
                     // A number too large for its field stays at the largest rather than wrap.
-                    let most = if length == 8 { u64::MAX } else { (1 << (8 * u32::from(length))) - 1 };
-                    bytes.extend_from_slice(&(*number).min(most).to_be_bytes()[8 - usize::from(length)..]);
+                    let most = if length == 8 {
+                        u64::MAX
+                    } else {
+                        (1 << (8 * u32::from(length))) - 1
+                    };
+                    bytes.extend_from_slice(
+                        &(*number).min(most).to_be_bytes()[8 - usize::from(length)..],
+                    );
                 }
                 _ => bytes.extend(std::iter::repeat_n(0, usize::from(length))),
             }
@@ -206,7 +224,9 @@
     }
 
     fn close_set(&mut self) {
-        let Some((from, _)) = self.set.take() else { return };
+        let Some((from, _)) = self.set.take() else {
+            return;
+        };
         while self.form == Form::V9 && !(self.message.len() - from).is_multiple_of(4) {
             self.message.push(0);
         }
--- a/crates/lease/src/elector.rs
+++ b/crates/lease/src/elector.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use harrierdock_types::time::{Point, Span};
+use harrierdock_types::{TimeDelta, Timestamp};
 
 use crate::{Duty, Epoch, NodeIx};
 
@@ -24,15 +24,15 @@
 /// For how long one that waits is remembered without being heard: the first look often, later ones seldom.
 #[derive(Clone, Copy, Debug)]
 pub struct Lasts {
-    pub near: Span,
-    pub later: Span,
+    pub near: TimeDelta,
+    pub later: TimeDelta,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Grant {
     to: Asker,
     epoch: Epoch,
-    until: Point,
+    until: Timestamp,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
@@ -46,7 +46,7 @@
     /// up.
     closed: VecDeque<Epoch>,
     /// By rank, when it was heard last.
-    waiting: BTreeMap<u64, (NodeIx, Point)>,
+    waiting: BTreeMap<u64, (NodeIx, Timestamp)>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -56,7 +56,7 @@
     /// Not now: for how long another has it yet, and who.
     No {
         newest: Epoch,
-        left: Span,
+        left: TimeDelta,
         holder: Option<NodeIx>,
     },
 }
@@ -65,22 +65,32 @@
 pub struct Elector {
     /// Guards against a second holder by a vote given before this start and forgotten with it. It harms a
     /// start of all at once: nothing is held for one lease.
-    silent_until: Point,
+    silent_until: Timestamp,
     /// Guards against an epoch begun anew by electors that have all forgotten it: none is older than this
     /// start.
     floor: Epoch,
-    longest: Span,
+    longest: TimeDelta,
     votes: BTreeMap<Duty, Vote>,
 }
 
 impl Elector {
     /// `floor` is Unix time in milliseconds at the end of the silence; `longest` is the longest lease given.
-    pub fn new(duties: &[Duty], silent_until: Point, floor: Epoch, longest: Span) -> Elector {
+    pub fn new(
+        duties: &[Duty],
+        silent_until: Timestamp,
+        floor: Epoch,
+        longest: TimeDelta,
+    ) -> Elector {
         let votes = duties.iter().map(|duty| (*duty, Vote::default())).collect();
-        Elector { silent_until, floor, longest, votes }
+        Elector {
+            silent_until,
+            floor,
+            longest,
+            votes,
+        }
     }
 
-    pub fn silent_until(&self) -> Point {
+    pub fn silent_until(&self) -> Timestamp {
         self.silent_until
     }
 
@@ -98,18 +108,28 @@
     }
 
     /// Who has it by this elector's vote, and until when.
-    pub fn granted(&self, now: Point, duty: Duty) -> Option<(NodeIx, Point)> {
+    pub fn granted(&self, now: Timestamp, duty: Duty) -> Option<(NodeIx, Timestamp)> {
         let grant = self.votes.get(&duty)?.grant.filter(|g| now < g.until)?;
         Some((grant.to.node, grant.until))
     }
 
     /// May this gateway begin this epoch?
-    pub fn ask(&mut self, now: Point, duty: Duty, by: Asker, epoch: Epoch, after: Option<Epoch>) -> Answer {
-        let Some(vote) = self.votes.get_mut(&duty) else { return Answer::Silent };
+    pub fn ask(
+        &mut self,
+        now: Timestamp,
+        duty: Duty,
+        by: Asker,
+        epoch: Epoch,
+        after: Option<Epoch>,
+    ) -> Answer {
+        let Some(vote) = self.votes.get_mut(&duty) else {
+            return Answer::Silent;
+        };
         if now < self.silent_until {
             return Answer::Silent;
         }
-        if let Some(passed) = after.filter(|passed| vote.grant.is_some_and(|g| g.epoch == *passed)) {
+        if let Some(passed) = after.filter(|passed| vote.grant.is_some_and(|g| g.epoch == *passed))
+        {
             vote.close(passed);
         }
         if let Some(no) = vote.taken(now, by) {
@@ -122,7 +142,11 @@
         }
         match (epoch == vote.newest, vote.open_to) {
             (true, Some(open)) if open == by => Answer::Yes,
-            _ => Answer::No { newest, left: Span::ZERO, holder: None },
+            _ => Answer::No {
+                newest,
+                left: TimeDelta::ZERO,
+                holder: None,
+            },
         }
     }
 
@@ -130,14 +154,16 @@
     /// since can have come to anything: it is bound by another's vote only.
     pub fn take(
         &mut self,
-        now: Point,
+        now: Timestamp,
         duty: Duty,
         by: Asker,
         epoch: Epoch,
-        lease: Span,
+        lease: TimeDelta,
         renews: bool,
     ) -> Answer {
-        let Some(vote) = self.votes.get_mut(&duty) else { return Answer::Silent };
+        let Some(vote) = self.votes.get_mut(&duty) else {
+            return Answer::Silent;
+        };
         if now < self.silent_until {
             return Answer::Silent;
         }
@@ -149,21 +175,31 @@
         // this vote comes with the first renewal.
         let begins = epoch == vote.newest && vote.open_to == Some(by);
         // Guards against a lease that outlasts this elector's silence after a start.
-        let bounded = Span::ZERO < lease && lease <= self.longest;
+        let bounded = TimeDelta::ZERO < lease && lease <= self.longest;
         let older = vote.grant.is_some_and(|g| g.to == by && g.epoch > epoch);
         if !(begins || renews) || vote.closed.contains(&epoch) || !bounded || older {
-            return Answer::No { newest: vote.newest, left: Span::ZERO, holder: None };
+            return Answer::No {
+                newest: vote.newest,
+                left: TimeDelta::ZERO,
+                holder: None,
+            };
         }
         if epoch > vote.newest {
             (vote.newest, vote.open_to) = (epoch, Some(by));
         }
-        vote.grant = Some(Grant { to: by, epoch, until: now + lease });
+        vote.grant = Some(Grant {
+            to: by,
+            epoch,
+            until: now + lease,
+        });
         Answer::Yes
     }
 
     /// The holder gives it up.
     pub fn release(&mut self, duty: Duty, by: Asker, epoch: Epoch) -> bool {
-        let Some(vote) = self.votes.get_mut(&duty) else { return false };
+        let Some(vote) = self.votes.get_mut(&duty) else {
+            return false;
+        };
         let granted = vote.grant.is_some_and(|g| g.to == by && g.epoch == epoch);
         if granted || (vote.newest == epoch && vote.open_to == Some(by)) {
             vote.close(epoch);
@@ -172,11 +208,24 @@
     }
 
     /// How many that wait are heard before this one, which is heard now.
-    pub fn place(&mut self, now: Point, duty: Duty, rank: u64, node: NodeIx, lasts: Lasts) -> usize {
-        let Some(vote) = self.votes.get_mut(&duty) else { return WAITING };
+    pub fn place(
+        &mut self,
+        now: Timestamp,
+        duty: Duty,
+        rank: u64,
+        node: NodeIx,
+        lasts: Lasts,
+    ) -> usize {
+        let Some(vote) = self.votes.get_mut(&duty) else {
+            return WAITING;
+        };
         let mut before = 0;
         vote.waiting.retain(|_, (_, heard)| {
-            let lasting = if before < NEAR { lasts.near } else { lasts.later };
+            let lasting = if before < NEAR {
+                lasts.near
+            } else {
+                lasts.later
+            };
             let stays = now - *heard <= lasting;
             before += usize::from(stays);
             stays
@@ -189,7 +238,13 @@
     }
 
     /// The first that waits, other than this one.
-    pub fn first(&self, now: Point, duty: Duty, but: NodeIx, lasting: Span) -> Option<NodeIx> {
+    pub fn first(
+        &self,
+        now: Timestamp,
+        duty: Duty,
+        but: NodeIx,
+        lasting: TimeDelta,
+    ) -> Option<NodeIx> {
         let waiting = self.votes.get(&duty)?.waiting.values();
         let mut waiting = waiting.filter(|(node, heard)| *node != but && now - *heard <= lasting);
         waiting.next().map(|(node, _)| *node)
@@ -208,9 +263,13 @@
     }
 
     /// Guards against two holders: while one has this vote, no other gets it, whatever its epoch.
-    fn taken(&self, now: Point, by: Asker) -> Option<Answer> {
+    fn taken(&self, now: Timestamp, by: Asker) -> Option<Answer> {
         let grant = self.grant.filter(|g| now < g.until && g.to != by)?;
         let (left, holder) = (grant.until - now, Some(grant.to.node));
-        Some(Answer::No { newest: self.newest.max(grant.epoch), left, holder })
+        Some(Answer::No {
+            newest: self.newest.max(grant.epoch),
+            left,
+            holder,
+        })
     }
 }
--- a/crates/lease/src/form.rs
+++ b/crates/lease/src/form.rs
@@ -55,10 +55,7 @@
         after: Option<Epoch>,
     },
     /// It would: it lets no older one have it from now on.
-    Open {
-        duty: Duty,
-        ballot: Ballot,
-    },
+    Open { duty: Duty, ballot: Ballot },
     /// Hold it for this long.
     Take {
         duty: Duty,
@@ -83,19 +80,11 @@
         holder: u32,
     },
     /// The holder gives it up.
-    Release {
-        duty: Duty,
-        epoch: Epoch,
-    },
+    Release { duty: Duty, epoch: Epoch },
     /// The holder gives it up, and whoever reads this may have it.
-    Pass {
-        duty: Duty,
-        epoch: Epoch,
-    },
+    Pass { duty: Duty, epoch: Epoch },
     /// Who holds what, as far as the sender has heard.
-    Hearsay {
-        holdings: Vec<Holding>,
-    },
+    KnownLeases { holdings: Vec<Holding> },
 }
 
 /// Why bytes are no message.
@@ -103,9 +92,13 @@
 pub enum Unread {
     #[error("{len} bytes are no message of a fleet: look for another program that sends here")]
     Length { len: usize },
-    #[error("the first byte is {byte:#04x}: this is mail of another kind, or of a build without duties")]
+    #[error(
+        "the first byte is {byte:#04x}: this is mail of another kind, or of a build without duties"
+    )]
     Kind { byte: u8 },
-    #[error("form {form} is not known, {FORM} is: bring the older of the two builds up to the newer")]
+    #[error(
+        "form {form} is not known, {FORM} is: bring the older of the two builds up to the newer"
+    )]
     Form { form: u8 },
     #[error(
         "the sum does not match: the message was garbled on its way; look at the road if it happens often"
@@ -117,7 +110,9 @@
 
 /// FNV-1a with 32 bits. Any change within one byte changes the sum; others pass once in four billion.
 fn sum(bytes: &[u8]) -> [u8; SUM] {
-    let hash = bytes.iter().fold(0x811c_9dc5_u32, |h, b| (h ^ u32::from(*b)).wrapping_mul(0x0100_0193));
+    let hash = bytes.iter().fold(0x811c_9dc5_u32, |h, b| {
+        (h ^ u32::from(*b)).wrapping_mul(0x0100_0193)
+    });
     hash.to_le_bytes()
 }
 
@@ -154,6 +149,6 @@
 
 impl Message {
     fn bounded(&self) -> bool {
-        !matches!(&self.body, Body::Hearsay { holdings } if holdings.len() > HEARSAY)
+        !matches!(&self.body, Body::KnownLeases { holdings } if holdings.len() > HEARSAY)
     }
 }
--- a/crates/lease/src/guard.rs
+++ b/crates/lease/src/guard.rs
@@ -16,7 +16,11 @@
     #[error(
         "an act of {duty} in epoch {epoch}, when {newest} is known: whoever acted holds it no more; tell it"
     )]
-    Older { duty: Duty, epoch: Epoch, newest: Epoch },
+    Older {
+        duty: Duty,
+        epoch: Epoch,
+        newest: Epoch,
+    },
     #[error("an act of {duty} beyond the {MOST} duties that are kept apart: tell fewer circles")]
     TooMany { duty: Duty },
 }
@@ -30,7 +34,13 @@
     /// To be asked before an act is carried out.
     pub fn admit(&mut self, duty: Duty, epoch: Epoch) -> Result<(), Stale> {
         match self.newest.get(&duty) {
-            Some(newest) if epoch < *newest => return Err(Stale::Older { duty, epoch, newest: *newest }),
+            Some(newest) if epoch < *newest => {
+                return Err(Stale::Older {
+                    duty,
+                    epoch,
+                    newest: *newest,
+                })
+            }
             None if self.newest.len() >= MOST => return Err(Stale::TooMany { duty }),
             _ => {}
         }
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -17,7 +17,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt;
 
-use harrierdock_types::time::{Point, Span};
+use harrierdock_types::{TimeDelta, Timestamp};
 use nanorand::{Rng, WyRand};
 use serde::{Deserialize, Serialize};
 
@@ -30,10 +30,12 @@
 pub use terms::{id_of, Duty, Electorate, Misfit, NodeIx, Terms, Told};
 
 /// The shortest wait asked for. Guards against a driver that wakes this without end.
-const SHORTEST: Span = Span(1_000);
+const SHORTEST: TimeDelta = TimeDelta(1_000);
 
 /// The number of a holding: each that follows has a higher one.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct Epoch(pub u64);
 
 impl fmt::Display for Epoch {
@@ -86,7 +88,7 @@
     },
     /// `Event::Wake` is due so much later; the newest one asked for counts.
     Wake {
-        after: Span,
+        after: TimeDelta,
     },
 }
 
@@ -96,7 +98,7 @@
     pub holder: NodeIx,
     pub epoch: Epoch,
     /// When its lease runs out, by what was heard last.
-    pub until: Point,
+    pub until: Timestamp,
 }
 
 /// Counted since the start, for status.
@@ -126,7 +128,7 @@
     peers: Vec<u64>,
     counts: Counts,
     ending: bool,
-    next_hearsay: Point,
+    next_hearsay: Timestamp,
     /// Where the telling of what is known stands.
     told: usize,
     /// Messages of this gateway to itself, as elector and as asker.
@@ -136,7 +138,7 @@
 
 impl Fleet {
     /// `incarnation` is Unix time in milliseconds at this process' start; `seed` another at each start.
-    pub fn new(terms: Terms, incarnation: u64, seed: u64, now: Point) -> Fleet {
+    pub fn new(terms: Terms, incarnation: u64, seed: u64, now: Timestamp) -> Fleet {
         let nodes = terms.ids.len();
         // A grant lasts no longer than the silence that would follow a start, by the same clock.
         let longest = terms.silence / (1.0 + terms.drift);
@@ -164,13 +166,17 @@
             terms,
         };
         for duty in fleet.terms.duties.clone() {
-            let place = if nodes <= elector::WAITING { 0 } else { elector::WAITING };
+            let place = if nodes <= elector::WAITING {
+                0
+            } else {
+                elector::WAITING
+            };
             fleet.seats.insert(duty, Seat::new(now, place));
         }
         fleet
     }
 
-    pub fn take(&mut self, now: Point, event: Event) -> Vec<Action> {
+    pub fn take(&mut self, now: Timestamp, event: Event) -> Vec<Action> {
         // Guards against a process that stood still: what lapsed meanwhile has ended before anything is
         // heard.
         self.lapse(now);
@@ -197,24 +203,39 @@
             self.settle_own(now);
         }
         self.hearsay(now);
-        let due = self.seats.values().filter_map(Seat::due).chain([self.next_hearsay]).min();
+        let due = self
+            .seats
+            .values()
+            .filter_map(Seat::due)
+            .chain([self.next_hearsay])
+            .min();
         let after = due.map_or(self.terms.heartbeat, |due| due - now);
-        self.actions.push(Action::Wake { after: after.max(SHORTEST) });
+        self.actions.push(Action::Wake {
+            after: after.max(SHORTEST),
+        });
         std::mem::take(&mut self.actions)
     }
 
     /// Whether this gateway may act in this duty at this moment, and in which epoch. To be asked immediately
     /// before each act, with a fresh reading of a clock that never steps. Guards against a deposed holder
     /// that acts on; it harms one whose renewals are late: it stops although nobody else has the duty yet.
-    pub fn may_act(&self, now: Point, duty: Duty) -> Option<Epoch> {
+    pub fn may_act(&self, now: Timestamp, duty: Duty) -> Option<Epoch> {
         let (epoch, until) = self.seats.get(&duty)?.held()?;
         (now < until).then_some(epoch)
     }
 
     /// Who holds a duty as known here.
-    pub fn holder(&self, now: Point, duty: Duty) -> Option<Known> {
-        let own = self.seats.get(&duty).and_then(Seat::held).filter(|(_, until)| now < *until);
-        let own = own.map(|(epoch, until)| Known { holder: self.terms.own, epoch, until });
+    pub fn holder(&self, now: Timestamp, duty: Duty) -> Option<Known> {
+        let own = self
+            .seats
+            .get(&duty)
+            .and_then(Seat::held)
+            .filter(|(_, until)| now < *until);
+        let own = own.map(|(epoch, until)| Known {
+            holder: self.terms.own,
+            epoch,
+            until,
+        });
         own.or_else(|| self.known.get(&duty).copied())
     }
 
@@ -235,10 +256,14 @@
 
     /// Whether all that was held is handed on, and told twice: an ending process may end.
     pub fn done(&self) -> bool {
-        self.ending && self.seats.values().all(|s| s.again.is_none() && s.held().is_none())
+        self.ending
+            && self
+                .seats
+                .values()
+                .all(|s| s.again.is_none() && s.held().is_none())
     }
 
-    fn settle_own(&mut self, now: Point) {
+    fn settle_own(&mut self, now: Timestamp) {
         while let Some(body) = self.own.pop_front() {
             self.read(now, self.terms.own, self.incarnation, body);
         }
@@ -249,7 +274,12 @@
             return self.own.push_back(body);
         }
         let electorate = self.voters.told().number;
-        let message = Message { incarnation: self.incarnation, electorate, digest: self.digest, body };
+        let message = Message {
+            incarnation: self.incarnation,
+            electorate,
+            digest: self.digest,
+            body,
+        };
         self.actions.push(Action::Tell { to, message });
     }
 }
--- a/crates/lease/src/seat.rs
+++ b/crates/lease/src/seat.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeSet, VecDeque};
 
-use harrierdock_types::time::{Point, Span};
+use harrierdock_types::{TimeDelta, Timestamp};
 
 use crate::{Epoch, NodeIx};
 
@@ -13,27 +13,25 @@
 pub struct Round {
     pub no: u16,
     /// When it was asked: the lease counts from then.
-    pub sent: Point,
+    pub sent: Timestamp,
     pub votes: BTreeSet<NodeIx>,
 }
 
 #[derive(Clone, Debug)]
 pub enum State {
     /// Nothing is under way; asks again at `next`.
-    Waits {
-        next: Point,
-    },
+    Waits { next: Timestamp },
     /// Has asked one elector whether it is free.
     Looks {
         epoch: Epoch,
         at: NodeIx,
-        until: Point,
+        until: Timestamp,
     },
     /// Has asked all whether it may begin.
     Asks {
         epoch: Epoch,
         after: Option<Epoch>,
-        until: Point,
+        until: Timestamp,
         open: BTreeSet<NodeIx>,
         no: BTreeSet<NodeIx>,
     },
@@ -41,13 +39,13 @@
     Takes {
         epoch: Epoch,
         round: Round,
-        until: Point,
+        until: Timestamp,
         no: BTreeSet<NodeIx>,
     },
     Holds {
         epoch: Epoch,
-        until: Point,
-        renew: Point,
+        until: Timestamp,
+        renew: Timestamp,
         rounds: VecDeque<Round>,
         last: u16,
     },
@@ -62,25 +60,25 @@
     /// Tries in a row that came to nothing.
     pub fails: u32,
     /// How long others hold it yet, by the latest try.
-    pub left: Span,
+    pub left: TimeDelta,
     /// The next try's epoch is above this one.
     pub above: Epoch,
     /// Who comes next, as electors have said with their latest votes.
     pub heirs: BTreeSet<NodeIx>,
     /// What was given up is told once more then: one message may be lost.
-    pub again: Option<(Point, Epoch, Option<NodeIx>)>,
+    pub again: Option<(Timestamp, Epoch, Option<NodeIx>)>,
     /// How many electors in turn have said nothing.
     pub turn: usize,
 }
 
 impl Seat {
-    pub fn new(next: Point, place: usize) -> Seat {
+    pub fn new(next: Timestamp, place: usize) -> Seat {
         Seat {
             wants: false,
             state: State::Waits { next },
             place,
             fails: 0,
-            left: Span::ZERO,
+            left: TimeDelta::ZERO,
             above: Epoch(0),
             heirs: BTreeSet::new(),
             again: None,
@@ -89,7 +87,7 @@
     }
 
     /// Until when it is held, by this gateway's own clock.
-    pub fn held(&self) -> Option<(Epoch, Point)> {
+    pub fn held(&self) -> Option<(Epoch, Timestamp)> {
         match &self.state {
             State::Holds { epoch, until, .. } => Some((*epoch, *until)),
             _ => None,
@@ -97,7 +95,7 @@
     }
 
     /// When something is due.
-    pub fn due(&self) -> Option<Point> {
+    pub fn due(&self) -> Option<Timestamp> {
         let state = match &self.state {
             State::Waits { next } => self.wants.then_some(*next),
             State::Looks { until, .. } | State::Asks { until, .. } | State::Takes { until, .. } => {
@@ -109,12 +107,25 @@
     }
 
     /// Begins another renewal, and says its number.
-    pub fn renew(&mut self, now: Point, heartbeat: Span) -> Option<(Epoch, u16)> {
-        let State::Holds { epoch, renew, rounds, last, .. } = &mut self.state else { return None };
+    pub fn renew(&mut self, now: Timestamp, heartbeat: TimeDelta) -> Option<(Epoch, u16)> {
+        let State::Holds {
+            epoch,
+            renew,
+            rounds,
+            last,
+            ..
+        } = &mut self.state
+        else {
+            return None;
+        };
         // The first round is the one that began; its number is used for nothing else.
         *last = last.checked_add(1).unwrap_or(2);
         *renew = now + heartbeat;
-        rounds.push_back(Round { no: *last, sent: now, votes: BTreeSet::new() });
+        rounds.push_back(Round {
+            no: *last,
+            sent: now,
+            votes: BTreeSet::new(),
+        });
         if rounds.len() > ROUNDS {
             rounds.pop_front();
         }
--- a/crates/lease/src/seek.rs
+++ b/crates/lease/src/seek.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use harrierdock_types::time::{Point, Span};
+use harrierdock_types::{TimeDelta, Timestamp};
 use nanorand::Rng;
 
 use crate::elector::{Lasts, NEAR, WAITING};
@@ -38,7 +38,10 @@
     }
 
     pub(crate) fn waiting_lasts(&self) -> Lasts {
-        Lasts { near: self.terms.lease * 4.0, later: self.terms.lease * (2.0 * LATER) }
+        Lasts {
+            near: self.terms.lease * 4.0,
+            later: self.terms.lease * (2.0 * LATER),
+        }
     }
 
     pub(crate) fn tell_all(&mut self, body: Body) {
@@ -48,7 +51,7 @@
     }
 
     /// What has run out by this gateway's own clock has ended.
-    pub(crate) fn lapse(&mut self, now: Point) {
+    pub(crate) fn lapse(&mut self, now: Timestamp) {
         for duty in self.terms.duties.clone() {
             let held = self.seats.get(&duty).and_then(|s| s.held());
             if let Some((epoch, _)) = held.filter(|(_, until)| now >= *until) {
@@ -58,7 +61,7 @@
         }
     }
 
-    fn give_up(&mut self, now: Point, duty: Duty, epoch: Epoch, why: Why) {
+    fn give_up(&mut self, now: Timestamp, duty: Duty, epoch: Epoch, why: Why) {
         self.actions.push(Action::Ended { duty, epoch, why });
         let heir = match why {
             Why::HandedOn => self.heir(duty),
@@ -69,7 +72,7 @@
             self.tell(heir, Body::Pass { duty, epoch });
         }
         let again = now + self.terms.heartbeat * AGAIN;
-        self.wait(now, duty, Span::ZERO);
+        self.wait(now, duty, TimeDelta::ZERO);
         if let Some(seat) = self.seats.get_mut(&duty) {
             seat.again = Some((again, epoch, heir));
         }
@@ -80,15 +83,24 @@
 
     /// Who is to have it next: an elector that waits, or the first of those that electors know to wait.
     fn heir(&self, duty: Duty) -> Option<NodeIx> {
-        let heirs = self.seats.get(&duty)?.heirs.iter().filter(|h| **h != self.terms.own);
-        heirs.min_by_key(|h| (!self.voters.votes(**h), self.rank(duty, **h))).copied()
+        let heirs = self
+            .seats
+            .get(&duty)?
+            .heirs
+            .iter()
+            .filter(|h| **h != self.terms.own);
+        heirs
+            .min_by_key(|h| (!self.voters.votes(**h), self.rank(duty, **h)))
+            .copied()
     }
 
-    pub(crate) fn want(&mut self, now: Point, duty: Duty, wants: bool) {
+    pub(crate) fn want(&mut self, now: Timestamp, duty: Duty, wants: bool) {
         let wants = wants && !self.ending;
         let first = self.elector.silent_until();
         let votes = self.voters.votes(self.terms.own);
-        let Some(seat) = self.seats.get_mut(&duty) else { return };
+        let Some(seat) = self.seats.get_mut(&duty) else {
+            return;
+        };
         if std::mem::replace(&mut seat.wants, wants) == wants {
             return;
         }
@@ -96,7 +108,12 @@
             // Guards against a whole fleet that asks at once after a start: electors are near, others by
             // chance.
             let near = votes || seat.place < NEAR;
-            let next = first.max(now) + if near { self.spread(duty) } else { self.early() };
+            let next = first.max(now)
+                + if near {
+                    self.spread(duty)
+                } else {
+                    self.early()
+                };
             if let Some(seat) = self.seats.get_mut(&duty) {
                 seat.state = State::Waits { next };
             }
@@ -109,13 +126,13 @@
             }
             State::Takes { epoch, .. } => {
                 self.tell_all(Body::Release { duty, epoch });
-                self.wait(now, duty, Span::ZERO);
+                self.wait(now, duty, TimeDelta::ZERO);
             }
-            _ => self.wait(now, duty, Span::ZERO),
+            _ => self.wait(now, duty, TimeDelta::ZERO),
         }
     }
 
-    pub(crate) fn refused(&mut self, now: Point, duty: Duty, newest: Epoch) {
+    pub(crate) fn refused(&mut self, now: Timestamp, duty: Duty, newest: Epoch) {
         self.elector.learn(duty, newest);
         let held = self.seats.get(&duty).and_then(|s| s.held());
         if let Some((epoch, _)) = held.filter(|(epoch, _)| *epoch < newest) {
@@ -124,7 +141,7 @@
     }
 
     /// An elector's vote has become free in order: it tries soon if it waits itself, should the heir not.
-    pub(crate) fn gave_up(&mut self, now: Point, duty: Duty, epoch: Epoch) {
+    pub(crate) fn gave_up(&mut self, now: Timestamp, duty: Duty, epoch: Epoch) {
         if let Some(known) = self.known.get_mut(&duty).filter(|k| k.epoch == epoch) {
             known.until = known.until.min(now);
         }
@@ -137,8 +154,10 @@
     }
 
     /// The holder has passed it to this gateway.
-    pub(crate) fn passed(&mut self, now: Point, duty: Duty, after: Epoch) {
-        let Some(seat) = self.seats.get(&duty).filter(|s| s.wants) else { return };
+    pub(crate) fn passed(&mut self, now: Timestamp, duty: Duty, after: Epoch) {
+        let Some(seat) = self.seats.get(&duty).filter(|s| s.wants) else {
+            return;
+        };
         let waits = match seat.state {
             State::Waits { .. } | State::Looks { .. } => true,
             // It had asked before it was passed on, or the message has come twice.
@@ -147,7 +166,10 @@
         };
         // Guards against an old copy: whoever passed on an epoch that others have left behind has passed
         // nothing.
-        let newer = self.known.get(&duty).is_some_and(|known| known.epoch > after);
+        let newer = self
+            .known
+            .get(&duty)
+            .is_some_and(|known| known.epoch > after);
         if waits && !newer {
             self.elector.learn(duty, after);
             self.ask_all(now, duty, Some(after));
@@ -155,12 +177,15 @@
     }
 
     /// How long this one waits more than others that would hold the duty.
-    fn spread(&mut self, duty: Duty) -> Span {
+    fn spread(&mut self, duty: Duty) -> TimeDelta {
         let own = self.terms.own;
         let electors = self.voters.all();
         let rank = self.rank(duty, own);
         let before = if self.voters.votes(own) {
-            electors.iter().filter(|e| self.rank(duty, **e) < rank).count()
+            electors
+                .iter()
+                .filter(|e| self.rank(duty, **e) < rank)
+                .count()
         } else {
             electors.len() + self.seats.get(&duty).map_or(0, |s| s.place)
         };
@@ -168,31 +193,37 @@
     }
 
     /// How long one waits that is not among the first: all such together look about once a lease.
-    fn seldom(&mut self) -> Span {
-        self.terms.lease * (2.0 * self.terms.ids.len() as f64 * self.chance.generate::<f64>()).max(0.5)
+    fn seldom(&mut self) -> TimeDelta {
+        self.terms.lease
+            * (2.0 * self.terms.ids.len() as f64 * self.chance.generate::<f64>()).max(0.5)
     }
 
     /// How long one waits that no elector has told its place. If all of a large fleet would hold the duty,
     /// they look 64 times a lease in sum, each once: nobody knows yet how many they are, and few must not
     /// wait long.
-    fn early(&mut self) -> Span {
-        self.terms.lease * ((self.terms.ids.len() as f64 / 64.0).max(1.0) * self.chance.generate::<f64>())
+    fn early(&mut self) -> TimeDelta {
+        self.terms.lease
+            * ((self.terms.ids.len() as f64 / 64.0).max(1.0) * self.chance.generate::<f64>())
     }
 
     /// Nothing is under way any more; `left` is how long another holds it yet.
-    fn wait(&mut self, now: Point, duty: Duty, left: Span) {
+    fn wait(&mut self, now: Timestamp, duty: Duty, left: TimeDelta) {
         let own = self.terms.own;
         let (spread, seldom) = (self.spread(duty), self.seldom());
         let chance = self.chance.generate::<f64>();
         let votes = self.voters.votes(own);
-        let Some(seat) = self.seats.get_mut(&duty) else { return };
+        let Some(seat) = self.seats.get_mut(&duty) else {
+            return;
+        };
         let apart = self.terms.heartbeat * APART;
-        let next = if left > Span::ZERO {
+        let next = if left > TimeDelta::ZERO {
             seat.fails = 0;
             match seat.place {
                 place if votes || place == 0 => now + left + spread,
                 place if place < NEAR => now + left + self.terms.lease * place as f64 + spread,
-                place if place < WAITING => now + left + self.terms.lease * (LATER * (0.5 + chance)),
+                place if place < WAITING => {
+                    now + left + self.terms.lease * (LATER * (0.5 + chance))
+                }
                 _ => now + left + seldom,
             }
         } else {
@@ -206,43 +237,57 @@
     /// Guards against a try that counts votes of an earlier one: no number is used twice by a process.
     fn next_epoch(&mut self, duty: Duty) -> Epoch {
         let newest = self.elector.newest(duty).max(Epoch(self.incarnation));
-        let Some(seat) = self.seats.get_mut(&duty) else { return newest };
+        let Some(seat) = self.seats.get_mut(&duty) else {
+            return newest;
+        };
         seat.above = Epoch(newest.max(seat.above).0.saturating_add(1));
         seat.above
     }
 
     /// Asks all electors whether this gateway may begin a holding.
-    pub(crate) fn ask_all(&mut self, now: Point, duty: Duty, after: Option<Epoch>) {
+    pub(crate) fn ask_all(&mut self, now: Timestamp, duty: Duty, after: Option<Epoch>) {
         let epoch = self.next_epoch(duty);
         let until = now + self.terms.heartbeat * PATIENCE;
-        let Some(seat) = self.seats.get_mut(&duty) else { return };
-        seat.left = Span::ZERO;
-        seat.state = State::Asks { epoch, after, until, open: BTreeSet::new(), no: BTreeSet::new() };
+        let Some(seat) = self.seats.get_mut(&duty) else {
+            return;
+        };
+        seat.left = TimeDelta::ZERO;
+        seat.state = State::Asks {
+            epoch,
+            after,
+            until,
+            open: BTreeSet::new(),
+            no: BTreeSet::new(),
+        };
         self.tell_all(Body::Ask { duty, epoch, after });
     }
 
     /// An elector has said no.
     pub(crate) fn refused_by(
         &mut self,
-        now: Point,
+        now: Timestamp,
         from: NodeIx,
         duty: Duty,
         to: Epoch,
-        left: Span,
+        left: TimeDelta,
         place: u8,
     ) {
         if !self.voters.votes(from) {
             return;
         }
         let all = self.voters.all().len();
-        let Some(seat) = self.seats.get_mut(&duty) else { return };
+        let Some(seat) = self.seats.get_mut(&duty) else {
+            return;
+        };
         seat.place = usize::from(place).min(WAITING);
         match &mut seat.state {
             State::Looks { epoch, at, .. } if *epoch == to && *at == from => match left {
-                Span::ZERO => self.ask_all(now, duty, None),
+                TimeDelta::ZERO => self.ask_all(now, duty, None),
                 left => self.wait(now, duty, left),
             },
-            State::Asks { epoch, open, no, .. } if *epoch == to => {
+            State::Asks {
+                epoch, open, no, ..
+            } if *epoch == to => {
                 no.insert(from);
                 seat.left = seat.left.max(left);
                 if no.len() + open.len() >= all {
@@ -250,7 +295,9 @@
                     self.wait(now, duty, left);
                 }
             }
-            State::Takes { epoch, round, no, .. } if *epoch == to => {
+            State::Takes {
+                epoch, round, no, ..
+            } if *epoch == to => {
                 no.insert(from);
                 seat.left = seat.left.max(left);
                 if no.len() + round.votes.len() >= all {
@@ -264,15 +311,19 @@
     }
 
     /// Does what is due for a duty.
-    pub(crate) fn seek(&mut self, now: Point, duty: Duty) {
-        let Some(seat) = self.seats.get_mut(&duty) else { return };
+    pub(crate) fn seek(&mut self, now: Timestamp, duty: Duty) {
+        let Some(seat) = self.seats.get_mut(&duty) else {
+            return;
+        };
         if let Some((_, epoch, heir)) = seat.again.take_if(|(at, ..)| *at <= now) {
             self.tell_all(Body::Release { duty, epoch });
             if let Some(heir) = heir {
                 self.tell(heir, Body::Pass { duty, epoch });
             }
         }
-        let Some(seat) = self.seats.get_mut(&duty) else { return };
+        let Some(seat) = self.seats.get_mut(&duty) else {
+            return;
+        };
         let wants = seat.wants;
         match &seat.state {
             State::Waits { next } if wants && *next <= now => self.look(now, duty),
@@ -299,7 +350,12 @@
                 let heartbeat = self.terms.heartbeat;
                 if let Some((epoch, round)) = seat.renew(now, heartbeat) {
                     let lease_ms = (self.terms.lease.0 / 1000) as u16;
-                    self.tell_all(Body::Take { duty, epoch, round, lease_ms });
+                    self.tell_all(Body::Take {
+                        duty,
+                        epoch,
+                        round,
+                        lease_ms,
+                    });
                 }
             }
             _ => {}
@@ -308,7 +364,7 @@
 
     /// Looks whether the duty is free: an elector by its own vote, which costs nothing, others at one
     /// elector.
-    fn look(&mut self, now: Point, duty: Duty) {
+    fn look(&mut self, now: Timestamp, duty: Duty) {
         let own = self.terms.own;
         if self.voters.votes(own) {
             return match self.elector.granted(now, duty).filter(|(to, _)| *to != own) {
@@ -327,12 +383,23 @@
         let back = self.chance.generate_range(0..BACK) == 0;
         let epoch = self.next_epoch(duty);
         let until = now + self.terms.heartbeat * PATIENCE;
-        let Some(seat) = self.seats.get_mut(&duty) else { return };
+        let Some(seat) = self.seats.get_mut(&duty) else {
+            return;
+        };
         if back {
             seat.turn = 0;
         }
-        let Some(at) = electors.get(seat.turn % electors.len().max(1)).copied() else { return };
+        let Some(at) = electors.get(seat.turn % electors.len().max(1)).copied() else {
+            return;
+        };
         seat.state = State::Looks { epoch, at, until };
-        self.tell(at, Body::Ask { duty, epoch, after: None });
+        self.tell(
+            at,
+            Body::Ask {
+                duty,
+                epoch,
+                after: None,
+            },
+        );
     }
 }
--- a/crates/lease/src/terms.rs
+++ b/crates/lease/src/terms.rs
@@ -4,7 +4,7 @@
 use std::fmt;
 use std::str::FromStr;
 
-use harrierdock_types::time::Span;
+use harrierdock_types::TimeDelta;
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
@@ -58,7 +58,9 @@
     type Err = Misfit;
 
     fn from_str(s: &str) -> Result<Duty, Misfit> {
-        let unknown = || Misfit::UnknownDuty { duty: s.to_string() };
+        let unknown = || Misfit::UnknownDuty {
+            duty: s.to_string(),
+        };
         match s {
             "steward" => Ok(Duty::Steward),
             "heir" => Ok(Duty::Heir),
@@ -87,10 +89,10 @@
     pub electorate: Vec<String>,
     /// Raised by one with each change of the electorate.
     pub electorate_number: u32,
-    pub lease: Span,
-    pub heartbeat: Span,
+    pub lease: TimeDelta,
+    pub heartbeat: TimeDelta,
     /// The longest lease that gateways still running may have been told; none where it never changed.
-    pub longest_lease: Option<Span>,
+    pub longest_lease: Option<TimeDelta>,
     /// The largest error of a clock's rate, as a part: 0.02 for 2%.
     pub drift: f64,
     pub duties: Vec<String>,
@@ -104,11 +106,11 @@
     /// list of names grows, where places shift.
     pub ids: Vec<u32>,
     pub electorate: Electorate,
-    pub lease: Span,
+    pub lease: TimeDelta,
     /// How often a holder renews.
-    pub heartbeat: Span,
+    pub heartbeat: TimeDelta,
     /// How long an elector keeps silent after its start.
-    pub silence: Span,
+    pub silence: TimeDelta,
     pub drift: f64,
     pub duties: Vec<Duty>,
 }
@@ -116,7 +118,9 @@
 /// Why told terms cannot be taken, and what to do.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum Misfit {
-    #[error("own name {own} is not among the names: add it to `names`, or start with another name")]
+    #[error(
+        "own name {own} is not among the names: add it to `names`, or start with another name"
+    )]
     OwnUnknown { own: String },
     #[error("name {name} is told twice: remove one from `names`")]
     NameTwice { name: String },
@@ -126,7 +130,9 @@
     TooFewElectors { n: usize },
     #[error("{n} electors: name at most {MOST} in `electorate`; more cost bytes and decide later")]
     TooManyElectors { n: usize },
-    #[error("elector {name} is not among the names: add it to `names`, or remove it from `electorate`")]
+    #[error(
+        "elector {name} is not among the names: add it to `names`, or remove it from `electorate`"
+    )]
     ElectorUnknown { name: String },
     #[error("elector {name} is told twice: remove one from `electorate`")]
     ElectorTwice { name: String },
@@ -139,7 +145,9 @@
     LeaseOutOfRange { lease_ms: i64 },
     #[error("a heartbeat of {heartbeat_ms} ms is out of range: tell at least 10 ms")]
     HeartbeatOutOfRange { heartbeat_ms: i64 },
-    #[error("a drift of {drift} is out of range: tell a part from 0 to {DRIFT_MOST}, such as 0.02")]
+    #[error(
+        "a drift of {drift} is out of range: tell a part from 0 to {DRIFT_MOST}, such as 0.02"
+    )]
     DriftOutOfRange { drift: f64 },
     #[error(
         "a longest lease of {longest_ms} ms is shorter than the lease: tell the longest lease still in use"
@@ -151,17 +159,23 @@
     DutyTwice { duty: String },
     #[error("{n} duties: tell at most {MOST_DUTIES}; each costs a lease")]
     TooManyDuties { n: usize },
-    #[error("electorate {told} follows {held}: raise `electorate_number` by exactly one at each change")]
+    #[error(
+        "electorate {told} follows {held}: raise `electorate_number` by exactly one at each change"
+    )]
     NotTheNext { told: u32, held: u32 },
     #[error("electorate {told} differs from {held} by more or less than one member: change one at a time")]
     NotByOne { told: u32, held: u32 },
-    #[error("electorate {held} is not yet in force at most electors: wait until the status says so")]
+    #[error(
+        "electorate {held} is not yet in force at most electors: wait until the status says so"
+    )]
     TooSoon { held: u32 },
 }
 
 /// FNV-1a over a name, with 32 bits.
 pub fn id_of(name: &str) -> u32 {
-    name.bytes().fold(0x811c_9dc5, |h, b| (h ^ u32::from(b)).wrapping_mul(0x0100_0193))
+    name.bytes().fold(0x811c_9dc5, |h, b| {
+        (h ^ u32::from(b)).wrapping_mul(0x0100_0193)
+    })
 }
 
 impl Told {
@@ -169,15 +183,22 @@
         let mut names: Vec<&str> = self.names.iter().map(String::as_str).collect();
         names.sort_unstable();
         if let Some(two) = names.windows(2).find(|two| two[0] == two[1]) {
-            return Err(Misfit::NameTwice { name: two[0].to_string() });
+            return Err(Misfit::NameTwice {
+                name: two[0].to_string(),
+            });
         }
         let mut by_id: Vec<(u32, &str)> = names.iter().map(|name| (id_of(name), *name)).collect();
         by_id.sort_unstable();
         if let Some(two) = by_id.windows(2).find(|two| two[0].0 == two[1].0) {
-            return Err(Misfit::NamesAlike { one: two[0].1.to_string(), other: two[1].1.to_string() });
+            return Err(Misfit::NamesAlike {
+                one: two[0].1.to_string(),
+                other: two[1].1.to_string(),
+            });
         }
         let own = self.names.iter().position(|name| *name == self.own);
-        let own = own.ok_or_else(|| Misfit::OwnUnknown { own: self.own.clone() })?;
+        let own = own.ok_or_else(|| Misfit::OwnUnknown {
+            own: self.own.clone(),
+        })?;
         let electorate = self.electorate()?;
         self.spans()?;
         let longest = self.longest_lease.unwrap_or(self.lease);
@@ -186,7 +207,16 @@
         let silence = longest * (1.0 + self.drift);
         let ids = self.names.iter().map(|name| id_of(name)).collect();
         let (lease, heartbeat, drift) = (self.lease, self.heartbeat, self.drift);
-        Ok(Terms { own, ids, electorate, lease, heartbeat, silence, drift, duties: self.duties()? })
+        Ok(Terms {
+            own,
+            ids,
+            electorate,
+            lease,
+            heartbeat,
+            silence,
+            drift,
+            duties: self.duties()?,
+        })
     }
 
     /// The electorate by places; also for a change while running.
@@ -208,11 +238,14 @@
             electors.push(at);
         }
         electors.sort_unstable();
-        Ok(Electorate { number: self.electorate_number, electors })
+        Ok(Electorate {
+            number: self.electorate_number,
+            electors,
+        })
     }
 
     fn spans(&self) -> Result<(), Misfit> {
-        let ms = |span: Span| span.0 / 1000;
+        let ms = |span: TimeDelta| span.0 / 1000;
         let (lease_ms, heartbeat_ms) = (ms(self.lease), ms(self.heartbeat));
         if !(100..=60_000).contains(&lease_ms) {
             return Err(Misfit::LeaseOutOfRange { lease_ms });
@@ -221,21 +254,28 @@
             return Err(Misfit::HeartbeatOutOfRange { heartbeat_ms });
         }
         if self.lease < self.heartbeat + self.heartbeat {
-            return Err(Misfit::LeaseTooShort { lease_ms, heartbeat_ms });
+            return Err(Misfit::LeaseTooShort {
+                lease_ms,
+                heartbeat_ms,
+            });
         }
         // A comparison that NaN fails as well.
         if !(0.0..=DRIFT_MOST).contains(&self.drift) {
             return Err(Misfit::DriftOutOfRange { drift: self.drift });
         }
         match self.longest_lease {
-            Some(longest) if longest < self.lease => Err(Misfit::LongestTooShort { longest_ms: ms(longest) }),
+            Some(longest) if longest < self.lease => Err(Misfit::LongestTooShort {
+                longest_ms: ms(longest),
+            }),
             _ => Ok(()),
         }
     }
 
     fn duties(&self) -> Result<Vec<Duty>, Misfit> {
         if self.duties.len() > MOST_DUTIES {
-            return Err(Misfit::TooManyDuties { n: self.duties.len() });
+            return Err(Misfit::TooManyDuties {
+                n: self.duties.len(),
+            });
         }
         let mut duties = Vec::with_capacity(self.duties.len());
         for name in &self.duties {
@@ -252,7 +292,7 @@
 impl Terms {
     /// How long a holder may act on a majority's votes, from before it asked for them. By the holder's clock
     /// it is shorter than the lease by as much as that clock may be slow and the electors' may be fast.
-    pub fn own_lease(&self) -> Span {
+    pub fn own_lease(&self) -> TimeDelta {
         self.lease * ((1.0 - self.drift) / (1.0 + self.drift))
     }
 
--- a/crates/lease/src/voters.rs
+++ b/crates/lease/src/voters.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeSet;
 
-use harrierdock_types::time::{Point, Span};
+use harrierdock_types::{TimeDelta, Timestamp};
 
 use crate::{Electorate, Misfit, NodeIx};
 
@@ -13,19 +13,22 @@
     /// The members before the last change; none where this process has not seen one.
     before: Option<Vec<NodeIx>>,
     in_force: bool,
-    agreed: Option<Point>,
+    agreed: Option<Timestamp>,
     /// By place: the highest number heard of each gateway.
     heard: Vec<u32>,
     /// For how long agreement has to last: until each vote given under the electorate before the last has
     /// lapsed.
-    lasting: Span,
+    lasting: TimeDelta,
     own: NodeIx,
 }
 
 /// What an electorate is besides its number, in few bits.
 pub fn digest(electors: &[NodeIx], ids: &[u32]) -> u8 {
     // Told by id, so that it stays when the list of names grows; in any order.
-    let mixed = electors.iter().filter_map(|e| ids.get(*e)).map(|id| id.wrapping_mul(0x9e37_79b1));
+    let mixed = electors
+        .iter()
+        .filter_map(|e| ids.get(*e))
+        .map(|id| id.wrapping_mul(0x9e37_79b1));
     (mixed.fold(0u32, |sum, id| sum.wrapping_add(id ^ (id >> 15))) >> 11) as u8
 }
 
@@ -34,9 +37,17 @@
 }
 
 impl Voters {
-    pub fn new(told: Electorate, nodes: usize, own: NodeIx, lasting: Span) -> Voters {
+    pub fn new(told: Electorate, nodes: usize, own: NodeIx, lasting: TimeDelta) -> Voters {
         let heard = vec![0; nodes];
-        Voters { now: told, before: None, in_force: false, agreed: None, heard, lasting, own }
+        Voters {
+            now: told,
+            before: None,
+            in_force: false,
+            agreed: None,
+            heard,
+            lasting,
+            own,
+        }
     }
 
     pub fn told(&self) -> &Electorate {
@@ -71,8 +82,10 @@
 
     pub fn may_follow(&self, next: &Electorate) -> Result<(), Misfit> {
         let (told, held) = (next.number, self.now.number);
-        let (new, old): (BTreeSet<_>, BTreeSet<_>) =
-            (next.electors.iter().collect(), self.now.electors.iter().collect());
+        let (new, old): (BTreeSet<_>, BTreeSet<_>) = (
+            next.electors.iter().collect(),
+            self.now.electors.iter().collect(),
+        );
         match new.symmetric_difference(&old).count() {
             0 if told == held => Ok(()),
             _ if Some(told) != held.checked_add(1) => Err(Misfit::NotTheNext { told, held }),
@@ -91,19 +104,20 @@
         (self.in_force, self.agreed) = (false, None);
     }
 
-    pub fn heard(&mut self, now: Point, from: NodeIx, number: u32) {
+    pub fn heard(&mut self, now: Timestamp, from: NodeIx, number: u32) {
         if let Some(heard) = self.heard.get_mut(from) {
             *heard = number.max(*heard);
         }
         self.judge(now);
     }
 
-    pub fn judge(&mut self, now: Point) {
+    pub fn judge(&mut self, now: Timestamp) {
         if self.in_force {
             return;
         }
         let own = self.now.number;
-        let has = |e: &&NodeIx| **e == self.own || self.heard.get(**e).is_some_and(|n| *n >= own.max(1));
+        let has =
+            |e: &&NodeIx| **e == self.own || self.heard.get(**e).is_some_and(|n| *n >= own.max(1));
         let have: BTreeSet<NodeIx> = self.all().iter().filter(has).copied().collect();
         let agreed = match &self.before {
             Some(_) => self.most(&have),
