--- a/crates/multi-site/src/bearing.rs
+++ b/crates/multi-site/src/bearing.rs
@@ -1,18 +1,18 @@
-//! What this gateway lends to the other site: credit, by product and road, in proportion to what its servers
+//! What this gateway lends to the other site: credit, by request class and road, in proportion to what its servers
 //! have shown they bear beyond its own traffic. Credit is told anew each round and counts for that round.
 
 use std::collections::BTreeMap;
 
-use harrierdock_types::interface::ProductIx;
+use harrierdock_types::ClassId;
 
-use crate::{Ending, Product, RoadNo};
+use crate::{Ending, RequestClass, RoadNo};
 
 /// Of what is served here in a round, the part that is lent before anything has crossed.
 const FIRST: f64 = 0.5;
 /// What is lent grows by this each round while it is used and borne, and falls by that when it is not.
 const GROWS: f64 = 1.2;
 const FALLS: f64 = 0.8;
-/// The part of endings in a round, unserved or after the SLA time, that counts as not borne.
+/// The part of endings in a round, unserved or after the latency objective, that counts as not borne.
 const TROUBLE: f64 = 0.08;
 /// The part of what was lent that must have been used for more to be lent.
 const USED: f64 = 0.5;
@@ -37,13 +37,13 @@
 }
 
 pub struct Bearing {
-    products: usize,
-    /// Products in the order in which scarce credit is given: by revenue.
-    order: Vec<ProductIx>,
+    classes: usize,
+    /// Products in the order in which scarce credit is given: by priority weight.
+    order: Vec<ClassId>,
     lent: BTreeMap<RoadNo, Lent>,
-    /// Txns a round that are lent in all.
+    /// Requests a round that are lent in all.
     most: f64,
-    /// Txns served a round, in the mean, and each product's part.
+    /// Requests served a round, in the mean, and each request class's part.
     served: f64,
     used: f64,
     ended: f64,
@@ -54,11 +54,15 @@
 }
 
 impl Bearing {
-    pub fn new(products: &[Product]) -> Bearing {
-        let mut order: Vec<ProductIx> = (0..products.len()).collect();
-        order.sort_by(|a, b| products[*b].revenue.total_cmp(&products[*a].revenue));
+    pub fn new(classes: &[RequestClass]) -> Bearing {
+        let mut order: Vec<ClassId> = (0..classes.len()).map(ClassId).collect();
+        order.sort_by(|a, b| {
+            classes[b.0]
+                .priority_weight
+                .total_cmp(&classes[a.0].priority_weight)
+        });
         Bearing {
-            products: products.len(),
+            classes: classes.len(),
             order,
             lent: BTreeMap::new(),
             most: 0.0,
@@ -71,7 +75,7 @@
         }
     }
 
-    /// A txn that this site's servers were to serve has ended, whoever's it was.
+    /// A request that this site's servers were to serve has ended, whoever's it was.
     pub fn ended(&mut self, ending: Ending, late: bool) {
         if ending == Ending::Left {
             return;
@@ -81,18 +85,23 @@
         self.troubled += f64::from(ending != Ending::Settled || late);
     }
 
-    pub fn wanted(&mut self, road: RoadNo, wants: &[(ProductIx, f64)]) {
+    pub fn wanted(&mut self, road: RoadNo, wants: &[(ClassId, f64)]) {
         let lent = self.lent.entry(road).or_default();
-        lent.wanted = vec![0.0; self.products];
-        for (product, count) in wants {
-            lent.wanted[*product] = *count;
+        lent.wanted = vec![0.0; self.classes];
+        for (class, count) in wants {
+            lent.wanted[class.0] = *count;
         }
     }
 
-    /// Whether one more of this product on this road is within what was told.
-    pub fn admits(&mut self, road: RoadNo, product: ProductIx) -> bool {
-        let room = self.lent.get_mut(&road).and_then(|l| l.room.get_mut(product));
-        let Some(room) = room.filter(|r| **r >= 1.0) else { return false };
+    /// Whether one more of this request class on this road is within what was told.
+    pub fn admits(&mut self, road: RoadNo, class: ClassId) -> bool {
+        let room = self
+            .lent
+            .get_mut(&road)
+            .and_then(|l| l.room.get_mut(class.0));
+        let Some(room) = room.filter(|r| **r >= 1.0) else {
+            return false;
+        };
         *room -= 1.0;
         self.used += 1.0;
         true
@@ -103,7 +112,11 @@
         self.served += LEARN * (self.settled - self.served);
         let trouble = self.troubled > TROUBLE * self.ended && self.troubled >= 2.0;
         let first = FIRST * self.served.max(self.settled);
-        self.calm = if trouble { 0 } else { self.calm.saturating_add(1) };
+        self.calm = if trouble {
+            0
+        } else {
+            self.calm.saturating_add(1)
+        };
         let calm = self.calm >= CALM;
         if trouble {
             // Guards this site's own clients: what they lack is not lent.
@@ -124,39 +137,39 @@
         self.share(roads, open && calm);
     }
 
-    /// Wants come first, by revenue; what is left over is spread, so that nobody waits a round to begin.
+    /// Wants come first, by priority weight; what is left over is spread, so that nobody waits a round to begin.
     fn share(&mut self, roads: &[RoadNo], well: bool) {
         let mut left = self.most;
         for road in roads {
             let lent = self.lent.entry(*road).or_default();
-            lent.wanted.resize(self.products, 0.0);
-            lent.granted = vec![0.0; self.products];
+            lent.wanted.resize(self.classes, 0.0);
+            lent.granted = vec![0.0; self.classes];
         }
-        for product in &self.order {
-            let all: f64 = roads.iter().map(|r| self.lent[r].wanted[*product]).sum();
+        for class in &self.order {
+            let all: f64 = roads.iter().map(|r| self.lent[r].wanted[class.0]).sum();
             let part = if all > left { left / all } else { 1.0 };
             for road in roads {
                 if let Some(lent) = self.lent.get_mut(road) {
-                    lent.granted[*product] = lent.wanted[*product] * part;
+                    lent.granted[class.0] = lent.wanted[class.0] * part;
                 }
             }
             left -= all * part;
         }
-        let shares = (roads.len() * self.products).max(1) as f64;
+        let shares = (roads.len() * self.classes).max(1) as f64;
         for road in roads {
             if let Some(lent) = self.lent.get_mut(road) {
-                lent.room.resize(self.products, 0.0);
-                for product in 0..self.products {
-                    let mut granted = lent.granted[product] + left / shares;
+                lent.room.resize(self.classes, 0.0);
+                for class in 0..self.classes {
+                    let mut granted = lent.granted[class] + left / shares;
                     // Guards against many roads that each get less than one and so nothing at all, and against a
                     // site without traffic, which has shown nothing yet.
                     if well {
                         granted = granted.max(1.0);
                     }
-                    lent.granted[product] = granted.floor();
+                    lent.granted[class] = granted.floor();
                     let most = granted * KEPT * ON_ITS_WAY;
-                    lent.room[product] =
-                        (lent.room[product] + granted * ON_ITS_WAY).min(most.max(lent.room[product] / 2.0));
+                    lent.room[class] = (lent.room[class] + granted * ON_ITS_WAY)
+                        .min(most.max(lent.room[class] / 2.0));
                 }
             }
         }
@@ -164,10 +177,13 @@
     }
 
     /// What is told on a road in this round.
-    pub fn grants(&self, road: RoadNo) -> Vec<(ProductIx, u16)> {
-        let Some(lent) = self.lent.get(&road) else { return Vec::new() };
+    pub fn grants(&self, road: RoadNo) -> Vec<(ClassId, u16)> {
+        let Some(lent) = self.lent.get(&road) else {
+            return Vec::new();
+        };
         let told = lent.granted.iter().enumerate().filter(|(_, g)| **g >= 1.0);
-        told.map(|(p, g)| (p, g.min(f64::from(u16::MAX)) as u16)).collect()
+        told.map(|(p, g)| (ClassId(p), g.min(f64::from(u16::MAX)) as u16))
+            .collect()
     }
 
     pub fn forget(&mut self, road: RoadNo) {
--- a/crates/multi-site/src/crossing.rs
+++ b/crates/multi-site/src/crossing.rs
@@ -1,96 +1,99 @@
-//! Where this gateway's txns go: to its own site's servers, or across, and on which road. It keeps the credit
+//! Where this gateway's requests go: to its own site's servers, or across, and on which road. It keeps the credit
 //! told on each road and what came of its use, and judges when this site is to be left and when to come home.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use harrierdock_site_messages::Standing;
-use harrierdock_types::interface::ProductIx;
-use harrierdock_types::time::{Point, Span};
+use harrierdock_types::ClassId;
+use harrierdock_types::{TimeDelta, Timestamp};
 use nanorand::{Rng, WyRand};
 
 use crate::bearing::KEPT;
-use crate::{Change, Ending, Home, Members, Product, RoadNo, Why, ROUND};
+use crate::{Change, Ending, Home, Members, RequestClass, RoadNo, Why, ROUND};
 
 /// Rounds after which credit counts no more: half a second.
 const AGES: f64 = 5.0;
 /// Endings in a row of which none settled, within this many rounds, that show a site to have vanished.
 const VANISHED: usize = 8;
 const VANISHED_WITHIN: f64 = 30.0;
-/// The part of inquiry-like txns that still goes home while away, to see whether anything settles.
+/// The part of inquiry-like requests that still goes home while away, to see whether anything settles.
 const PROBES: f64 = 0.05;
 /// Probes looked at, and how many of them must have settled, to come home.
 const PROBED: usize = 5;
 const WELL: usize = 4;
 /// How long an excursion lasts at the least; doubled for each that follows another within a minute, up to the
 /// most. Thereby no more than five excursions begin in a minute, whatever the site does.
-pub const EXCURSION: Span = Span(2_000_000);
-const EXCURSION_MOST: Span = Span(30_000_000);
-const CALM: Span = Span(60_000_000);
+pub const EXCURSION: TimeDelta = TimeDelta(2_000_000);
+const EXCURSION_MOST: TimeDelta = TimeDelta(30_000_000);
+const CALM: TimeDelta = TimeDelta(60_000_000);
 /// Times to become warm over which traffic comes home.
 const COMING_HOME: f64 = 1.0;
 /// Weight of a new answer in running means.
 const LEARN: f64 = 0.1;
 /// The part of what went on a road that may be refused before the road rests, and how long it does.
 const REFUSED: f64 = 0.08;
-const RESTS: Span = Span(1_000_000);
+const RESTS: TimeDelta = TimeDelta(1_000_000);
 /// Crossings out on a road: at first, and the bounds within which their number follows how they end.
 const WINDOW: f64 = 16.0;
 const WINDOW_LEAST: f64 = 4.0;
 const WINDOW_MOST: f64 = 512.0;
 /// Mean times of a crossing that must be left for one to begin.
 const TIMES_LEFT: f64 = 2.0;
-/// The part of the SLA time that a crossing is taken to need before any has come back.
+/// The part of the latency objective that a crossing is taken to need before any has come back.
 const FIRST_TIME: f64 = 0.25;
 
 #[derive(Default)]
 struct Credit {
     left: Vec<f64>,
-    told: Point,
+    told: Timestamp,
     out: f64,
     window: f64,
     refused: f64,
-    rests_until: Point,
+    rests_until: Timestamp,
 }
 
 pub struct Crossings {
     chance: WyRand,
-    products: usize,
+    classes: usize,
     /// The mean time of a crossing that settled.
-    times: Vec<Span>,
+    times: Vec<TimeDelta>,
     credit: BTreeMap<RoadNo, Credit>,
-    /// Txns in this round that would cross, and the mean of such.
+    /// Requests in this round that would cross, and the mean of such.
     asked: Vec<f64>,
     wants: Vec<f64>,
     roads: usize,
     home: Home,
     why: Why,
-    since: Point,
+    since: Timestamp,
     /// Until when an excursion lasts at the least, how long the next will, and when the last began.
-    stays_until: Point,
-    excursion: Span,
-    began: Option<Point>,
+    stays_until: Timestamp,
+    excursion: TimeDelta,
+    began: Option<Timestamp>,
     by_hand: bool,
-    /// How the latest txns that went to this site's own servers ended.
-    endings: VecDeque<(Point, bool)>,
-    warm: Span,
+    /// How the latest requests that went to this site's own servers ended.
+    endings: VecDeque<(Timestamp, bool)>,
+    warm: TimeDelta,
     moves: u64,
     changes: Vec<Change>,
 }
 
 impl Crossings {
-    pub fn new(products: &[Product], warm: Span, seed: u64) -> Crossings {
+    pub fn new(classes: &[RequestClass], warm: TimeDelta, seed: u64) -> Crossings {
         Crossings {
             chance: WyRand::new_seed(seed ^ 0x5157),
-            products: products.len(),
-            times: products.iter().map(|p| p.sla * FIRST_TIME).collect(),
+            classes: classes.len(),
+            times: classes
+                .iter()
+                .map(|p| p.latency_objective * FIRST_TIME)
+                .collect(),
             credit: BTreeMap::new(),
-            asked: vec![0.0; products.len()],
-            wants: vec![0.0; products.len()],
+            asked: vec![0.0; classes.len()],
+            wants: vec![0.0; classes.len()],
             roads: 0,
             home: Home::Here,
             why: Why::Settles,
-            since: Point(0),
-            stays_until: Point(0),
+            since: Timestamp(0),
+            stays_until: Timestamp(0),
             excursion: EXCURSION,
             began: None,
             by_hand: false,
@@ -104,16 +107,20 @@
     // ---- which site ----
 
     /// How much of the traffic is to go across at this point.
-    fn share_away(&self, now: Point) -> f64 {
+    fn share_away(&self, now: Timestamp) -> f64 {
         match self.home {
             Home::Here => 0.0,
             Home::Away => 1.0,
-            Home::Returning => 1.0 - (now - self.since).over(self.warm * COMING_HOME).clamp(0.0, 1.0),
+            Home::Returning => {
+                1.0 - (now - self.since)
+                    .ratio_to(self.warm * COMING_HOME)
+                    .clamp(0.0, 1.0)
+            }
         }
     }
 
-    /// Whether this txn is to go across. While away, a few that may run again still go home.
-    pub fn goes_away(&mut self, now: Point, may_probe: bool) -> bool {
+    /// Whether this request is to go across. While away, a few that may run again still go home.
+    pub fn goes_away(&mut self, now: Timestamp, may_probe: bool) -> bool {
         let share = self.share_away(now);
         if share <= 0.0 {
             return false;
@@ -129,11 +136,11 @@
         self.home == Home::Away
     }
 
-    pub fn home_is(&self) -> (Home, Why, Point) {
+    pub fn home_is(&self) -> (Home, Why, Timestamp) {
         (self.home, self.why, self.since)
     }
 
-    pub fn ended(&mut self, now: Point, ending: Ending) {
+    pub fn ended(&mut self, now: Timestamp, ending: Ending) {
         if ending != Ending::Left {
             self.endings.push_back((now, ending == Ending::Settled));
             if self.endings.len() > VANISHED {
@@ -143,13 +150,13 @@
     }
 
     /// Discovery's word on how many servers are ready.
-    pub fn home(&mut self, now: Point, ready: usize) {
+    pub fn home(&mut self, now: Timestamp, ready: usize) {
         if ready == 0 && self.home != Home::Away {
             self.leave(now, Why::NoServers);
         }
     }
 
-    pub fn by_hand(&mut self, now: Point, drained: bool) {
+    pub fn by_hand(&mut self, now: Timestamp, drained: bool) {
         self.by_hand = drained;
         if drained {
             if self.home == Home::Away {
@@ -162,7 +169,7 @@
         }
     }
 
-    fn turn(&mut self, now: Point, home: Home, why: Why) {
+    fn turn(&mut self, now: Timestamp, home: Home, why: Why) {
         (self.home, self.why, self.since) = (home, why, now);
         self.moves += u64::from(home != Home::Here);
         self.endings.clear();
@@ -171,17 +178,24 @@
 
     /// Guards against a site that comes and goes taking all traffic with it each time: an excursion that
     /// follows another lasts longer. Harms by leaving a site that is well again unused for up to half a minute.
-    fn leave(&mut self, now: Point, why: Why) {
+    fn leave(&mut self, now: Timestamp, why: Why) {
         let soon = self.began.is_some_and(|at| now - at < CALM);
-        self.excursion = if soon { (self.excursion * 2.0).min(EXCURSION_MOST) } else { EXCURSION };
+        self.excursion = if soon {
+            (self.excursion * 2.0).min(EXCURSION_MOST)
+        } else {
+            EXCURSION
+        };
         (self.began, self.stays_until) = (Some(now), now + self.excursion);
         self.turn(now, Home::Away, why);
     }
 
     /// Looks whether the site has vanished, or is back.
-    pub fn judge(&mut self, now: Point, ready: usize) -> Vec<Change> {
+    pub fn judge(&mut self, now: Timestamp, ready: usize) -> Vec<Change> {
         let none_settled = self.endings.len() >= VANISHED && self.endings.iter().all(|e| !e.1);
-        let lately = self.endings.front().is_some_and(|e| now - e.0 <= ROUND * VANISHED_WITHIN);
+        let lately = self
+            .endings
+            .front()
+            .is_some_and(|e| now - e.0 <= ROUND * VANISHED_WITHIN);
         match self.home {
             Home::Away if self.by_hand => {}
             Home::Away => {
@@ -206,24 +220,32 @@
     // ---- which road ----
 
     /// Credit told on a road, which takes the place of what was told before.
-    pub fn granted(&mut self, now: Point, road: RoadNo, grants: &[(ProductIx, f64)]) {
-        let credit =
-            self.credit.entry(road).or_insert_with(|| Credit { window: WINDOW, ..Credit::default() });
-        credit.left.resize(self.products, 0.0);
+    pub fn granted(&mut self, now: Timestamp, road: RoadNo, grants: &[(ClassId, f64)]) {
+        let credit = self.credit.entry(road).or_insert_with(|| Credit {
+            window: WINDOW,
+            ..Credit::default()
+        });
+        credit.left.resize(self.classes, 0.0);
         credit.told = now;
-        let mut told = vec![0.0; self.products];
-        for (product, count) in grants {
-            told[*product] = *count;
+        let mut told = vec![0.0; self.classes];
+        for (class, count) in grants {
+            told[class.0] = *count;
         }
         for (left, told) in credit.left.iter_mut().zip(told) {
             *left = (*left + told).min(told * KEPT);
         }
     }
 
-    /// The road for one more of this product: whole, serving, with credit told lately, and with the most left.
-    pub fn road(&mut self, now: Point, members: &Members, product: ProductIx, left: Span) -> Option<RoadNo> {
-        self.asked[product] += 1.0;
-        if left < self.times[product] * TIMES_LEFT {
+    /// The road for one more of this request class: whole, serving, with credit told lately, and with the most left.
+    pub fn road(
+        &mut self,
+        now: Timestamp,
+        members: &Members,
+        class: ClassId,
+        left: TimeDelta,
+    ) -> Option<RoadNo> {
+        self.asked[class.0] += 1.0;
+        if left < self.times[class.0] * TIMES_LEFT {
             return None;
         }
         let open = self.credit.iter().filter(|(no, c)| {
@@ -232,32 +254,44 @@
                 && now - c.told <= ROUND * AGES
                 && now >= c.rests_until
                 && c.out < c.window
-                && c.left.get(product).is_some_and(|l| *l >= 1.0)
+                && c.left.get(class.0).is_some_and(|l| *l >= 1.0)
         });
-        let most = open.max_by(|a, b| a.1.left[product].total_cmp(&b.1.left[product]));
+        let most = open.max_by(|a, b| a.1.left[class.0].total_cmp(&b.1.left[class.0]));
         most.map(|(no, _)| *no)
     }
 
-    pub fn handed_over(&mut self, road: RoadNo, product: ProductIx) {
+    pub fn handed_over(&mut self, road: RoadNo, class: ClassId) {
         if let Some(credit) = self.credit.get_mut(&road) {
-            credit.left[product] -= 1.0;
+            credit.left[class.0] -= 1.0;
             credit.out += 1.0;
         }
     }
 
     /// A crossing has ended, `taken` if it was not refused there.
-    pub fn came_back(&mut self, now: Point, road: RoadNo, product: ProductIx, taken: bool, took: Span) {
+    pub fn came_back(
+        &mut self,
+        now: Timestamp,
+        road: RoadNo,
+        class: ClassId,
+        taken: bool,
+        took: TimeDelta,
+    ) {
         if taken {
-            let time = &mut self.times[product];
-            *time = Span(time.0 + ((took - *time).0 as f64 * LEARN) as i64);
+            let time = &mut self.times[class.0];
+            *time = TimeDelta(time.0 + ((took - *time).0 as f64 * LEARN) as i64);
         }
-        let Some(credit) = self.credit.get_mut(&road) else { return };
+        let Some(credit) = self.credit.get_mut(&road) else {
+            return;
+        };
         credit.out = (credit.out - 1.0).max(0.0);
         credit.refused += LEARN / 2.0 * (f64::from(!taken) - credit.refused);
-        credit.window =
-            if taken { credit.window + 1.0 / credit.window } else { credit.window * (1.0 - LEARN) };
+        credit.window = if taken {
+            credit.window + 1.0 / credit.window
+        } else {
+            credit.window * (1.0 - LEARN)
+        };
         credit.window = credit.window.clamp(WINDOW_LEAST, WINDOW_MOST);
-        // Guards against txns that travel to be refused, whatever the other end has granted.
+        // Guards against requests that travel to be refused, whatever the other end has granted.
         if credit.refused > REFUSED {
             (credit.rests_until, credit.refused) = (now + RESTS, REFUSED / 2.0);
         }
@@ -273,20 +307,24 @@
     }
 
     /// What is told on a road that would cross: its part of all.
-    pub fn wants(&self) -> Vec<(ProductIx, u16)> {
+    pub fn wants(&self) -> Vec<(ClassId, u16)> {
         let part = 1.0 / self.roads.max(1) as f64;
-        let wants = self
-            .wants
-            .iter()
-            .enumerate()
-            .map(|(p, w)| (p, (w * part).ceil().min(f64::from(u16::MAX)) as u16));
+        let wants = self.wants.iter().enumerate().map(|(p, w)| {
+            (
+                ClassId(p),
+                (w * part).ceil().min(f64::from(u16::MAX)) as u16,
+            )
+        });
         wants.filter(|w| w.1 > 0).collect()
     }
 
-    /// How much credit is held in all, by product.
-    pub fn credit(&self, now: Point) -> Vec<f64> {
-        let fresh = self.credit.values().filter(|c| now - c.told <= ROUND * AGES);
-        fresh.fold(vec![0.0; self.products], |mut all, c| {
+    /// How much credit is held in all, by request class.
+    pub fn credit(&self, now: Timestamp) -> Vec<f64> {
+        let fresh = self
+            .credit
+            .values()
+            .filter(|c| now - c.told <= ROUND * AGES);
+        fresh.fold(vec![0.0; self.classes], |mut all, c| {
             all.iter_mut().zip(&c.left).for_each(|(a, l)| *a += l);
             all
         })
--- a/crates/multi-site/src/custody.rs
+++ b/crates/multi-site/src/custody.rs
@@ -4,8 +4,8 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use harrierdock_site_messages::{Party, Verdict};
-use harrierdock_types::interface::{Build, ProductIx, Repeat, TxnId};
-use harrierdock_types::time::{Point, Span};
+use harrierdock_types::{BuildId, ClassId, RequestId, RetrySafety};
+use harrierdock_types::{TimeDelta, Timestamp};
 
 use crate::{InwardNo, Members, RoadNo};
 
@@ -19,17 +19,17 @@
 /// One handed over.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Out {
-    pub id: TxnId,
-    pub product: ProductIx,
+    pub id: RequestId,
+    pub class: ClassId,
     pub peer: Party,
     /// The incarnation that it was handed to.
     pub to: u64,
-    pub sent: Point,
+    pub sent: Timestamp,
     /// When it is voided if no answer has come.
-    pub expiry: Point,
+    pub expiry: Timestamp,
     /// The module here had turned it away.
     pub spared: bool,
-    pub repeat: Repeat,
+    pub repeat: RetrySafety,
     pub spans: bool,
     pub road: Option<RoadNo>,
 }
@@ -38,7 +38,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum After {
     /// It may run again here, within this.
-    Here { left: Span },
+    Here { left: TimeDelta },
     /// Only a late answer can settle it.
     Wait,
 }
@@ -47,21 +47,22 @@
     /// Whether a further try of the client's is harmless though this one may have run.
     pub fn may_try_again(&self) -> bool {
         match self.repeat {
-            Repeat::InquiryLike => true,
-            Repeat::Referenced { .. } => self.spans,
-            Repeat::OnceOnly => false,
+            RetrySafety::Idempotent => true,
+            RetrySafety::IdempotencyKey { .. } => self.spans,
+            RetrySafety::NonIdempotent => false,
         }
     }
 
     /// Guards rule 2 across a cut: what may have run there is run here only if it may run again, a referenced
     /// one only where one group drops its repeats at both sites, and only while repeats are remembered.
-    pub fn after_loss(&self, now: Point, tick: Span) -> After {
+    pub fn after_loss(&self, now: Timestamp, tick: TimeDelta) -> After {
         let left = match self.repeat {
-            Repeat::InquiryLike => self.expiry - now,
-            Repeat::Referenced { memory, .. } if self.spans => {
-                (self.expiry - now).min(self.sent + memory - tick - now)
-            }
-            Repeat::Referenced { .. } | Repeat::OnceOnly => return After::Wait,
+            RetrySafety::Idempotent => self.expiry - now,
+            RetrySafety::IdempotencyKey {
+                deduplication_window: memory,
+                ..
+            } if self.spans => (self.expiry - now).min(self.sent + memory - tick - now),
+            RetrySafety::IdempotencyKey { .. } | RetrySafety::NonIdempotent => return After::Wait,
         };
         if left > tick {
             After::Here { left }
@@ -76,8 +77,16 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Inward {
-    Running { inward: InwardNo, road: RoadNo },
-    Done { verdict: Verdict, build: Option<Build>, body: Vec<u8>, at: Point },
+    Running {
+        inward: InwardNo,
+        road: RoadNo,
+    },
+    Done {
+        verdict: Verdict,
+        build: Option<BuildId>,
+        body: Vec<u8>,
+        at: Timestamp,
+    },
 }
 
 pub enum Due {
@@ -89,13 +98,13 @@
 pub struct Custody {
     last_out: u64,
     out: BTreeMap<u64, Out>,
-    by_txn: BTreeMap<TxnId, u64>,
-    expiries: BTreeSet<(Point, u64)>,
+    by_txn: BTreeMap<RequestId, u64>,
+    expiries: BTreeSet<(Timestamp, u64)>,
     last_in: InwardNo,
     inward: BTreeMap<Place, Inward>,
     running: BTreeMap<InwardNo, Place>,
-    done: BTreeSet<(Point, Place)>,
-    remembered: Span,
+    done: BTreeSet<(Timestamp, Place)>,
+    remembered: TimeDelta,
     bytes: usize,
     most_bytes: usize,
     /// Those whose bodies are held, oldest first.
@@ -103,7 +112,7 @@
 }
 
 impl Custody {
-    pub fn new(longest: Span, most_bytes: usize) -> Custody {
+    pub fn new(longest: TimeDelta, most_bytes: usize) -> Custody {
         Custody {
             last_out: 0,
             out: BTreeMap::new(),
@@ -144,27 +153,45 @@
         Some(out)
     }
 
-    pub fn left(&mut self, id: TxnId) -> Option<(u64, Out)> {
+    pub fn left(&mut self, id: RequestId) -> Option<(u64, Out)> {
         let crossing = *self.by_txn.get(&id)?;
         Some((crossing, self.remove(crossing)?))
     }
 
     /// Those that this gateway has and has not answered, with the incarnation each was handed to.
     pub fn owed_by(&self, peer: &Party) -> Vec<(u64, u64)> {
-        self.out.iter().filter(|(_, o)| o.peer == *peer).map(|(no, o)| (*no, o.to)).collect()
+        self.out
+            .iter()
+            .filter(|(_, o)| o.peer == *peer)
+            .map(|(no, o)| (*no, o.to))
+            .collect()
     }
 
     /// A road is lost. Takes out those whose gateway no whole road leads to any more and that need not wait.
-    pub fn cut(&mut self, road: RoadNo, members: &Members, now: Point, tick: Span) -> Vec<(Out, After)> {
-        let on_it = self.out.iter().filter(|(_, o)| o.road == Some(road) && !members.hears(&o.peer));
+    pub fn cut(
+        &mut self,
+        road: RoadNo,
+        members: &Members,
+        now: Timestamp,
+        tick: TimeDelta,
+    ) -> Vec<(Out, After)> {
+        let on_it = self
+            .out
+            .iter()
+            .filter(|(_, o)| o.road == Some(road) && !members.hears(&o.peer));
         let after = on_it.map(|(no, o)| (*no, o.after_loss(now, tick)));
         let over: Vec<(u64, After)> = after.filter(|(_, after)| *after != After::Wait).collect();
-        over.into_iter().filter_map(|(no, after)| Some((self.remove(no)?, after))).collect()
+        over.into_iter()
+            .filter_map(|(no, after)| Some((self.remove(no)?, after)))
+            .collect()
     }
 
     /// Those handed to an earlier incarnation of a gateway that has started anew.
     pub fn taken_to_the_grave(&mut self, peer: &Party, incarnation: u64) -> Vec<Out> {
-        let lost = self.out.iter().filter(|(_, o)| o.peer == *peer && o.to < incarnation);
+        let lost = self
+            .out
+            .iter()
+            .filter(|(_, o)| o.peer == *peer && o.to < incarnation);
         let lost: Vec<u64> = lost.map(|(no, _)| *no).collect();
         lost.into_iter().filter_map(|no| self.remove(no)).collect()
     }
@@ -198,31 +225,50 @@
     /// One taken in has ended. Gives back whose it is, and the road it came on.
     pub fn answered(
         &mut self,
-        now: Point,
+        now: Timestamp,
         inward: InwardNo,
         verdict: Verdict,
-        build: Option<Build>,
+        build: Option<BuildId>,
         body: Vec<u8>,
     ) -> Option<(Place, RoadNo)> {
         let place = self.running.remove(&inward)?;
-        let Some(Inward::Running { road, .. }) = self.inward.get(&place) else { return None };
+        let Some(Inward::Running { road, .. }) = self.inward.get(&place) else {
+            return None;
+        };
         let road = *road;
         self.close(now, place.clone(), verdict, build, body);
         Some((place, road))
     }
 
     /// Notes an ending, also of one that was never taken, so that no copy is.
-    pub fn close(&mut self, now: Point, place: Place, verdict: Verdict, build: Option<Build>, body: Vec<u8>) {
+    pub fn close(
+        &mut self,
+        now: Timestamp,
+        place: Place,
+        verdict: Verdict,
+        build: Option<BuildId>,
+        body: Vec<u8>,
+    ) {
         self.bytes += body.len();
         self.done.insert((now, place.clone()));
         if !body.is_empty() {
             self.bodies.push_back(place.clone());
         }
-        self.inward.insert(place, Inward::Done { verdict, build, body, at: now });
+        self.inward.insert(
+            place,
+            Inward::Done {
+                verdict,
+                build,
+                body,
+                at: now,
+            },
+        );
         // Guards against answers that fill the memory: the oldest lose their bodies, and then may only be
         // said to have run.
         while self.bytes > self.most_bytes {
-            let Some(place) = self.bodies.pop_front() else { break };
+            let Some(place) = self.bodies.pop_front() else {
+                break;
+            };
             if let Some(Inward::Done { verdict, body, .. }) = self.inward.get_mut(&place) {
                 self.bytes -= body.len();
                 (*verdict, *body) = (Verdict::Unknown, Vec::new());
@@ -234,7 +280,9 @@
     }
 
     fn forget_first(&mut self) {
-        let Some((_, place)) = self.done.pop_first() else { return };
+        let Some((_, place)) = self.done.pop_first() else {
+            return;
+        };
         if self.bodies.front() == Some(&place) {
             self.bodies.pop_front();
         }
@@ -245,18 +293,26 @@
 
     /// Those that an earlier incarnation handed over and that still run.
     pub fn orphans(&self, peer: &Party, incarnation: u64) -> Vec<InwardNo> {
-        let of_peer = self.running.iter().filter(|(_, p)| p.0 == *peer && p.1 < incarnation);
+        let of_peer = self
+            .running
+            .iter()
+            .filter(|(_, p)| p.0 == *peer && p.1 < incarnation);
         of_peer.map(|(no, _)| *no).collect()
     }
 
     // ---- time ----
 
-    pub fn next(&self) -> Option<Point> {
+    pub fn next(&self) -> Option<Timestamp> {
         let forgotten = self.done.first().map(|d| d.0 + self.remembered);
-        self.expiries.first().map(|e| e.0).into_iter().chain(forgotten).min()
+        self.expiries
+            .first()
+            .map(|e| e.0)
+            .into_iter()
+            .chain(forgotten)
+            .min()
     }
 
-    pub fn due(&mut self, now: Point) -> Option<Due> {
+    pub fn due(&mut self, now: Timestamp) -> Option<Due> {
         if let Some((_, crossing)) = self.expiries.first().filter(|e| e.0 <= now).copied() {
             return self.remove(crossing).map(Due::Expired);
         }
--- a/crates/multi-site/src/lib.rs
+++ b/crates/multi-site/src/lib.rs
@@ -1,4 +1,4 @@
-//! Between two sites: which txn goes across, what was handed over and what became of it, and who serves there.
+//! Between two sites: which request goes across, what was handed over and what became of it, and who serves there.
 //! `Sites::new` makes one gateway's part; `take(now, event)` tells it one event and gives back what it asks
 //! for, in order. No I/O, no clock of its own, chance by the told seed. `members` knows who is there,
 //! `bearing` what this gateway lends to the other site, `crossing` what it sends there, `custody` what is owed.
@@ -13,8 +13,8 @@
 use std::net::SocketAddr;
 
 use harrierdock_site_messages::{Answer, Handover, Letter, Party, Record, Standing, Verdict};
-use harrierdock_types::interface::{Build, Key, ProductIx, Repeat, TxnId};
-use harrierdock_types::time::{Point, Span};
+use harrierdock_types::{AffinityKey, BuildId, ClassId, RequestId, RetrySafety};
+use harrierdock_types::{TimeDelta, Timestamp};
 use serde::Serialize;
 
 use bearing::Bearing;
@@ -24,7 +24,7 @@
 pub use status::{MemberStatus, Status};
 
 /// The pause between two beats on a road. Credit ages within five of them, a road is none after seven.
-pub const ROUND: Span = Span(100_000);
+pub const ROUND: TimeDelta = TimeDelta(100_000);
 
 /// The number of a link between two gateways, never used twice.
 pub type RoadNo = u64;
@@ -32,14 +32,14 @@
 /// The number of a crossing that was taken in, never used twice.
 pub type InwardNo = u64;
 
-/// One product as told.
+/// One request class as told.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Product {
+pub struct RequestClass {
     pub name: String,
-    pub repeat: Repeat,
-    pub sla: Span,
-    pub expiry: Span,
-    pub revenue: f64,
+    pub repeat: RetrySafety,
+    pub latency_objective: TimeDelta,
+    pub expiry: TimeDelta,
+    pub priority_weight: f64,
     /// The group that drops its repeats spans both sites.
     pub spans: bool,
 }
@@ -54,11 +54,11 @@
     pub incarnation: u64,
     pub other_site: String,
     pub seeds: Vec<(Party, SocketAddr)>,
-    pub products: Vec<Product>,
+    pub classes: Vec<RequestClass>,
     /// How long a server takes to be warm, and the loop's tick.
-    pub warm: Span,
-    pub tick: Span,
-    pub retry_after: Option<Span>,
+    pub warm: TimeDelta,
+    pub tick: TimeDelta,
+    pub retry_after: Option<TimeDelta>,
     /// Bytes that remembered answers may take.
     pub memory: usize,
     pub seed: u64,
@@ -71,7 +71,7 @@
     Resume,
 }
 
-/// How a txn ended that this gateway's own module was given.
+/// How a request ended that this gateway's own module was given.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
     Settled,
@@ -85,32 +85,32 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// A client's txn.
+    /// A client's request.
     Txn {
-        id: TxnId,
-        product: ProductIx,
-        left: Span,
+        id: RequestId,
+        class: ClassId,
+        left: TimeDelta,
     },
-    /// The module would decline a client's txn of which nothing has run.
+    /// The module would decline a client's request of which nothing has run.
     Spared {
-        id: TxnId,
-        product: ProductIx,
-        left: Span,
+        id: RequestId,
+        class: ClassId,
+        left: TimeDelta,
     },
     Left {
-        id: TxnId,
+        id: RequestId,
     },
-    /// A txn that the module was given has ended, be it a client's or one taken in.
+    /// A request that the module was given has ended, be it a client's or one taken in.
     Ended {
-        product: ProductIx,
+        class: ClassId,
         ending: Ending,
-        took: Span,
+        took: TimeDelta,
     },
     /// One that was taken in has had its answer here.
     Answered {
         inward: InwardNo,
         verdict: Verdict,
-        build: Option<Build>,
+        build: Option<BuildId>,
         body: Vec<u8>,
     },
     /// How many servers discovery lists as ready.
@@ -143,37 +143,37 @@
 pub enum Action {
     /// The module serves it, within what is left.
     Here {
-        id: TxnId,
-        left: Span,
+        id: RequestId,
+        left: TimeDelta,
     },
     /// It is handed over on this road, under this number, to this incarnation.
     Across {
-        id: TxnId,
+        id: RequestId,
         road: RoadNo,
         crossing: u64,
         to: u64,
         /// The newest beat sent by then.
         beat: u32,
-        left: Span,
+        left: TimeDelta,
     },
     Settle {
-        id: TxnId,
+        id: RequestId,
         body: Vec<u8>,
-        build: Option<Build>,
+        build: Option<BuildId>,
     },
     Decline {
-        id: TxnId,
-        retry_after: Option<Span>,
+        id: RequestId,
+        retry_after: Option<TimeDelta>,
     },
     Void {
-        id: TxnId,
+        id: RequestId,
     },
     /// A crossing is to be served here, through the module.
     TakeIn {
         inward: InwardNo,
-        product: ProductIx,
-        key: Option<Key>,
-        left: Span,
+        class: ClassId,
+        key: Option<AffinityKey>,
+        left: TimeDelta,
         handover: Handover,
     },
     /// Nobody waits for this one any more.
@@ -193,7 +193,7 @@
     },
     Changed(Change),
     Wake {
-        after: Span,
+        after: TimeDelta,
     },
 }
 
@@ -255,28 +255,28 @@
 /// One gateway's part between the sites.
 pub struct Sites {
     place: Place,
-    now: Point,
+    now: Timestamp,
     members: Members,
     bearing: Bearing,
     crossings: Crossings,
     custody: Custody,
     tally: Tally,
-    by_name: BTreeMap<String, ProductIx>,
+    by_name: BTreeMap<String, ClassId>,
     /// Operators drained this site, or the gateway ends.
     drained: bool,
     ending: bool,
     ready: usize,
-    round: Point,
-    armed: Option<Point>,
-    strange_told: (u64, Point),
+    round: Timestamp,
+    armed: Option<Timestamp>,
+    strange_told: (u64, Timestamp),
     out: Vec<Action>,
 }
 
 /// How often operators are told of letters that match nothing.
-const STRANGE_EVERY: Span = Span(10_000_000);
+const STRANGE_EVERY: TimeDelta = TimeDelta(10_000_000);
 
 impl Sites {
-    pub fn new(now: Point, place: Place) -> Sites {
+    pub fn new(now: Timestamp, place: Place) -> Sites {
         let own = Record {
             party: place.own.clone(),
             address: place.address,
@@ -285,15 +285,25 @@
             standing: Standing::Serving,
         };
         let members = Members::new(own, place.other_site.clone(), &place.seeds, place.seed);
-        let longest = place.products.iter().map(|p| p.expiry).max().unwrap_or(Span::ZERO);
+        let longest = place
+            .classes
+            .iter()
+            .map(|p| p.expiry)
+            .max()
+            .unwrap_or(TimeDelta::ZERO);
         Sites {
             now,
             members,
-            bearing: Bearing::new(&place.products),
-            crossings: Crossings::new(&place.products, place.warm, place.seed),
+            bearing: Bearing::new(&place.classes),
+            crossings: Crossings::new(&place.classes, place.warm, place.seed),
             custody: Custody::new(longest, place.memory),
             tally: Tally::default(),
-            by_name: place.products.iter().enumerate().map(|(ix, p)| (p.name.clone(), ix)).collect(),
+            by_name: place
+                .classes
+                .iter()
+                .enumerate()
+                .map(|(ix, p)| (p.name.clone(), ClassId(ix)))
+                .collect(),
             drained: false,
             ending: false,
             ready: 0,
@@ -305,18 +315,32 @@
         }
     }
 
-    pub fn take(&mut self, now: Point, event: Event) -> Vec<Action> {
+    pub fn take(&mut self, now: Timestamp, event: Event) -> Vec<Action> {
         self.now = now;
         match event {
-            Event::Txn { id, product, left } => self.txn(id, product, left),
-            Event::Spared { id, product, left } => self.spared(id, product, left),
+            Event::Txn { id, class, left } => self.txn(id, class, left),
+            Event::Spared { id, class, left } => self.spared(id, class, left),
             Event::Left { id } => self.left(id),
-            Event::Ended { product, ending, took } => {
-                let late = took > self.place.products.get(product).map_or(took, |p| p.sla);
+            Event::Ended {
+                class,
+                ending,
+                took,
+            } => {
+                let late = took
+                    > self
+                        .place
+                        .classes
+                        .get(class.0)
+                        .map_or(took, |p| p.latency_objective);
                 self.bearing.ended(ending, late);
                 self.crossings.ended(now, ending);
             }
-            Event::Answered { inward, verdict, build, body } => self.answered(inward, verdict, build, body),
+            Event::Answered {
+                inward,
+                verdict,
+                build,
+                body,
+            } => self.answered(inward, verdict, build, body),
             Event::Home { ready } => {
                 self.ready = ready;
                 self.crossings.home(now, ready);
@@ -355,41 +379,48 @@
 
     // ---- what comes from clients ----
 
-    /// A txn goes across only where this site's own servers are not to have it; the module sees all others.
-    fn txn(&mut self, id: TxnId, product: ProductIx, left: Span) {
-        let Some(told) = self.place.products.get(product) else {
+    /// A request goes across only where this site's own servers are not to have it; the module sees all others.
+    fn txn(&mut self, id: RequestId, class: ClassId, left: TimeDelta) {
+        let Some(told) = self.place.classes.get(class.0) else {
             return self.out.push(Action::Here { id, left });
         };
-        // Guards against a site that nobody looks at again because none of its products may run twice.
-        let mut products = self.place.products.iter();
-        let probes = told.repeat == Repeat::InquiryLike || products.all(|p| p.repeat != Repeat::InquiryLike);
-        if !self.crossings.goes_away(self.now, probes) || !self.cross(id, product, left, false) {
+        // Guards against a site that nobody looks at again because none of its request classes may run twice.
+        let mut classes = self.place.classes.iter();
+        let probes = told.repeat == RetrySafety::Idempotent
+            || classes.all(|p| p.repeat != RetrySafety::Idempotent);
+        if !self.crossings.goes_away(self.now, probes) || !self.cross(id, class, left, false) {
             self.out.push(Action::Here { id, left });
         }
     }
 
     /// What the module would decline may cross, while there is time; otherwise it is declined at once.
-    fn spared(&mut self, id: TxnId, product: ProductIx, left: Span) {
+    fn spared(&mut self, id: RequestId, class: ClassId, left: TimeDelta) {
         self.crossings.ended(self.now, Ending::Declined);
         self.bearing.ended(Ending::Declined, false);
-        if !self.cross(id, product, left, true) {
+        if !self.cross(id, class, left, true) {
             self.decline(id);
         }
     }
 
-    fn cross(&mut self, id: TxnId, product: ProductIx, left: Span, spared: bool) -> bool {
-        let Some(told) = self.place.products.get(product) else { return false };
+    fn cross(&mut self, id: RequestId, class: ClassId, left: TimeDelta, spared: bool) -> bool {
+        let Some(told) = self.place.classes.get(class.0) else {
+            return false;
+        };
         if self.ending {
             return false;
         }
-        let Some(no) = self.crossings.road(self.now, &self.members, product, left) else { return false };
-        let Some(road) = self.members.roads.get(&no) else { return false };
+        let Some(no) = self.crossings.road(self.now, &self.members, class, left) else {
+            return false;
+        };
+        let Some(road) = self.members.roads.get(&no) else {
+            return false;
+        };
         let (peer, to) = (road.peer.clone(), road.incarnation);
         // The answer must be back before the client's time is up.
         let margin = self.place.tick + road.round_trip;
         let out = custody::Out {
             id,
-            product,
+            class,
             peer,
             to,
             sent: self.now,
@@ -400,35 +431,56 @@
             road: Some(no),
         };
         let crossing = self.custody.hand_over(out);
-        self.crossings.handed_over(no, product);
+        self.crossings.handed_over(no, class);
         self.tally.handed_over += 1;
-        let left = Span((left - margin).0.max(1000));
+        let left = TimeDelta((left - margin).0.max(1000));
         // Guards against a repeat there after one here, once the road is lost: both lie within one memory.
         let left = match told.repeat {
-            Repeat::Referenced { memory, .. } => left.min(memory - margin),
+            RetrySafety::IdempotencyKey {
+                deduplication_window: memory,
+                ..
+            } => left.min(memory - margin),
             _ => left,
         };
         let beat = self.members.beat_sent();
-        self.out.push(Action::Across { id, road: no, crossing, to, beat, left });
+        self.out.push(Action::Across {
+            id,
+            road: no,
+            crossing,
+            to,
+            beat,
+            left,
+        });
         true
     }
 
-    fn decline(&mut self, id: TxnId) {
-        self.out.push(Action::Decline { id, retry_after: self.place.retry_after });
+    fn decline(&mut self, id: RequestId) {
+        self.out.push(Action::Decline {
+            id,
+            retry_after: self.place.retry_after,
+        });
     }
 
-    fn left(&mut self, id: TxnId) {
+    fn left(&mut self, id: RequestId) {
         if let Some((crossing, out)) = self.custody.left(id) {
             if let Some(road) = self.road_to(&out.peer, out.road) {
                 let from = self.members.own().incarnation;
-                self.out.push(Action::Send { road, letter: Letter::Cancel { crossing, from } });
+                self.out.push(Action::Send {
+                    road,
+                    letter: Letter::Cancel { crossing, from },
+                });
             }
         }
     }
 
     /// A whole road to this gateway, the one it was on if that still is.
     fn road_to(&self, peer: &Party, road: Option<RoadNo>) -> Option<RoadNo> {
-        let whole = |no: &RoadNo| self.members.roads.get(no).is_some_and(|r| r.whole && r.peer == *peer);
+        let whole = |no: &RoadNo| {
+            self.members
+                .roads
+                .get(no)
+                .is_some_and(|r| r.whole && r.peer == *peer)
+        };
         let other = || self.members.roads.keys().copied().find(whole);
         road.filter(whole).or_else(other)
     }
@@ -441,9 +493,10 @@
                 let mut asked = Vec::new();
                 self.members.hear(self.now, road, &beat, &mut asked);
                 self.obey(asked);
-                let by_name = |told: &[(String, u16)]| -> Vec<(ProductIx, f64)> {
-                    let known =
-                        told.iter().filter_map(|(name, n)| Some((*self.by_name.get(name)?, f64::from(*n))));
+                let by_name = |told: &[(String, u16)]| -> Vec<(ClassId, f64)> {
+                    let known = told
+                        .iter()
+                        .filter_map(|(name, n)| Some((*self.by_name.get(name)?, f64::from(*n))));
                     known.collect()
                 };
                 let (grants, wants) = (by_name(&beat.grants), by_name(&beat.wants));
@@ -454,7 +507,9 @@
             Letter::Answer(answer) => self.answer(road, answer),
             Letter::Inquiry { crossing, from, to } => self.inquiry(road, crossing, from, to),
             Letter::Cancel { crossing, from } => {
-                let Some(peer) = self.members.roads.get(&road).map(|r| r.peer.clone()) else { return };
+                let Some(peer) = self.members.roads.get(&road).map(|r| r.peer.clone()) else {
+                    return;
+                };
                 if let Some(inward) = self.custody.cancel(&(peer, from, crossing)) {
                     self.out.push(Action::Abandon { inward });
                 }
@@ -462,17 +517,33 @@
         }
     }
 
-    /// A txn is handed over to us. It is taken once, whatever copies come; what is not taken never runs.
+    /// A request is handed over to us. It is taken once, whatever copies come; what is not taken never runs.
     fn taken_over(&mut self, road: RoadNo, handover: Handover) {
-        let Some(peer) = self.members.roads.get(&road).map(|r| r.peer.clone()) else { return };
+        let Some(peer) = self.members.roads.get(&road).map(|r| r.peer.clone()) else {
+            return;
+        };
         let (crossing, from) = (handover.crossing, handover.from);
         let place = (peer, from, crossing);
         if let Some(held) = self.custody.inward(&place) {
             self.tally.copies += 1;
-            if let Inward::Done { verdict, build, body, .. } = held {
-                let answer =
-                    Answer { crossing, to: from, verdict: *verdict, build: *build, body: body.clone() };
-                self.out.push(Action::Send { road, letter: Letter::Answer(answer) });
+            if let Inward::Done {
+                verdict,
+                build,
+                body,
+                ..
+            } = held
+            {
+                let answer = Answer {
+                    crossing,
+                    to: from,
+                    verdict: *verdict,
+                    build: build.map(|b| b.0),
+                    body: body.clone(),
+                };
+                self.out.push(Action::Send {
+                    road,
+                    letter: Letter::Answer(answer),
+                });
             }
             return;
         }
@@ -484,93 +555,157 @@
         } else {
             None
         };
-        let product = self.by_name.get(&handover.product).copied();
+        let class = self.by_name.get(&handover.class).copied();
         // Guards against a peer that does not keep to its credit; a little beyond, what was on its way counts.
-        let admitted = verdict.is_none() && product.is_some_and(|p| self.bearing.admits(road, p));
-        let (Some(product), true) = (product, admitted) else {
+        let admitted = verdict.is_none() && class.is_some_and(|p| self.bearing.admits(road, p));
+        let (Some(class), true) = (class, admitted) else {
             return self.turn_away(road, place, verdict.unwrap_or(Verdict::NotTaken));
         };
-        let left = Span(i64::from(handover.left_ms) * 1000);
+        let left = TimeDelta(i64::from(handover.left_ms) * 1000);
         // Guards against one that was under way for longer than repeats are remembered: it may have run at its
         // own site meanwhile. Harms by refusing a few where many beats are lost.
-        let referenced = matches!(self.place.products[product].repeat, Repeat::Referenced { .. });
+        let referenced = matches!(
+            self.place.classes[class.0].repeat,
+            RetrySafety::IdempotencyKey { .. }
+        );
         let age = if referenced {
             self.members.age_at_most(self.now, road, handover.beat)
         } else {
-            Some(Span::ZERO)
+            Some(TimeDelta::ZERO)
         };
-        let left = age.map_or(Span::ZERO, |age| left - age);
+        let left = age.map_or(TimeDelta::ZERO, |age| left - age);
         if left <= self.place.tick {
             return self.turn_away(road, place, Verdict::NotTaken);
         }
         self.tally.taken_in += 1;
         let inward = self.custody.take_in(place, road);
-        let key = handover.key.map(Key);
-        self.out.push(Action::TakeIn { inward, product, key, left, handover });
+        let key = handover.key.map(AffinityKey);
+        self.out.push(Action::TakeIn {
+            inward,
+            class,
+            key,
+            left,
+            handover,
+        });
     }
 
     /// It is not taken, neither now nor when a copy of it comes.
     fn turn_away(&mut self, road: RoadNo, place: custody::Place, verdict: Verdict) {
         let (to, crossing) = (place.1, place.2);
         self.tally.turned_away += 1;
-        self.custody.close(self.now, place, verdict, None, Vec::new());
-        let answer = Answer { crossing, to, verdict, build: None, body: Vec::new() };
-        self.out.push(Action::Send { road, letter: Letter::Answer(answer) });
+        self.custody
+            .close(self.now, place, verdict, None, Vec::new());
+        let answer = Answer {
+            crossing,
+            to,
+            verdict,
+            build: None,
+            body: Vec::new(),
+        };
+        self.out.push(Action::Send {
+            road,
+            letter: Letter::Answer(answer),
+        });
     }
 
-    fn answered(&mut self, inward: InwardNo, verdict: Verdict, build: Option<Build>, body: Vec<u8>) {
-        let Some((place, road)) = self.custody.answered(self.now, inward, verdict, build, body.clone())
+    fn answered(
+        &mut self,
+        inward: InwardNo,
+        verdict: Verdict,
+        build: Option<BuildId>,
+        body: Vec<u8>,
+    ) {
+        let Some((place, road)) =
+            self.custody
+                .answered(self.now, inward, verdict, build, body.clone())
         else {
             return;
         };
         let (peer, from, crossing) = place;
-        let answer = Answer { crossing, to: from, verdict, build, body };
+        let answer = Answer {
+            crossing,
+            to: from,
+            verdict,
+            build: build.map(|b| b.0),
+            body,
+        };
         if let Some(road) = self.road_to(&peer, Some(road)) {
-            self.out.push(Action::Send { road, letter: Letter::Answer(answer) });
+            self.out.push(Action::Send {
+                road,
+                letter: Letter::Answer(answer),
+            });
         }
     }
 
     fn inquiry(&mut self, road: RoadNo, crossing: u64, from: u64, to: u64) {
-        let Some(peer) = self.members.roads.get(&road).map(|r| r.peer.clone()) else { return };
+        let Some(peer) = self.members.roads.get(&road).map(|r| r.peer.clone()) else {
+            return;
+        };
         let place = (peer, from, crossing);
         let (verdict, build, body) = match self.custody.inward(&place) {
             Some(Inward::Running { .. }) => return,
-            Some(Inward::Done { verdict, build, body, .. }) => (*verdict, *build, body.clone()),
+            Some(Inward::Done {
+                verdict,
+                build,
+                body,
+                ..
+            }) => (*verdict, *build, body.clone()),
             None if to == self.members.own().incarnation => {
                 // It has not come, and from now on it is not taken any more, however late it comes.
-                self.custody.close(self.now, place, Verdict::NotTaken, None, Vec::new());
+                self.custody
+                    .close(self.now, place, Verdict::NotTaken, None, Vec::new());
                 (Verdict::NotTaken, None, Vec::new())
             }
             None => (Verdict::Unknown, None, Vec::new()),
         };
-        let answer = Answer { crossing, to: from, verdict, build, body };
-        self.out.push(Action::Send { road, letter: Letter::Answer(answer) });
+        let answer = Answer {
+            crossing,
+            to: from,
+            verdict,
+            build: build.map(|b| b.0),
+            body,
+        };
+        self.out.push(Action::Send {
+            road,
+            letter: Letter::Answer(answer),
+        });
     }
 
     /// What the other site says of a crossing. Only the first word on it counts.
     fn answer(&mut self, road: RoadNo, answer: Answer) {
         let from = self.members.roads.get(&road).map(|r| &r.peer);
         let matches = answer.to == self.members.own().incarnation;
-        let Some(out) = from.filter(|_| matches).and_then(|peer| self.custody.end(answer.crossing, peer))
+        let Some(out) = from
+            .filter(|_| matches)
+            .and_then(|peer| self.custody.end(answer.crossing, peer))
         else {
             self.tally.strange += 1;
             return;
         };
         let (id, took) = (out.id, self.now - out.sent);
         let taken = matches!(answer.verdict, Verdict::Settled | Verdict::Voided);
-        self.crossings.came_back(self.now, road, out.product, taken, took);
+        self.crossings
+            .came_back(self.now, road, out.class, taken, took);
         self.tally.refused += u64::from(!taken);
         let left = out.expiry - self.now;
         match answer.verdict {
             Verdict::Settled => {
                 self.tally.settled_there += 1;
-                self.out.push(Action::Settle { id, body: answer.body, build: answer.build });
+                self.out.push(Action::Settle {
+                    id,
+                    body: answer.body,
+                    build: answer.build.map(BuildId),
+                });
             }
             // Never run, so this site's servers may have it, if the module has not turned it away already.
-            Verdict::NotTaken if !out.spared && left > Span::ZERO => self.out.push(Action::Here { id, left }),
+            Verdict::NotTaken if !out.spared && left > TimeDelta::ZERO => {
+                self.out.push(Action::Here { id, left })
+            }
             Verdict::NotTaken => self.decline(id),
             // Guards against a client whose next try meets other servers than those that drop its repeat.
-            Verdict::Declined { ran } if ran && !out.may_try_again() => self.out.push(Action::Void { id }),
+            Verdict::Declined { ran } if ran && !out.may_try_again() => {
+                self.out.push(Action::Void { id })
+            }
             Verdict::Declined { .. } => self.decline(id),
             Verdict::Voided => self.out.push(Action::Void { id }),
             Verdict::Unknown => self.uncertain(out),
@@ -602,7 +737,8 @@
                     self.tally.voided_unanswered += 1;
                     // Guards against a road on which nothing comes back: it counts as refused, not as slow.
                     if let Some(road) = out.road {
-                        self.crossings.came_back(self.now, road, out.product, false, Span::ZERO);
+                        self.crossings
+                            .came_back(self.now, road, out.class, false, TimeDelta::ZERO);
                     }
                     self.out.push(Action::Void { id: out.id });
                 }
@@ -621,12 +757,19 @@
         self.tally.moves = self.crossings.moves();
         self.out.extend(changes.into_iter().map(Action::Changed));
         let open = !self.drained && !self.ending && self.ready > 0 && !self.crossings.is_away();
-        let roads: Vec<RoadNo> =
-            self.members.roads.iter().filter(|(_, r)| r.whole).map(|(no, _)| *no).collect();
+        let roads: Vec<RoadNo> = self
+            .members
+            .roads
+            .iter()
+            .filter(|(_, r)| r.whole)
+            .map(|(no, _)| *no)
+            .collect();
         self.bearing.round(&roads, open);
         self.crossings.round(&roads);
         self.beat();
-        if self.tally.strange > self.strange_told.0 && self.now - self.strange_told.1 >= STRANGE_EVERY {
+        if self.tally.strange > self.strange_told.0
+            && self.now - self.strange_told.1 >= STRANGE_EVERY
+        {
             let letters = self.tally.strange - self.strange_told.0;
             self.strange_told = (self.tally.strange, self.now);
             self.out.push(Action::Changed(Change::Strange { letters }));
@@ -637,11 +780,24 @@
         let mut asked = Vec::new();
         let beats = self.members.round(self.now, &mut asked);
         self.obey(asked);
-        let name = |(p, n): (ProductIx, u16)| Some((self.place.products.get(p)?.name.clone(), n));
+        let name = |(p, n): (ClassId, u16)| Some((self.place.classes.get(p.0)?.name.clone(), n));
         for (road, mut beat) in beats {
-            beat.grants = self.bearing.grants(road).into_iter().filter_map(name).collect();
-            beat.wants = self.crossings.wants().into_iter().filter_map(name).collect();
-            self.out.push(Action::Send { road, letter: Letter::Beat(beat) });
+            beat.grants = self
+                .bearing
+                .grants(road)
+                .into_iter()
+                .filter_map(name)
+                .collect();
+            beat.wants = self
+                .crossings
+                .wants()
+                .into_iter()
+                .filter_map(name)
+                .collect();
+            self.out.push(Action::Send {
+                road,
+                letter: Letter::Beat(beat),
+            });
         }
     }
 
@@ -681,7 +837,9 @@
 
     /// A road is whole again: what is owed from its other end is asked for.
     fn whole(&mut self, road: RoadNo) {
-        let Some(peer) = self.members.roads.get(&road).map(|r| r.peer.clone()) else { return };
+        let Some(peer) = self.members.roads.get(&road).map(|r| r.peer.clone()) else {
+            return;
+        };
         let from = self.members.own().incarnation;
         for (crossing, to) in self.custody.owed_by(&peer) {
             let letter = Letter::Inquiry { crossing, from, to };
@@ -693,7 +851,10 @@
     /// answer until its time is up.
     fn broken(&mut self, road: RoadNo) {
         self.forget_road(road);
-        for (out, after) in self.custody.cut(road, &self.members, self.now, self.place.tick) {
+        for (out, after) in self
+            .custody
+            .cut(road, &self.members, self.now, self.place.tick)
+        {
             match after {
                 custody::After::Here { left } if !out.spared => {
                     self.tally.served_here_after += 1;
@@ -716,10 +877,16 @@
     }
 
     fn emit(&mut self) -> Vec<Action> {
-        let next = self.custody.next().map_or(self.round, |at| at.min(self.round)).max(self.now + Span(1));
+        let next = self
+            .custody
+            .next()
+            .map_or(self.round, |at| at.min(self.round))
+            .max(self.now + TimeDelta(1));
         if self.armed.is_none_or(|at| at <= self.now || next < at) {
             self.armed = Some(next);
-            self.out.push(Action::Wake { after: next - self.now });
+            self.out.push(Action::Wake {
+                after: next - self.now,
+            });
         }
         std::mem::take(&mut self.out)
     }
--- a/crates/multi-site/src/members.rs
+++ b/crates/multi-site/src/members.rs
@@ -1,12 +1,12 @@
 //! Membership: who serves at either site, and on which roads both ends hear each other. Records of gateways
 //! spread from neighbour to neighbour over the roads between the sites; a road is a link on which beats and
-//! their echoes come back. Nothing here knows of txns.
+//! their echoes come back. Nothing here knows of requests.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
 use harrierdock_site_messages::{Beat, Party, Record, Standing};
-use harrierdock_types::time::{Point, Span};
+use harrierdock_types::{TimeDelta, Timestamp};
 use nanorand::{Rng, WyRand};
 
 use crate::{Change, RoadNo, ROUND};
@@ -44,9 +44,9 @@
     /// How often its record has been told since it last changed.
     told: u32,
     /// Since when it stands so.
-    since: Point,
+    since: Timestamp,
     tries: u32,
-    next_try: Point,
+    next_try: Timestamp,
     dialling: bool,
     /// How this gateway ranks it among those it may open roads to.
     rank: u64,
@@ -54,22 +54,22 @@
 
 pub struct Road {
     pub peer: Party,
-    pub since: Point,
-    pub heard: Option<Point>,
+    pub since: Timestamp,
+    pub heard: Option<Timestamp>,
     /// When the newest beat was sent of which the other end has said that it came.
-    pub echoed: Option<Point>,
+    pub echoed: Option<Timestamp>,
     pub incarnation: u64,
     /// Both ends hear each other.
     pub whole: bool,
     their_beat: u32,
     /// When their latest beats were heard.
-    heard_at: VecDeque<(u32, Point)>,
+    heard_at: VecDeque<(u32, Timestamp)>,
     /// This end has opened it.
     ours: bool,
     /// Up to where the whole table has been told on it, once it has come up.
     told_to: Option<Party>,
     /// The time a beat and its echo take, without what they wait at the other end.
-    pub round_trip: Span,
+    pub round_trip: TimeDelta,
 }
 
 pub struct Members {
@@ -80,7 +80,7 @@
     known: BTreeMap<Party, Member>,
     pub roads: BTreeMap<RoadNo, Road>,
     beat: u32,
-    sent: [Point; BEATS],
+    sent: [Timestamp; BEATS],
     /// Where the repeating of old records stands.
     next_old: Option<Party>,
 }
@@ -88,8 +88,12 @@
 /// FNV-1a over both ends, so that each end ranks the other's gateways alike and evenly.
 fn rank(a: &Party, b: &Party) -> u64 {
     let (a, b) = if a < b { (a, b) } else { (b, a) };
-    let bytes = [&a.site, &a.gateway, &b.site, &b.gateway].into_iter().flat_map(|s| s.bytes().chain([0]));
-    let hash = bytes.fold(0xcbf2_9ce4_8422_2325_u64, |h, b| (h ^ u64::from(b)).wrapping_mul(0x100_0000_01b3));
+    let bytes = [&a.site, &a.gateway, &b.site, &b.gateway]
+        .into_iter()
+        .flat_map(|s| s.bytes().chain([0]));
+    let hash = bytes.fold(0xcbf2_9ce4_8422_2325_u64, |h, b| {
+        (h ^ u64::from(b)).wrapping_mul(0x100_0000_01b3)
+    });
     // The last bytes need mixing into the high bits, by which hashes are compared.
     (hash ^ (hash >> 29)).wrapping_mul(0xbf58_476d_1ce4_e5b9)
 }
@@ -121,7 +125,12 @@
 
 impl Members {
     /// `seeds` are gateways of the other site that are known from the start.
-    pub fn new(own: Record, other_site: String, seeds: &[(Party, SocketAddr)], seed: u64) -> Members {
+    pub fn new(
+        own: Record,
+        other_site: String,
+        seeds: &[(Party, SocketAddr)],
+        seed: u64,
+    ) -> Members {
         let member = |(party, address): &(Party, SocketAddr)| {
             let (rank, address) = (rank(&own.party, party), Some(*address));
             let party = party.clone();
@@ -132,7 +141,7 @@
                 version: 0,
                 standing: Standing::Serving,
             };
-            (party, Member::new(record, Point(0), rank))
+            (party, Member::new(record, Timestamp(0), rank))
         };
         Members {
             own: own.clone(),
@@ -142,7 +151,7 @@
             known: seeds.iter().map(member).collect(),
             roads: BTreeMap::new(),
             beat: 0,
-            sent: [Point(0); BEATS],
+            sent: [Timestamp(0); BEATS],
             next_old: None,
         }
     }
@@ -152,7 +161,7 @@
     }
 
     /// All records held, with since when each stands as it does.
-    pub fn records(&self) -> impl Iterator<Item = (&Record, Point)> {
+    pub fn records(&self) -> impl Iterator<Item = (&Record, Timestamp)> {
         self.known.values().map(|m| (&m.record, m.since))
     }
 
@@ -174,7 +183,7 @@
     }
 
     /// A link has come up, opened by either end.
-    pub fn up(&mut self, now: Point, no: RoadNo, peer: Party, asked: &mut Vec<Asked>) {
+    pub fn up(&mut self, now: Timestamp, no: RoadNo, peer: Party, asked: &mut Vec<Asked>) {
         // Guards against strangers, or a site gone wild, that open roads without end.
         if self.roads.len() >= MOST_ROADS {
             return asked.push(Asked::HangUp { road: no });
@@ -191,15 +200,20 @@
             their_beat: 0,
             heard_at: VecDeque::new(),
             ours,
-            told_to: Some(Party { site: String::new(), gateway: String::new() }),
-            round_trip: Span::ZERO,
+            told_to: Some(Party {
+                site: String::new(),
+                gateway: String::new(),
+            }),
+            round_trip: TimeDelta::ZERO,
         };
         self.roads.insert(no, road);
     }
 
     /// A link is gone, `orderly` where the other end has said so: that is no sign of trouble with it.
-    pub fn down(&mut self, now: Point, no: RoadNo, orderly: bool, asked: &mut Vec<Asked>) {
-        let Some(road) = self.roads.remove(&no) else { return };
+    pub fn down(&mut self, now: Timestamp, no: RoadNo, orderly: bool, asked: &mut Vec<Asked>) {
+        let Some(road) = self.roads.remove(&no) else {
+            return;
+        };
         if road.ours {
             self.back_off(now, &road.peer);
         }
@@ -217,7 +231,7 @@
 
     /// How old what the other end sent after this beat of its can be at the most; none if that cannot be told.
     /// No clock of the other end is needed: a beat that it had sent before was heard here at a known point.
-    pub fn age_at_most(&self, now: Point, no: RoadNo, beat: u32) -> Option<Span> {
+    pub fn age_at_most(&self, now: Timestamp, no: RoadNo, beat: u32) -> Option<TimeDelta> {
         let road = self.roads.get(&no)?;
         let before = road.heard_at.iter().rev().find(|h| h.0 <= beat)?;
         Some(now - before.1 + road.round_trip)
@@ -229,32 +243,42 @@
     }
 
     /// An attempt to open a link has failed.
-    pub fn unreachable(&mut self, now: Point, peer: &Party, asked: &mut Vec<Asked>) {
+    pub fn unreachable(&mut self, now: Timestamp, peer: &Party, asked: &mut Vec<Asked>) {
         self.back_off(now, peer);
         self.suspect(now, peer, asked);
     }
 
     /// Guards against many gateways that dial one that is gone, or full, all at once and without end.
-    fn back_off(&mut self, now: Point, peer: &Party) {
-        let Some(member) = self.known.get_mut(peer) else { return };
+    fn back_off(&mut self, now: Timestamp, peer: &Party) {
+        let Some(member) = self.known.get_mut(peer) else {
+            return;
+        };
         let wait = ROUND * (RETRY * f64::powi(2.0, member.tries.min(16) as i32)).min(RETRY_MOST);
         let jitter = 0.5 + self.chance.generate::<f64>();
-        (member.dialling, member.tries, member.next_try) = (false, member.tries + 1, now + wait * jitter);
+        (member.dialling, member.tries, member.next_try) =
+            (false, member.tries + 1, now + wait * jitter);
     }
 
     /// Guards against a site's gateway that is gone, or does not hear us, being taken for a road: it is
     /// suspected until it says otherwise itself.
-    fn suspect(&mut self, now: Point, peer: &Party, asked: &mut Vec<Asked>) {
-        let Some(member) = self.known.get_mut(peer) else { return };
+    fn suspect(&mut self, now: Timestamp, peer: &Party, asked: &mut Vec<Asked>) {
+        let Some(member) = self.known.get_mut(peer) else {
+            return;
+        };
         if member.record.standing < Standing::Leaving {
-            let record = Record { standing: Standing::Suspected, ..member.record.clone() };
+            let record = Record {
+                standing: Standing::Suspected,
+                ..member.record.clone()
+            };
             member.put(now, record, asked);
         }
     }
 
     /// Takes in what the other end of a road says.
-    pub fn hear(&mut self, now: Point, no: RoadNo, beat: &Beat, asked: &mut Vec<Asked>) {
-        let Some(road) = self.roads.get_mut(&no) else { return };
+    pub fn hear(&mut self, now: Timestamp, no: RoadNo, beat: &Beat, asked: &mut Vec<Asked>) {
+        let Some(road) = self.roads.get_mut(&no) else {
+            return;
+        };
         // Guards against beats out of order, or said again: an older one tells nothing.
         if beat.incarnation < road.incarnation
             || (beat.incarnation == road.incarnation && beat.beat <= road.their_beat)
@@ -271,8 +295,8 @@
             let at = self.sent[beat.echo as usize % BEATS];
             if road.echoed.is_none_or(|e| e < at) {
                 road.echoed = Some(at);
-                let took = now - at - Span(i64::from(beat.held_ms) * 1000);
-                road.round_trip = Span(took.0.max(0));
+                let took = now - at - TimeDelta(i64::from(beat.held_ms) * 1000);
+                road.round_trip = TimeDelta(took.0.max(0));
             }
         }
         for record in &beat.records {
@@ -281,7 +305,7 @@
     }
 
     /// Takes in a record that a neighbour tells.
-    fn learn(&mut self, now: Point, record: &Record, asked: &mut Vec<Asked>) {
+    fn learn(&mut self, now: Timestamp, record: &Record, asked: &mut Vec<Asked>) {
         if record.party == self.own.party {
             // Guards against being given up while alive, and against an earlier start that others still believe
             // in, or a clock that was set back: what is put about of us is refuted by standing above it.
@@ -299,28 +323,43 @@
             Some(member) if record.order() > member.record.order() => {
                 let before = member.record.incarnation;
                 if before != 0 && record.incarnation > before {
-                    asked.push(Asked::Reborn { peer: record.party.clone(), incarnation: record.incarnation });
+                    asked.push(Asked::Reborn {
+                        peer: record.party.clone(),
+                        incarnation: record.incarnation,
+                    });
                 }
                 // Suspicion without an address keeps the address held.
                 let address = record.address.or(member.record.address);
                 if member.record.address != address {
                     (member.tries, member.next_try) = (0, now);
                 }
-                member.put(now, Record { address, ..record.clone() }, asked);
+                member.put(
+                    now,
+                    Record {
+                        address,
+                        ..record.clone()
+                    },
+                    asked,
+                );
             }
             Some(_) => {}
             None if room && record.standing < Standing::Lost => {
                 let rank = rank(&self.own.party, &record.party);
-                let member = Member { told: 0, ..Member::new(record.clone(), now, rank) };
+                let member = Member {
+                    told: 0,
+                    ..Member::new(record.clone(), now, rank)
+                };
                 self.known.insert(record.party.clone(), member);
-                asked.push(Asked::Changed(Change::Joined { party: record.party.clone() }));
+                asked.push(Asked::Changed(Change::Joined {
+                    party: record.party.clone(),
+                }));
             }
             None => {}
         }
     }
 
     /// A round: judges roads, opens and closes them, and gives back the beat for each road.
-    pub fn round(&mut self, now: Point, asked: &mut Vec<Asked>) -> Vec<(RoadNo, Beat)> {
+    pub fn round(&mut self, now: Timestamp, asked: &mut Vec<Asked>) -> Vec<(RoadNo, Beat)> {
         self.judge(now, asked);
         self.open(now, asked);
         self.beat += 1;
@@ -330,7 +369,7 @@
         let beats = self.roads.iter_mut().map(|(no, road)| {
             let mut records = records.clone();
             road.catch_up(known, &mut records);
-            let held = road.heard.map_or(Span::ZERO, |at| now - at);
+            let held = road.heard.map_or(TimeDelta::ZERO, |at| now - at);
             let beat = Beat {
                 incarnation: self.own.incarnation,
                 beat: self.beat,
@@ -344,14 +383,18 @@
         beats.collect()
     }
 
-    fn judge(&mut self, now: Point, asked: &mut Vec<Asked>) {
+    fn judge(&mut self, now: Timestamp, asked: &mut Vec<Asked>) {
         let missed = ROUND * MISSED;
         let mut deaf = Vec::new();
         for (no, road) in &mut self.roads {
-            let fresh = |at: Option<Point>| at.is_some_and(|at| now - at <= missed);
+            let fresh = |at: Option<Timestamp>| at.is_some_and(|at| now - at <= missed);
             let whole = fresh(road.heard) && fresh(road.echoed);
             if whole != std::mem::replace(&mut road.whole, whole) {
-                asked.push(if whole { Asked::Whole { road: *no } } else { Asked::Broken { road: *no } });
+                asked.push(if whole {
+                    Asked::Whole { road: *no }
+                } else {
+                    Asked::Broken { road: *no }
+                });
             }
             if whole && now - road.since > ROUND * REFUTE {
                 if let Some(member) = self.known.get_mut(&road.peer) {
@@ -376,7 +419,12 @@
         // Each end may have opened a road to the other at once; one of the two, the same always, parts with one.
         let double = self.roads.iter().filter(|(no, r)| {
             let lower = self.own.party < r.peer;
-            lower && r.whole && self.roads.range(..*no).any(|(_, o)| o.whole && o.peer == r.peer)
+            lower
+                && r.whole
+                && self
+                    .roads
+                    .range(..*no)
+                    .any(|(_, o)| o.whole && o.peer == r.peer)
         });
         if let Some(no) = double.map(|(no, _)| *no).next() {
             self.roads.remove(&no);
@@ -385,7 +433,10 @@
         let refute = ROUND * REFUTE;
         for member in self.known.values_mut() {
             if member.record.standing == Standing::Suspected && now - member.since > refute {
-                let record = Record { standing: Standing::Lost, ..member.record.clone() };
+                let record = Record {
+                    standing: Standing::Lost,
+                    ..member.record.clone()
+                };
                 member.put(now, record, asked);
             }
         }
@@ -401,12 +452,16 @@
 
     /// The gateways of the other site that this one opens roads to: the first by rendezvous hashing of those
     /// that are not lost, and of the lost ones in turn where there are too few.
-    fn open(&mut self, now: Point, asked: &mut Vec<Asked>) {
+    fn open(&mut self, now: Timestamp, asked: &mut Vec<Asked>) {
         let there = self.known.iter().filter(|(p, _)| p.site == self.other_site);
         // Lost ones do not count as roads wanted, yet are tried, so that a site cut off is found again.
         let mut first: Vec<(bool, u64, &Party)> = Vec::new();
         for (party, member) in there {
-            let place = (member.record.standing >= Standing::Leaving, member.rank, party);
+            let place = (
+                member.record.standing >= Standing::Leaving,
+                member.rank,
+                party,
+            );
             if first.len() < 2 * OPENED || first.last().is_some_and(|last| place < *last) {
                 let at = first.partition_point(|f| *f < place);
                 first.insert(at, place);
@@ -415,10 +470,17 @@
         }
         let well = first.iter().take_while(|f| !f.0).count().min(OPENED);
         let enough = if well == OPENED { OPENED } else { first.len() };
-        let wanted: Vec<Party> = first.into_iter().take(enough).map(|f| f.2.clone()).collect();
+        let wanted: Vec<Party> = first
+            .into_iter()
+            .take(enough)
+            .map(|f| f.2.clone())
+            .collect();
         // What this end opened before it knew better ones is given up once those stand, one a round.
         if well == OPENED && wanted.iter().all(|party| self.hears(party)) {
-            let spare = self.roads.iter().find(|(_, r)| r.ours && !wanted.contains(&r.peer));
+            let spare = self
+                .roads
+                .iter()
+                .find(|(_, r)| r.ours && !wanted.contains(&r.peer));
             if let Some(no) = spare.map(|(no, _)| *no) {
                 let whole = self.roads.remove(&no).is_some_and(|r| r.whole);
                 asked.extend(whole.then_some(Asked::Broken { road: no }));
@@ -429,11 +491,18 @@
             if self.roads.values().any(|r| r.peer == party) {
                 continue;
             }
-            let Some(member) = self.known.get_mut(&party) else { continue };
-            let Some(address) = member.record.address else { continue };
+            let Some(member) = self.known.get_mut(&party) else {
+                continue;
+            };
+            let Some(address) = member.record.address else {
+                continue;
+            };
             if !member.dialling && member.next_try <= now {
                 member.dialling = true;
-                asked.push(Asked::Dial { peer: party, address });
+                asked.push(Asked::Dial {
+                    peer: party,
+                    address,
+                });
             }
         }
     }
@@ -447,18 +516,28 @@
             self.told += 1;
             records.push(self.own.clone());
         }
-        let fresh = self.known.values().filter(|m| m.told < enough && m.record.incarnation > 0);
+        let fresh = self
+            .known
+            .values()
+            .filter(|m| m.told < enough && m.record.incarnation > 0);
         let mut fresh: Vec<(u32, &Party)> = fresh.map(|m| (m.told, &m.record.party)).collect();
         fresh.sort();
         fresh.truncate(FRESH);
         let mut named: Vec<Party> = fresh.into_iter().map(|f| f.1.clone()).collect();
         let after = self.next_old.take();
-        let later = self
-            .known
-            .range(after.clone().unwrap_or(Party { site: String::new(), gateway: String::new() })..);
-        let old =
-            later.chain(self.known.iter()).filter(|(p, m)| m.record.incarnation > 0 && !named.contains(p));
-        let old: Vec<Party> = old.take((OLD + 1).min(self.known.len())).map(|(p, _)| p.clone()).collect();
+        let later = self.known.range(
+            after.clone().unwrap_or(Party {
+                site: String::new(),
+                gateway: String::new(),
+            })..,
+        );
+        let old = later
+            .chain(self.known.iter())
+            .filter(|(p, m)| m.record.incarnation > 0 && !named.contains(p));
+        let old: Vec<Party> = old
+            .take((OLD + 1).min(self.known.len()))
+            .map(|(p, _)| p.clone())
+            .collect();
         self.next_old = old.get(OLD).cloned();
         named.extend(old.into_iter().take(OLD));
         named.dedup();
@@ -476,24 +555,41 @@
     /// Guards against a gateway that has just started knowing nobody for long: a road that has come up is told
     /// all records held, a part in each beat.
     fn catch_up(&mut self, known: &BTreeMap<Party, Member>, records: &mut Vec<Record>) {
-        let Some(from) = self.told_to.take() else { return };
-        let mut rest = known.range(from..).filter(|(_, m)| m.record.incarnation > 0);
+        let Some(from) = self.told_to.take() else {
+            return;
+        };
+        let mut rest = known
+            .range(from..)
+            .filter(|(_, m)| m.record.incarnation > 0);
         records.extend(rest.by_ref().take(TABLE).map(|(_, m)| m.record.clone()));
         self.told_to = rest.next().map(|(party, _)| party.clone());
     }
 }
 
 impl Member {
-    fn new(record: Record, since: Point, rank: u64) -> Member {
-        Member { record, told: u32::MAX, since, tries: 0, next_try: Point(0), dialling: false, rank }
+    fn new(record: Record, since: Timestamp, rank: u64) -> Member {
+        Member {
+            record,
+            told: u32::MAX,
+            since,
+            tries: 0,
+            next_try: Timestamp(0),
+            dialling: false,
+            rank,
+        }
     }
 
-    fn put(&mut self, now: Point, record: Record, asked: &mut Vec<Asked>) {
+    fn put(&mut self, now: Timestamp, record: Record, asked: &mut Vec<Asked>) {
         let (before, after) = (self.record.standing, record.standing);
         let reborn = record.incarnation != self.record.incarnation && self.record.incarnation != 0;
         if before != after || reborn {
             let (party, back) = (record.party.clone(), before >= Standing::Suspected);
-            asked.push(Asked::Changed(Change::Member { party, standing: after, back, reborn }));
+            asked.push(Asked::Changed(Change::Member {
+                party,
+                standing: after,
+                back,
+                reborn,
+            }));
             self.since = now;
         }
         (self.record, self.told) = (record, 0);
--- a/crates/multi-site/src/status.rs
+++ b/crates/multi-site/src/status.rs
@@ -22,7 +22,7 @@
     pub why: String,
     pub ready_servers: usize,
     pub members: Vec<MemberStatus>,
-    /// How many txns of each product may cross at this moment.
+    /// How many requests of each request class may cross at this moment.
     pub credit: Vec<(String, f64)>,
     pub owed_by_them: usize,
     pub owed_to_them: usize,
@@ -52,16 +52,31 @@
 impl Sites {
     /// How things stand at the last event.
     pub fn status(&self) -> Status {
-        let members = self.members.records().filter(|(r, _)| r.party.site == self.place.other_site);
+        let members = self
+            .members
+            .records()
+            .filter(|(r, _)| r.party.site == self.place.other_site);
         let members = members.map(|(record, since)| {
-            let roads = self.members.roads.values().filter(|r| r.peer == record.party && r.whole);
+            let roads = self
+                .members
+                .roads
+                .values()
+                .filter(|r| r.peer == record.party && r.whole);
             let round_trip = roads.map(|r| r.round_trip).min();
             MemberStatus {
                 gateway: record.party.to_string(),
-                standing: if record.incarnation == 0 { "unheard".into() } else { word(record.standing) },
-                since_s: if since.0 > 0 { (self.now - since).as_secs() } else { 0.0 },
+                standing: if record.incarnation == 0 {
+                    "unheard".into()
+                } else {
+                    word(record.standing)
+                },
+                since_s: if since.0 > 0 {
+                    (self.now - since).as_seconds()
+                } else {
+                    0.0
+                },
                 road: round_trip.is_some(),
-                round_trip_ms: round_trip.map(|t| t.as_secs() * 1000.0),
+                round_trip_ms: round_trip.map(|t| t.as_seconds() * 1000.0),
             }
         });
         let (home_is, why_is, _) = self.crossings.home_is();
@@ -74,7 +89,9 @@
             why: why(why_is).into(),
             ready_servers: self.ready,
             members: members.collect(),
-            credit: credit.map(|(p, c)| (self.place.products[p].name.clone(), c)).collect(),
+            credit: credit
+                .map(|(p, c)| (self.place.classes[p].name.clone(), c))
+                .collect(),
             owed_by_them,
             owed_to_them,
             tally: self.tally,
--- a/crates/policy/src/judging.rs
+++ b/crates/policy/src/judging.rs
@@ -12,7 +12,11 @@
         }
         for _ in 0..f64::MANTISSA_DIGITS {
             let q = (low + high) / 2.0;
-            *(if self.strain(q) < better.strain(q + near) { &mut low } else { &mut high }) = q;
+            *(if self.strain(q) < better.strain(q + near) {
+                &mut low
+            } else {
+                &mut high
+            }) = q;
         }
         let eta = (t.ln() + 1.0) * (-self.strain(low)).exp();
         (eta.ln() / ETA.ln()).max(0.0) as usize
@@ -20,39 +24,78 @@
 }
 
 impl Gateway {
-    /// One outcome of an arm, seen from each side. A cold server is slow whatever its build (departure C),
+    /// One outcome of an arm, seen from each side. A cold endpoint is slow whatever its build (departure C),
     /// but what it fails it would fail warm.
-    pub(super) fn learn(&mut self, told: Hearsay) {
-        let Some(row) = self.rows.get(told.product) else { return };
-        let (build, product, took, mean) = (told.build, told.product, row.sla * told.lag, row.mean);
-        let outcome = match told.fate {
-            Fate::Ended(outcome) => outcome,
-            Fate::Unsent => return self.whole(product, false, false),
-            Fate::Complaint => return self.complaint(&told),
+    pub(super) fn learn(&mut self, told: OutcomeReport) {
+        let Some(row) = self.rows.get(told.class.0) else {
+            return;
+        };
+        let (build, class, duration, mean) = (
+            told.build,
+            told.class,
+            row.latency_objective * told.latency_ratio,
+            row.mean,
+        );
+        let outcome = match told.event {
+            ReportedEvent::Attempt(outcome) => outcome,
+            ReportedEvent::NotAttempted => return self.whole(class, false, false),
+            ReportedEvent::Complaint => return self.complaint(&told),
+        };
+        let Some(&ix) = self
+            .gossip_ids
+            .get(&told.gossip_id)
+            .filter(|_| self.news.is_some())
+        else {
+            return;
+        };
+        let Some(endpoint) = self
+            .endpoints
+            .get(&ix)
+            .filter(|_| build <= self.trial.build)
+        else {
+            return;
         };
-        let Some(&ix) = self.marks.get(&told.mark).filter(|_| self.news.is_some()) else { return };
-        let Some(server) = self.servers.get(&ix).filter(|_| build <= self.trial.build) else { return };
-        let arm = if build == self.trial.build { Arm::Trial } else { Arm::Earlier };
-        let (served, failed) = (outcome == Outcome::Served, outcome == Outcome::Errored);
-        // An answer is as cold as its server was when it was asked.
-        let warmth = self.warmth_at(server, self.now - took);
-        let in_time = served && told.lag <= 1.0;
+        let arm = if build == self.trial.build {
+            Arm::Canary
+        } else {
+            Arm::Baseline
+        };
+        let (served, failed) = (
+            outcome == AttemptOutcome::Succeeded,
+            outcome == AttemptOutcome::ServerError,
+        );
+        // An answer is as cold as its endpoint was when it was asked.
+        let warmth = self.warmth_at(endpoint, self.now - duration);
+        let in_time = served && told.latency_ratio <= 1.0;
         // Guards against a silent zone held against a build (K): its time-outs are told late, and not of both
         // arms alike. Harms by a slow build that is told later while a zone is cut off.
-        let paired = self.runs.0 < 1.0 && self.now - self.cut >= self.terms.rules.ramp;
-        let usual = mean * self.usual.get(&server.listed.model).copied().unwrap_or(1.0);
-        let quick = served && took <= usual * QUICK / warmth;
-        if served || outcome == Outcome::TimedOut {
-            self.whole(product, in_time, quick);
+        let paired =
+            self.runs.0 < 1.0 && self.now - self.cut >= self.parameters.safety.slow_start_window;
+        let usual = mean
+            * self
+                .usual
+                .get(&endpoint.listed.model)
+                .copied()
+                .unwrap_or(1.0);
+        let quick = served && duration <= usual * QUICK / warmth;
+        if served || outcome == AttemptOutcome::TimedOut {
+            self.whole(class, in_time, quick);
         }
-        // A connection that was not made says nothing of the build: a new server has none open yet.
-        let made = !matches!(outcome, Outcome::Moot | Outcome::ConnectFailed);
+        // A connection that was not made says nothing of the build: a new endpoint has none open yet.
+        let made = !matches!(
+            outcome,
+            AttemptOutcome::NotSent | AttemptOutcome::ConnectFailed
+        );
         let sides = [
             (Side::InTime, in_time, paired && warmth >= 1.0 && made),
             (Side::Quick, quick, paired && served),
-            (Side::Right, true, served && self.terms.release.complaint_share > 0.0),
+            (
+                Side::Right,
+                true,
+                served && self.parameters.rollout.complaint_ratio > 0.0,
+            ),
             (Side::Sound, served, served || failed),
-            (Side::SoundAt(product), served, served || failed),
+            (Side::SoundAt(class), served, served || failed),
         ];
         for (side, good, _) in sides.into_iter().filter(|s| s.2) {
             self.pay(side, arm, ix, f64::from(good), 1.0);
@@ -61,30 +104,40 @@
 
     /// All service, whatever the build: what was given up on unsent counts too, or shedding would hide a jam.
     /// It says something of a build that runs on enough of the fleet to lower it; till then it is the past.
-    /// It is kept by product: what one product waits for at every server is set aside like a bad server.
-    fn whole(&mut self, product: ProductIx, in_time: bool, quick: bool) {
+    /// It is kept by request class: what one request class waits for at every endpoint is set aside like a bad endpoint.
+    fn whole(&mut self, class: ClassId, in_time: bool, quick: bool) {
         let untouched = !self.in_question() || self.runs.0 < EPSILON;
-        let counts = self.now - self.troubled >= self.terms.rules.ramp * 2.0;
+        let counts = self.now - self.troubled >= self.parameters.safety.slow_start_window * 2.0;
         for (side, good) in [(Side::Whole, in_time), (Side::Brisk, quick)] {
             if untouched {
                 let before = self.before.entry(side).or_default();
                 let keep = if before.count > MEMORY { 0.5 } else { 1.0 };
-                *before = Payoff { count: 1.0, sum: f64::from(good) }.with(before, keep);
+                *before = Payoff {
+                    count: 1.0,
+                    sum: f64::from(good),
+                }
+                .with(before, keep);
                 let seen = before.count.min(MEMORY / 4.0);
                 let fresh = self.lately(self.flow_span()).fresh as f64;
                 self.rate += (fresh - self.rate) / seen;
             } else if counts {
-                self.pay(side, Arm::Trial, product, f64::from(good), 1.0);
+                self.pay(side, Arm::Canary, EndpointId(class.0), f64::from(good), 1.0);
             }
         }
     }
 
     /// Guards against wrong answers, which look like any other until a client complains: the answer that paid
     /// pays no more (departure F). A single complaint, which may be mistaken, does not reach the bound.
-    fn complaint(&mut self, told: &Hearsay) {
+    fn complaint(&mut self, told: &OutcomeReport) {
         let judged = self.news.is_some() && told.build <= self.trial.build;
-        let Some(&ix) = self.marks.get(&told.mark).filter(|_| judged) else { return };
-        let arm = if told.build == self.trial.build { Arm::Trial } else { Arm::Earlier };
+        let Some(&ix) = self.gossip_ids.get(&told.gossip_id).filter(|_| judged) else {
+            return;
+        };
+        let arm = if told.build == self.trial.build {
+            Arm::Canary
+        } else {
+            Arm::Baseline
+        };
         self.pay(Side::Right, arm, ix, -1.0, 0.0);
     }
 
@@ -92,47 +145,77 @@
     pub(super) fn in_question(&self) -> bool {
         let since = self.now - self.phase_from;
         match self.news.as_ref().map(|n| n.phase) {
-            Some(Phase::Trial) => true,
-            Some(Phase::Released) => self.trial.witnessed && since < self.terms.rules.ramp * 3.0 + FALLBACK,
-            Some(_) => self.trial.witnessed && since < self.terms.rules.ramp,
+            Some(RolloutPhase::Canary) => true,
+            Some(RolloutPhase::Released) => {
+                self.trial.witnessed
+                    && since < self.parameters.safety.slow_start_window * 3.0 + FALLBACK
+            }
+            Some(_) => self.trial.witnessed && since < self.parameters.safety.slow_start_window,
             None => false,
         }
     }
 
-    /// No known cause but the build for worse service: as many servers as ever, warm, none dead, no zone
+    /// No known cause but the build for worse service: as many endpoints as ever, warm, none dead, no zone
     /// silent, and no more traffic.
     pub(super) fn calm(&self) -> bool {
-        let alive = |s: &&Server| s.listed.lifecycle == Lifecycle::Ready && self.now >= s.dead_until;
-        let warm: f64 = self.servers.values().filter(alive).map(|s| self.warmth(s)).sum();
+        let alive =
+            |s: &&Endpoint| s.listed.lifecycle == Lifecycle::Ready && self.now >= s.dead_until;
+        let warm: f64 = self
+            .endpoints
+            .values()
+            .filter(alive)
+            .map(|s| self.warmth(s))
+            .sum();
         let fresh = self.lately(self.flow_span()).fresh as f64;
         warm >= CALM * self.fleet as f64
             && BUSIER * (fresh - fresh.sqrt()) <= self.rate
             && self.now >= self.cut
     }
 
-    fn pay(&mut self, side: Side, arm: Arm, ix: ServerIx, sum: f64, count: f64) {
-        let seen = self.trial.payoffs.entry((side, arm)).or_default().entry(ix).or_default();
+    fn pay(&mut self, side: Side, arm: Arm, ix: EndpointId, sum: f64, count: f64) {
+        let seen = self
+            .trial
+            .payoffs
+            .entry((side, arm))
+            .or_default()
+            .entry(ix)
+            .or_default();
         seen.count += count;
         seen.sum += sum;
         self.unjudged = true;
     }
 
-    /// An arm's payoffs without those of servers that stand out for what they lost, a quarter at most: guards
+    /// An arm's payoffs without those of endpoints that stand out for what they lost, a quarter at most: guards
     /// against errors, neighbours or pauses at some held against their build (departure D). A bad build shows
-    /// on most; what chance gives each is no server's own. Harms by waiting for more of them to show it.
+    /// on most; what chance gives each is no endpoint's own. Harms by waiting for more of them to show it.
     fn payoff(&self, side: Side, arm: Arm) -> Payoff {
-        let Some(by_server) = self.trial.payoffs.get(&(side, arm)) else { return Payoff::default() };
+        let Some(by_server) = self.trial.payoffs.get(&(side, arm)) else {
+            return Payoff::default();
+        };
         // Nor are machines the build's fault that fail most of theirs, where the earlier build has such too.
-        let sound = |arm| self.trial.payoffs.get(&(Side::Sound, arm)).into_iter().flatten();
-        let wreck = |s: &(&ServerIx, &Payoff)| s.1.sum < s.1.count * (1.0 - FAILING);
-        let whole = matches!(side, Side::Whole | Side::Brisk); // by product, and one of them is set aside
-        let known = sound(Arm::Earlier).any(|s| wreck(&s)) && !whole;
-        let wrecks: BTreeSet<&ServerIx> = sound(arm).filter(|s| known && wreck(s)).map(|s| s.0).collect();
+        let sound = |arm| {
+            self.trial
+                .payoffs
+                .get(&(Side::Sound, arm))
+                .into_iter()
+                .flatten()
+        };
+        let wreck = |s: &(&EndpointId, &Payoff)| s.1.sum < s.1.count * (1.0 - FAILING);
+        let whole = matches!(side, Side::Whole | Side::Brisk); // by request class, and one of them is set aside
+        let known = sound(Arm::Baseline).any(|s| wreck(&s)) && !whole;
+        let wrecks: BTreeSet<&EndpointId> = sound(arm)
+            .filter(|s| known && wreck(s))
+            .map(|s| s.0)
+            .collect();
         let all = by_server.keys().all(|ix| wrecks.contains(ix));
         let of = by_server.iter().filter(|s| all || !wrecks.contains(s.0));
         let mut seen: Vec<&Payoff> = of.map(|s| s.1).collect();
         seen.sort_by(|a, b| (b.count - b.sum).total_cmp(&(a.count - a.sum)));
-        let most = if seen.len() > 1 && side != Side::Right { (seen.len() / ASIDE).max(1) } else { 0 };
+        let most = if seen.len() > 1 && side != Side::Right {
+            (seen.len() / ASIDE).max(1)
+        } else {
+            0
+        };
         let sum = |of: &[&Payoff]| of.iter().fold(Payoff::default(), |all, p| all.with(p, 1.0));
         let own = |n: &usize| whole || seen[*n].strain_below(&sum(&seen[n + 1..])) > -DELTA.ln();
         sum(&seen[(0..most).take_while(own).count()..])
@@ -143,23 +226,34 @@
     pub(super) fn eliminate(&mut self) {
         let sides: BTreeSet<Side> = self.trial.payoffs.keys().map(|k| k.0).collect();
         for side in sides {
-            let (before, trial) = (self.before.get(&side).copied(), self.payoff(side, Arm::Trial));
-            let earlier = before.unwrap_or_else(|| self.payoff(side, Arm::Earlier));
+            let (before, trial) = (
+                self.before.get(&side).copied(),
+                self.payoff(side, Arm::Canary),
+            );
+            let earlier = before.unwrap_or_else(|| self.payoff(side, Arm::Baseline));
             // An arm within epsilon of the best is good enough; only pace differs between good builds.
             let near = match side {
                 Side::Whole | Side::Brisk => 1.5 * EPSILON, // no arm beside it to share what else goes on
                 Side::Quick => EPSILON,
                 _ => 0.0,
             };
-            self.count(Arm::Trial, self.terms.ordinal, trial.drops_below(&earlier, near));
+            self.count(
+                Arm::Canary,
+                self.parameters.local_peer,
+                trial.drops_below(&earlier, near),
+            );
             if side == Side::InTime {
-                self.count(Arm::Earlier, self.terms.ordinal, earlier.drops_below(&trial, near));
+                self.count(
+                    Arm::Baseline,
+                    self.parameters.local_peer,
+                    earlier.drops_below(&trial, near),
+                );
             }
         }
     }
 
-    pub(super) fn count(&mut self, arm: Arm, from: PeerIx, drops: usize) {
-        if drops > 0 && from < self.terms.balancers && self.circle(from) == from {
+    pub(super) fn count(&mut self, arm: Arm, from: PeerId, drops: usize) {
+        if drops > 0 && from.0 < self.parameters.gateway_count && self.circle(from) == from {
             let held = self.trial.drops[arm as usize].entry(from).or_default();
             *held = drops.max(*held);
         }
@@ -171,22 +265,33 @@
     pub(super) fn dropped(&self, arm: Arm, part: f64) -> bool {
         let drops = &self.trial.drops[arm as usize];
         let enough = (DELTA.ln() / ETA.ln()).floor();
-        let players = if self.terms.limits.tell { CIRCLES.min(self.terms.balancers) } else { 1 };
+        let players = if self.parameters.limits.gossip_enabled {
+            CIRCLES.min(self.parameters.gateway_count)
+        } else {
+            1
+        };
         let senders = (players / 2).max(1);
         let most = enough / senders.min(2) as f64;
-        drops.len() >= senders && drops.values().map(|d| most.min(*d as f64)).sum::<f64>() >= enough * part
+        drops.len() >= senders
+            && drops.values().map(|d| most.min(*d as f64)).sum::<f64>() >= enough * part
     }
 
-    pub(super) fn stage(&mut self, news: StageNews) {
+    pub(super) fn stage(&mut self, news: RolloutUpdate) {
         if let Some((vote, ..)) = self.cast.filter(|_| news.answers_vote) {
-            let (told, all) = (&self.terms.release, self.all_calls());
-            let (wait, ballot) = match news.word {
-                Word::Valid | Word::Moot => (all.clamp(told.vote_life / 2.0, told.vote_life), Ballot::Stands),
-                _ => ((all * (self.chance.generate::<f64>() / 2.0)).max(told.vote_wait / 8.0), Ballot::Due),
+            let (told, all) = (&self.parameters.rollout, self.all_calls());
+            let (wait, ballot) = match news.status {
+                PlatformStatus::Valid | PlatformStatus::Superseded => (
+                    all.clamp(told.vote_ttl / 2.0, told.vote_ttl),
+                    Ballot::Stands,
+                ),
+                _ => (
+                    (all * (self.chance.generate::<f64>() / 2.0)).max(told.vote_timeout / 8.0),
+                    Ballot::Due,
+                ),
             };
             self.cast = Some((vote, self.now + wait, ballot));
         }
-        if news.word != Word::Valid {
+        if news.status != PlatformStatus::Valid {
             return;
         }
         // Guards against stale news, which binds the cap but takes no stage back.
@@ -195,13 +300,22 @@
             // Counts restart each stage; failures, and pace beside the earlier build, stay with it (E).
             let mut payoffs = std::mem::take(&mut self.trial.payoffs);
             payoffs.retain(|(side, _), _| build == self.trial.build && *side >= Side::Quick);
-            self.trial = Trial { build, stage, since, payoffs, ..Trial::default() };
+            self.trial = Trial {
+                build,
+                stage,
+                since,
+                payoffs,
+                ..Trial::default()
+            };
         }
         if self.news.as_ref().is_none_or(|n| n.phase != news.phase) {
             self.phase_from = self.now - news.age;
         }
-        self.trial.witnessed |= news.phase == Phase::Trial;
-        if matches!(news.phase, Phase::GoingBack | Phase::Withdrawn) {
+        self.trial.witnessed |= news.phase == RolloutPhase::Canary;
+        if matches!(
+            news.phase,
+            RolloutPhase::RollingBack | RolloutPhase::RolledBack
+        ) {
             self.pins.retain(|_, b| *b != news.build); // this may be told again when a later one has answered
         }
         self.news = Some(news);
@@ -213,39 +327,51 @@
     /// the fallback wait where votes move the rollout.
     pub(super) fn judge(&mut self) {
         self.vote = None;
-        let on = |n: &&StageNews| matches!(n.phase, Phase::Trial | Phase::Released);
-        let Some(news) = self.news.as_ref().filter(on) else { return };
+        let on =
+            |n: &&RolloutUpdate| matches!(n.phase, RolloutPhase::Canary | RolloutPhase::Released);
+        let Some(news) = self.news.as_ref().filter(on) else {
+            return;
+        };
         let (build, stage) = (self.trial.build, self.trial.stage);
-        let back = self.dropped(Arm::Trial, 1.0);
-        if back || news.phase == Phase::Released {
-            return self.vote = back.then_some((build, stage, Verdict::Back));
+        let back = self.dropped(Arm::Canary, 1.0);
+        if back || news.phase == RolloutPhase::Released {
+            return self.vote = back.then_some((build, stage, RolloutDecision::RollBack));
         }
-        if self.terms.release.control == Control::Clock {
-            let half = self.dropped(Arm::Trial, 0.5);
+        if self.parameters.rollout.stage_control == StageControl::Clock {
+            let half = self.dropped(Arm::Canary, 0.5);
             let from = *self.trial.held_from.get_or_insert(self.now);
             if half && self.now - from < FALLBACK {
-                self.vote = Some((build, stage, Verdict::Hold));
+                self.vote = Some((build, stage, RolloutDecision::Hold));
             } else if !half {
                 self.trial.held_from = None;
             }
             return;
         }
-        let on = self.dropped(Arm::Earlier, 1.0) || self.waited_out();
-        self.vote = on.then_some((build, stage, Verdict::On));
+        let on = self.dropped(Arm::Baseline, 1.0) || self.waited_out();
+        self.vote = on.then_some((build, stage, RolloutDecision::Promote));
     }
 
     /// Whether the fallback wait after the start of the stage's newest machine is over.
     fn waited_out(&self) -> bool {
         let (_, ours, newest) = self.runs;
-        let step = self.terms.release.steps.get(self.trial.stage).copied().unwrap_or(1.0);
+        let step = self
+            .parameters
+            .rollout
+            .stage_ratios
+            .get(self.trial.stage)
+            .copied()
+            .unwrap_or(1.0);
         let all = ours as f64 >= (step * self.fleet as f64).floor().max(1.0) * COLD_PART;
         let since = newest.unwrap_or_default().max(self.trial.since);
         self.now - since >= FALLBACK * if all { 1.0 } else { 3.0 }
     }
 
     /// How long the platform takes to accept a call from every gateway.
-    fn all_calls(&self) -> Span {
-        Span::secs(self.terms.balancers as f64 / self.terms.release.votes_a_second.max(1.0))
+    fn all_calls(&self) -> TimeDelta {
+        TimeDelta::from_seconds(
+            self.parameters.gateway_count as f64
+                / self.parameters.rollout.votes_per_second.max(1.0),
+        )
     }
 
     /// Guards against a platform that turns most votes away: where hundreds of gateways want one at a time,
@@ -257,19 +383,31 @@
         let wanted = match (self.vote, self.cast) {
             (Some(vote), _) => vote,
             // A hold that is over is taken away; other votes lapse with their stage.
-            (None, Some(((build, stage, Verdict::Hold), _, _))) => (build, stage, Verdict::Withdraw),
+            (None, Some(((build, stage, RolloutDecision::Hold), _, _))) => {
+                (build, stage, RolloutDecision::Withdraw)
+            }
             _ => return,
         };
         if self.cast.is_none_or(|c| c.0 != wanted) {
-            let turn = self.all_calls() * (self.chance.generate::<f64>() / 2.0) - Span::secs(1.0);
-            self.cast = Some((wanted, self.now + turn.max(Span::ZERO), Ballot::Due));
+            let turn = self.all_calls() * (self.chance.generate::<f64>() / 2.0)
+                - TimeDelta::from_seconds(1.0);
+            self.cast = Some((wanted, self.now + turn.max(TimeDelta::ZERO), Ballot::Due));
         }
-        let Some((_, due, ballot)) = &mut self.cast else { return };
-        if self.now < *due || (*ballot == Ballot::Stands && wanted.2 == Verdict::Withdraw) {
+        let Some((_, due, ballot)) = &mut self.cast else {
+            return;
+        };
+        if self.now < *due || (*ballot == Ballot::Stands && wanted.2 == RolloutDecision::Withdraw) {
             return;
         }
-        (*due, *ballot) = (self.now + self.terms.release.vote_wait + self.terms.tick, Ballot::Due);
-        let (build, stage, verdict) = wanted;
-        out.push(Action::Vote { build, stage, verdict });
+        (*due, *ballot) = (
+            self.now + self.parameters.rollout.vote_timeout + self.parameters.tick,
+            Ballot::Due,
+        );
+        let (build, stage, decision) = wanted;
+        out.push(Action::Vote {
+            build,
+            stage,
+            decision,
+        });
     }
 }
--- a/crates/policy/src/sliding_window.rs
+++ b/crates/policy/src/sliding_window.rs
@@ -2,34 +2,38 @@
 
 use std::collections::VecDeque;
 
-use harrierdock_types::time::Point;
+use harrierdock_types::Timestamp;
 
 #[derive(Clone, Debug)]
-pub struct Recent<T>(VecDeque<(Point, T)>);
+pub struct SlidingWindow<T>(VecDeque<(Timestamp, T)>);
 
-impl<T> Default for Recent<T> {
+impl<T> Default for SlidingWindow<T> {
     fn default() -> Self {
-        Recent(VecDeque::new())
+        SlidingWindow(VecDeque::new())
     }
 }
 
-impl<T> Recent<T> {
-    pub fn push(&mut self, at: Point, what: T) {
+impl<T> SlidingWindow<T> {
+    pub fn push(&mut self, at: Timestamp, what: T) {
         self.0.push_back((at, what));
     }
 
     /// Takes back what was said to be at this point, if it is still held.
-    pub fn take_back(&mut self, at: Point, what: &T)
+    pub fn take_back(&mut self, at: Timestamp, what: &T)
     where
         T: PartialEq,
     {
         let from = self.0.partition_point(|(point, _)| *point < at);
-        let same =
-            self.0.iter().skip(from).take_while(|(point, _)| *point == at).position(|(_, w)| w == what);
+        let same = self
+            .0
+            .iter()
+            .skip(from)
+            .take_while(|(point, _)| *point == at)
+            .position(|(_, w)| w == what);
         same.map(|place| self.0.remove(from + place));
     }
 
-    pub fn forget(&mut self, before: Point) {
+    pub fn forget(&mut self, before: Timestamp) {
         while self.0.front().is_some_and(|(at, _)| *at < before) {
             self.0.pop_front();
         }
@@ -44,16 +48,23 @@
     }
 
     /// When the oldest that is held was.
-    pub fn first(&self) -> Option<Point> {
+    pub fn first(&self) -> Option<Timestamp> {
         self.0.front().map(|(at, _)| *at)
     }
 
-    pub fn since(&self, from: Point) -> impl Iterator<Item = &T> {
-        self.0.iter().rev().take_while(move |(at, _)| *at > from).map(|(_, what)| what)
+    pub fn since(&self, from: Timestamp) -> impl Iterator<Item = &T> {
+        self.0
+            .iter()
+            .rev()
+            .take_while(move |(at, _)| *at > from)
+            .map(|(_, what)| what)
     }
 
     /// How many of those after `from` are of the kind asked for.
-    pub fn count(&self, from: Point, of_kind: impl Fn(&T) -> bool) -> f64 {
-        self.0.iter().filter(|(at, what)| *at > from && of_kind(what)).count() as f64
+    pub fn count(&self, from: Timestamp, of_kind: impl Fn(&T) -> bool) -> f64 {
+        self.0
+            .iter()
+            .filter(|(at, what)| *at > from && of_kind(what))
+            .count() as f64
     }
 }
--- a/crates/rollout-controller/src/form.rs
+++ b/crates/rollout-controller/src/form.rs
@@ -1,5 +1,6 @@
 //! How a ballot is written: 26 bytes, the first of which no text begins with, the last four a sum over the rest.
 
+use harrierdock_types::BuildId;
 use thiserror::Error;
 
 use crate::{Ballot, Told, Wave, Way};
@@ -13,32 +14,47 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum FormError {
-    #[error("a ballot has {LENGTH} bytes, not {0}: look for another program on the peers' addresses")]
+    #[error(
+        "a ballot has {LENGTH} bytes, not {0}: look for another program on the peers' addresses"
+    )]
     Length(usize),
     #[error("a ballot's form is {FORM}, not {0}: bring the gateways of the fleet to one version")]
     Form(u8),
     #[error("a ballot's sum does not fit: look at the network between the gateways")]
     Sum,
-    #[error("a ballot's way is 0, 1 or 2, not {0}: bring the gateways of the fleet to one version")]
+    #[error(
+        "a ballot's way is 0, 1 or 2, not {0}: bring the gateways of the fleet to one version"
+    )]
     Way(u8),
 }
 
 /// FNV-1a over bytes.
 fn sum(bytes: &[u8]) -> u32 {
-    bytes.iter().fold(0x811c_9dc5, |h, b| (h ^ u32::from(*b)).wrapping_mul(0x0100_0193))
+    bytes.iter().fold(0x811c_9dc5, |h, b| {
+        (h ^ u32::from(*b)).wrapping_mul(0x0100_0193)
+    })
 }
 
 pub fn write(told: &Told) -> [u8; LENGTH] {
     let mut bytes = [0; LENGTH];
     let (wave, way) = match told.ballot {
-        None => (Wave { build: 0, stage: 0 }, 0),
+        None => (
+            Wave {
+                build: BuildId(0),
+                stage: 0,
+            },
+            0,
+        ),
         Some(Ballot { wave, way: Way::On }) => (wave, 1),
-        Some(Ballot { wave, way: Way::Back }) => (wave, 2),
+        Some(Ballot {
+            wave,
+            way: Way::Back,
+        }) => (wave, 2),
     };
     (bytes[0], bytes[1]) = (FIRST, FORM);
     bytes[2..10].copy_from_slice(&told.incarnation.to_le_bytes());
     bytes[10..14].copy_from_slice(&told.number.to_le_bytes());
-    bytes[14..18].copy_from_slice(&wave.build.to_le_bytes());
+    bytes[14..18].copy_from_slice(&wave.build.0.to_le_bytes());
     bytes[18..21].copy_from_slice(&(wave.stage as u32).to_le_bytes()[..3]);
     bytes[21] = way;
     let sum = sum(&bytes[..SUM]);
@@ -47,7 +63,10 @@
 }
 
 fn number(bytes: &[u8]) -> u64 {
-    bytes.iter().rev().fold(0, |all, b| all << 8 | u64::from(*b))
+    bytes
+        .iter()
+        .rev()
+        .fold(0, |all, b| all << 8 | u64::from(*b))
 }
 
 /// Reads a ballot.
@@ -64,12 +83,22 @@
     if number(&bytes[SUM..]) != u64::from(sum(&bytes[..SUM])) {
         return Err(FormError::Sum);
     }
-    let wave = Wave { build: number(&bytes[14..18]) as u32, stage: number(&bytes[18..21]) as usize };
+    let wave = Wave {
+        build: BuildId(number(&bytes[14..18]) as u32),
+        stage: number(&bytes[18..21]) as usize,
+    };
     let ballot = match bytes[21] {
         0 => None,
         1 => Some(Ballot { wave, way: Way::On }),
-        2 => Some(Ballot { wave, way: Way::Back }),
+        2 => Some(Ballot {
+            wave,
+            way: Way::Back,
+        }),
         odd => return Err(FormError::Way(odd)),
     };
-    Ok(Told { incarnation: number(&bytes[2..10]), number: number(&bytes[10..14]) as u32, ballot })
+    Ok(Told {
+        incarnation: number(&bytes[2..10]),
+        number: number(&bytes[10..14]) as u32,
+        ballot,
+    })
 }
--- a/crates/rollout-controller/src/lib.rs
+++ b/crates/rollout-controller/src/lib.rs
@@ -7,15 +7,15 @@
 
 use std::collections::BTreeMap;
 
-use harrierdock_types::interface::{Build, PeerIx};
-use harrierdock_types::time::{Point, Span};
+use harrierdock_types::{BuildId, PeerId};
+use harrierdock_types::{TimeDelta, Timestamp};
 
 pub use form::{read, write, FormError, FIRST, LENGTH};
 
 /// One stage of one build, in the order in which they come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Wave {
-    pub build: Build,
+    pub build: BuildId,
     pub stage: usize,
 }
 
@@ -71,7 +71,7 @@
     /// This gateway's own module votes, or takes its vote away.
     Cast(Option<Ballot>),
     Heard {
-        from: PeerIx,
+        from: PeerId,
         told: Told,
     },
     Stage {
@@ -103,7 +103,7 @@
     /// Worth a line in the log.
     Said(Said),
     Wake {
-        after: Span,
+        after: TimeDelta,
     },
 }
 
@@ -114,26 +114,32 @@
     /// The installation knows a later holder; nothing more is asked under this epoch.
     Barred { ballot: Ballot, epoch: u64 },
     /// No decision within the bound: votes on and back, and how many one side needs.
-    Overdue { wave: Wave, on: usize, back: usize, needs: usize, holds: bool },
+    Overdue {
+        wave: Wave,
+        on: usize,
+        back: usize,
+        needs: usize,
+        holds: bool,
+    },
 }
 
 /// What is told.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Terms {
-    pub own: PeerIx,
+    pub own: PeerId,
     pub gateways: usize,
     /// More than this part of all gateways moves a wave on, or back.
     pub on_votes: f64,
     pub back_votes: f64,
     /// Within so long a wave on trial is to have a decision, or the log says so.
-    pub bound: Span,
+    pub bound: TimeDelta,
     /// A vote that is not renewed lapses after so long.
-    pub vote_life: Span,
+    pub vote_life: TimeDelta,
     /// How soon a ballot is told again at first, as datagrams may be lost; then after twice as long each time, up to
     /// half a vote's life, so that a ballot that stands for long costs little.
-    pub retell: Span,
+    pub retell: TimeDelta,
     /// After a call that failed or was not answered.
-    pub retry: Span,
+    pub retry: TimeDelta,
     /// This gateway's start.
     pub incarnation: u64,
 }
@@ -142,22 +148,22 @@
     incarnation: u64,
     number: u32,
     ballot: Option<Ballot>,
-    at: Point,
+    at: Timestamp,
 }
 
 pub struct Steward {
-    now: Point,
+    now: Timestamp,
     terms: Terms,
     number: u32,
     /// The own module's vote and when it was cast.
-    cast: Option<(Ballot, Point)>,
+    cast: Option<(Ballot, Timestamp)>,
     /// When the own ballot is told next, and how long after that once more.
-    telling: Option<(Point, Span)>,
+    telling: Option<(Timestamp, TimeDelta)>,
     /// The last of each gateway: bounded by the number of gateways told.
-    heard: BTreeMap<PeerIx, Heard>,
+    heard: BTreeMap<PeerId, Heard>,
     wave: Option<(Wave, Standing)>,
     /// When the wave is overdue.
-    overdue: Option<Point>,
+    overdue: Option<Timestamp>,
     holds: Option<u64>,
     /// The epoch under which the installation has told of a later one.
     barred: Option<u64>,
@@ -168,13 +174,13 @@
     /// A call of which it is not known whether it was done.
     unsure: Option<Ballot>,
     /// No call before this point.
-    rests: Point,
+    rests: Timestamp,
     said: Vec<Said>,
-    armed: Option<Point>,
+    armed: Option<Timestamp>,
 }
 
 impl Steward {
-    pub fn new(now: Point, terms: Terms) -> Steward {
+    pub fn new(now: Timestamp, terms: Terms) -> Steward {
         Steward {
             now,
             terms,
@@ -195,7 +201,7 @@
         }
     }
 
-    pub fn take(&mut self, now: Point, event: Event) -> Vec<Action> {
+    pub fn take(&mut self, now: Timestamp, event: Event) -> Vec<Action> {
         // Guards against a clock that is read out of order by different callers: time never goes back here.
         self.now = self.now.max(now);
         match event {
@@ -212,9 +218,13 @@
 
     /// Gateways that vote this way on the wave, this one's own module included.
     pub fn votes(&self, ballot: Ballot) -> usize {
-        let live = |at: Point| self.now - at < self.terms.vote_life;
+        let live = |at: Timestamp| self.now - at < self.terms.vote_life;
         let own = self.cast.is_some_and(|(b, at)| b == ballot && live(at));
-        let others = self.heard.values().filter(|h| h.ballot == Some(ballot) && live(h.at)).count();
+        let others = self
+            .heard
+            .values()
+            .filter(|h| h.ballot == Some(ballot) && live(h.at))
+            .count();
         others + usize::from(own)
     }
 
@@ -231,8 +241,8 @@
         }
     }
 
-    fn hear(&mut self, from: PeerIx, told: Told) {
-        if from >= self.terms.gateways || from == self.terms.own {
+    fn hear(&mut self, from: PeerId, told: Told) {
+        if from >= PeerId(self.terms.gateways) || from == self.terms.own {
             return;
         }
         // Guards against messages that are doubled, come late or out of order, or from before a restart: only what
@@ -240,8 +250,20 @@
         // it was down: its ballots would count for nothing until it is past its earlier start.
         let newer = |h: &Heard| (told.incarnation, told.number) > (h.incarnation, h.number);
         if self.heard.get(&from).is_none_or(newer) {
-            let Told { incarnation, number, ballot } = told;
-            self.heard.insert(from, Heard { incarnation, number, ballot, at: self.now });
+            let Told {
+                incarnation,
+                number,
+                ballot,
+            } = told;
+            self.heard.insert(
+                from,
+                Heard {
+                    incarnation,
+                    number,
+                    ballot,
+                    at: self.now,
+                },
+            );
         }
     }
 
@@ -285,7 +307,10 @@
     fn due(&self) -> Option<Ballot> {
         let (wave, standing) = self.wave?;
         let ways = match standing {
-            Standing::Trial => &[(Way::Back, self.terms.back_votes), (Way::On, self.terms.on_votes)][..],
+            Standing::Trial => &[
+                (Way::Back, self.terms.back_votes),
+                (Way::On, self.terms.on_votes),
+            ][..],
             Standing::Released => &[(Way::Back, self.terms.back_votes)],
             Standing::Over => &[],
         };
@@ -294,14 +319,16 @@
             (self.votes(ballot) >= self.needs(*part)).then_some(ballot)
         };
         // Guards against a wave advanced twice: what was done is over, whatever old votes say.
-        ways.iter().find_map(enough).filter(|b| self.done.is_none_or(|done| *b > done))
+        ways.iter()
+            .find_map(enough)
+            .filter(|b| self.done.is_none_or(|done| *b > done))
     }
 
     /// The difference between what is wanted and what is out already.
     fn emit(&mut self) -> Vec<Action> {
         let mut out = Vec::new();
         let lapses = self.cast.map(|(_, at)| at + self.terms.vote_life);
-        let past = |(b, _): (Ballot, Point)| self.wave.is_some_and(|(held, _)| b.wave < held);
+        let past = |(b, _): (Ballot, Timestamp)| self.wave.is_some_and(|(held, _)| b.wave < held);
         if lapses.is_some_and(|at| at <= self.now) || self.cast.is_some_and(past) {
             self.cast = None;
             self.telling = None;
@@ -309,7 +336,11 @@
         if let Some((_, after)) = self.telling.filter(|(at, _)| *at <= self.now) {
             self.number += 1;
             let ballot = self.cast.map(|c| c.0);
-            out.push(Action::Tell(Told { incarnation: self.terms.incarnation, number: self.number, ballot }));
+            out.push(Action::Tell(Told {
+                incarnation: self.terms.incarnation,
+                number: self.number,
+                ballot,
+            }));
             let next = (after * 2.0).min(self.terms.vote_life / 2.0);
             self.telling = ballot.map(|_| (self.now + after, next));
         }
@@ -318,21 +349,42 @@
         let due = self.due().filter(|_| may);
         if let Some(ballot) = due.filter(|_| free) {
             self.out = Some(ballot);
-            out.push(Action::Call { ballot, again: self.unsure == Some(ballot) });
+            out.push(Action::Call {
+                ballot,
+                again: self.unsure == Some(ballot),
+            });
         }
-        if let Some((wave, _)) = self.wave.filter(|_| self.overdue.is_some_and(|at| at <= self.now)) {
+        if let Some((wave, _)) = self
+            .wave
+            .filter(|_| self.overdue.is_some_and(|at| at <= self.now))
+        {
             let count = |way| self.votes(Ballot { wave, way });
-            let (on, back, needs) = (count(Way::On), count(Way::Back), self.needs(self.terms.on_votes));
-            self.said.push(Said::Overdue { wave, on, back, needs, holds: self.holds.is_some() });
+            let (on, back, needs) = (
+                count(Way::On),
+                count(Way::Back),
+                self.needs(self.terms.on_votes),
+            );
+            self.said.push(Said::Overdue {
+                wave,
+                on,
+                back,
+                needs,
+                holds: self.holds.is_some(),
+            });
             self.overdue = Some(self.now + self.terms.bound);
         }
         out.extend(self.said.drain(..).map(Action::Said));
         let resting = due.filter(|_| self.out.is_none()).map(|_| self.rests);
-        let next = [self.telling.map(|t| t.0), self.overdue, resting].into_iter().flatten().min();
+        let next = [self.telling.map(|t| t.0), self.overdue, resting]
+            .into_iter()
+            .flatten()
+            .min();
         // What was set for an earlier point still comes; only a nearer one is asked for anew.
         if let Some(at) = next.filter(|at| self.armed.is_none_or(|a| a <= self.now || *at < a)) {
             self.armed = Some(at);
-            out.push(Action::Wake { after: (at - self.now).max(Span(1)) });
+            out.push(Action::Wake {
+                after: (at - self.now).max(TimeDelta(1)),
+            });
         }
         out
     }
--- /dev/null
+++ b/crates/simulator-adapter/src/lib.rs
@@ -0,0 +1,48 @@
+//! Runs the policies of many gateways behind the simulator's wire: one batch of events a line comes in, one line of commands
+//! goes out. The wire's names end in `inputs` and `commands`.
+
+#![warn(missing_docs, unreachable_pub)]
+
+mod commands;
+mod error;
+mod host;
+mod inputs;
+mod row;
+
+use std::io::{BufRead, Write};
+
+pub use error::{BatchError, EventError, ServeError};
+
+use host::Host;
+
+/// Answers every batch of the input until it ends. Empty lines are ignored.
+///
+/// # Errors
+///
+/// The first line that cannot be read, is malformed, or whose reply cannot be written.
+pub fn serve(input: impl BufRead, mut output: impl Write) -> Result<(), ServeError> {
+    let mut host = Host::default();
+    for (index, line) in input.lines().enumerate() {
+        let number = index + 1;
+        let line = line.map_err(|source| ServeError::Read {
+            line: number,
+            source,
+        })?;
+        if line.trim().is_empty() {
+            continue;
+        }
+        let reply = host
+            .answer_batch(&line)
+            .map_err(|source| ServeError::Batch {
+                line: number,
+                source,
+            })?;
+        writeln!(output, "{reply}")
+            .and_then(|()| output.flush())
+            .map_err(|source| ServeError::Write {
+                line: number,
+                source,
+            })?;
+    }
+    Ok(())
+}
--- a/crates/site-messages/src/lib.rs
+++ b/crates/site-messages/src/lib.rs
@@ -61,13 +61,13 @@
     /// How long ago that was, in milliseconds.
     pub held_ms: u32,
     pub records: Vec<Record>,
-    /// How many txns of each product this end would have handed over in a round.
+    /// How many requests of each request class this end would have handed over in a round.
     pub wants: Vec<(String, u16)>,
-    /// How many txns of each product the other end may hand over until the next beat.
+    /// How many requests of each request class the other end may hand over until the next beat.
     pub grants: Vec<(String, u16)>,
 }
 
-/// A txn handed over, as its client wrote it.
+/// A request handed over, as its client wrote it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Handover {
     /// Numbered by the sender, never twice in an incarnation.
@@ -77,7 +77,7 @@
     pub to: u64,
     /// The newest beat that the sender had sent by then.
     pub beat: u32,
-    pub product: String,
+    pub class: String,
     /// How long an answer is of use, in milliseconds.
     pub left_ms: u32,
     pub again: bool,
@@ -142,7 +142,10 @@
 pub fn write(letter: &Letter) -> Result<Vec<u8>, String> {
     let bytes = postcard::to_stdvec(letter).map_err(|e| e.to_string())?;
     if bytes.len() > MOST {
-        return Err(format!("a letter of {} bytes is longer than {MOST}", bytes.len()));
+        return Err(format!(
+            "a letter of {} bytes is longer than {MOST}",
+            bytes.len()
+        ));
     }
     Ok(bytes)
 }
@@ -169,18 +172,48 @@
     use super::*;
 
     fn letters() -> Vec<Letter> {
-        let party = Party { site: "hobart".into(), gateway: "h0".into() };
+        let party = Party {
+            site: "hobart".into(),
+            gateway: "h0".into(),
+        };
         let address = "127.0.0.1:7".parse().ok();
-        let record = Record { party, address, incarnation: 9, version: 2, standing: Standing::Draining };
-        let beat = Beat { records: vec![record], wants: vec![("lodge".into(), 4)], ..Beat::default() };
-        let handover = Handover { key: Some(7), target: "/api?obj=1".into(), ..Handover::default() };
+        let record = Record {
+            party,
+            address,
+            incarnation: 9,
+            version: 2,
+            standing: Standing::Draining,
+        };
+        let beat = Beat {
+            records: vec![record],
+            wants: vec![("lodge".into(), 4)],
+            ..Beat::default()
+        };
+        let handover = Handover {
+            key: Some(7),
+            target: "/api?obj=1".into(),
+            ..Handover::default()
+        };
         let verdict = Verdict::Declined { ran: true };
         vec![
             Letter::Beat(beat),
             Letter::Handover(handover),
-            Letter::Answer(Answer { crossing: 1, to: 2, verdict, build: Some(3), body: vec![1, 2] }),
-            Letter::Inquiry { crossing: 1, from: 2, to: 3 },
-            Letter::Cancel { crossing: 1, from: 2 },
+            Letter::Answer(Answer {
+                crossing: 1,
+                to: 2,
+                verdict,
+                build: Some(3),
+                body: vec![1, 2],
+            }),
+            Letter::Inquiry {
+                crossing: 1,
+                from: 2,
+                to: 3,
+            },
+            Letter::Cancel {
+                crossing: 1,
+                from: 2,
+            },
         ]
     }
 
@@ -207,7 +240,10 @@
     #[test]
     fn a_letter_too_long_is_neither_written_nor_read() {
         let body = vec![0; MOST];
-        let long = Letter::Handover(Handover { body, ..Handover::default() });
+        let long = Letter::Handover(Handover {
+            body,
+            ..Handover::default()
+        });
         assert!(write(&long).is_err() && read(&vec![0; MOST + 1]).is_err());
     }
 }
--- a/crates/site-transport/src/keys.rs
+++ b/crates/site-transport/src/keys.rs
@@ -67,8 +67,15 @@
 /// # Errors
 /// Says what is wrong with it.
 pub fn label(name: &str) -> Result<(), String> {
-    let plain = name.bytes().all(|b| b.is_ascii_lowercase() || b.is_ascii_digit() || b == b'-');
-    if name.is_empty() || name.len() > LABEL_MOST || !plain || name.starts_with('-') || name.ends_with('-') {
+    let plain = name
+        .bytes()
+        .all(|b| b.is_ascii_lowercase() || b.is_ascii_digit() || b == b'-');
+    if name.is_empty()
+        || name.len() > LABEL_MOST
+        || !plain
+        || name.starts_with('-')
+        || name.ends_with('-')
+    {
         return Err(format!(
             "'{name}' is no name: 1 to {LABEL_MOST} small letters, digits and inner hyphens"
         ));
@@ -86,16 +93,31 @@
 /// # Errors
 /// Says what it names instead, or that it cannot be read.
 pub fn party(certificate: &CertificateDer) -> Result<Party, String> {
-    let (_, parsed) = X509Certificate::from_der(certificate).map_err(|e| format!("cannot be read: {e}"))?;
-    let names = parsed.subject_alternative_name().map_err(|e| format!("cannot be read: {e}"))?;
+    let (_, parsed) =
+        X509Certificate::from_der(certificate).map_err(|e| format!("cannot be read: {e}"))?;
+    let names = parsed
+        .subject_alternative_name()
+        .map_err(|e| format!("cannot be read: {e}"))?;
     let names = names.into_iter().flat_map(|n| &n.value.general_names);
-    let dns: Vec<&str> =
-        names.filter_map(|n| if let GeneralName::DNSName(name) = n { Some(*name) } else { None }).collect();
-    let [name] = dns[..] else { return Err(format!("names {} gateways, not one", dns.len())) };
+    let dns: Vec<&str> = names
+        .filter_map(|n| {
+            if let GeneralName::DNSName(name) = n {
+                Some(*name)
+            } else {
+                None
+            }
+        })
+        .collect();
+    let [name] = dns[..] else {
+        return Err(format!("names {} gateways, not one", dns.len()));
+    };
     let parts = name.strip_suffix(SUFFIX).and_then(|n| n.split_once('.'));
     let (gateway, site) = parts.ok_or_else(|| format!("names '{name}', which is no gateway"))?;
     label(gateway).and(label(site))?;
-    Ok(Party { site: site.into(), gateway: gateway.into() })
+    Ok(Party {
+        site: site.into(),
+        gateway: gateway.into(),
+    })
 }
 
 /// A certificate and its key, as PEM.
@@ -120,7 +142,10 @@
         params.is_ca = IsCa::Ca(BasicConstraints::Constrained(0));
         params.key_usages = vec![KeyUsagePurpose::KeyCertSign, KeyUsagePurpose::CrlSign];
         valid(&mut params, from, until);
-        Ok(Pair { certificate: params.self_signed(&key)?.pem(), key: key.serialize_pem() })
+        Ok(Pair {
+            certificate: params.self_signed(&key)?.pem(),
+            key: key.serialize_pem(),
+        })
     };
     make().map_err(|e| e.to_string())
 }
@@ -129,21 +154,34 @@
 ///
 /// # Errors
 /// Says which name is none, or why the authority cannot sign.
-pub fn issue(authority: &Pair, party: &Party, from: SystemTime, until: SystemTime) -> Result<Pair, String> {
+pub fn issue(
+    authority: &Pair,
+    party: &Party,
+    from: SystemTime,
+    until: SystemTime,
+) -> Result<Pair, String> {
     label(&party.site).and(label(&party.gateway))?;
-    let signer = KeyPair::from_pem(&authority.key).map_err(|e| format!("the authority's key: {e}"))?;
+    let signer =
+        KeyPair::from_pem(&authority.key).map_err(|e| format!("the authority's key: {e}"))?;
     let issuer = Issuer::from_ca_cert_pem(&authority.certificate, signer)
         .map_err(|e| format!("the authority's certificate: {e}"))?;
     let make = || -> Result<Pair, rcgen::Error> {
         let key = KeyPair::generate()?;
         let mut params = CertificateParams::new(vec![dns_name(party)])?;
-        params.distinguished_name.push(DnType::CommonName, party.to_string());
+        params
+            .distinguished_name
+            .push(DnType::CommonName, party.to_string());
         params.key_usages = vec![KeyUsagePurpose::DigitalSignature];
-        params.extended_key_usages =
-            vec![ExtendedKeyUsagePurpose::ServerAuth, ExtendedKeyUsagePurpose::ClientAuth];
+        params.extended_key_usages = vec![
+            ExtendedKeyUsagePurpose::ServerAuth,
+            ExtendedKeyUsagePurpose::ClientAuth,
+        ];
         params.use_authority_key_identifier_extension = true;
         valid(&mut params, from, until);
-        Ok(Pair { certificate: params.signed_by(&key, &issuer)?.pem(), key: key.serialize_pem() })
+        Ok(Pair {
+            certificate: params.signed_by(&key, &issuer)?.pem(),
+            key: key.serialize_pem(),
+        })
     };
     make().map_err(|e| e.to_string())
 }
@@ -155,13 +193,16 @@
 pub fn show(pem: &[u8], now: SystemTime) -> Result<String, String> {
     let mut text = String::new();
     for der in certificates(pem)? {
-        let (_, parsed) = X509Certificate::from_der(&der).map_err(|e| format!("cannot be read: {e}"))?;
+        let (_, parsed) =
+            X509Certificate::from_der(&der).map_err(|e| format!("cannot be read: {e}"))?;
         let names = match (parsed.is_ca(), party(&der)) {
             (true, _) => format!("authority    {}", parsed.subject()),
             (_, Ok(party)) => format!("gateway      {party}"),
             (_, Err(e)) => format!("gateway      none: {e}"),
         };
-        let unix = now.duration_since(SystemTime::UNIX_EPOCH).map_or(0, |d| d.as_secs() as i64);
+        let unix = now
+            .duration_since(SystemTime::UNIX_EPOCH)
+            .map_or(0, |d| d.as_secs() as i64);
         let validity = parsed.validity();
         let days = (validity.not_after.timestamp() - unix) / 86_400;
         let state = if unix < validity.not_before.timestamp() {
--- a/crates/site-transport/src/link.rs
+++ b/crates/site-transport/src/link.rs
@@ -11,8 +11,8 @@
 use quinn_proto::crypto::rustls::{QuicClientConfig, QuicServerConfig};
 use quinn_proto::{
     ClientConfig, Connection, ConnectionError, ConnectionHandle, DatagramEvent, Dir, Endpoint,
-    EndpointConfig, Event, FinishError, IdleTimeout, ReadError, ReadableError, ServerConfig, StreamEvent,
-    StreamId, TransportConfig, VarInt, WriteError,
+    EndpointConfig, Event, FinishError, IdleTimeout, ReadError, ReadableError, ServerConfig,
+    StreamEvent, StreamId, TransportConfig, VarInt, WriteError,
 };
 use rustls::server::WebPkiClientVerifier;
 use rustls::RootCertStore;
@@ -107,7 +107,9 @@
     let provider = Arc::new(rustls::crypto::ring::default_provider());
     let mut roots = RootCertStore::empty();
     for certificate in &credentials.authority {
-        roots.add(certificate.clone()).map_err(|e| format!("authority: {e}"))?;
+        roots
+            .add(certificate.clone())
+            .map_err(|e| format!("authority: {e}"))?;
     }
     let roots = Arc::new(roots);
     let verifier = WebPkiClientVerifier::builder_with_provider(roots.clone(), provider.clone())
@@ -175,13 +177,20 @@
     ///
     /// # Errors
     /// Says why it cannot even be tried.
-    pub fn dial(&mut self, now: Instant, address: SocketAddr, peer: &Party) -> Result<RoadNo, String> {
+    pub fn dial(
+        &mut self,
+        now: Instant,
+        address: SocketAddr,
+        peer: &Party,
+    ) -> Result<RoadNo, String> {
         if self.roads.len() >= LINKS_MOST {
             return Err(format!("{LINKS_MOST} links already"));
         }
         let client = self.client.clone();
-        let (handle, connection) =
-            self.endpoint.connect(now, client, address, &dns_name(peer)).map_err(|e| e.to_string())?;
+        let (handle, connection) = self
+            .endpoint
+            .connect(now, client, address, &dns_name(peer))
+            .map_err(|e| e.to_string())?;
         Ok(self.adopt(now, handle, connection, Some(peer.clone())))
     }
 
@@ -210,9 +219,15 @@
     }
 
     pub fn hang_up(&mut self, now: Instant, road: RoadNo, why: &str) {
-        let Some(ix) = self.by_no.get(&road).copied() else { return };
+        let Some(ix) = self.by_no.get(&road).copied() else {
+            return;
+        };
         if let Some(road) = self.roads.get_mut(&ix) {
-            road.connection.close(now, VarInt::from_u32(0), Bytes::copy_from_slice(why.as_bytes()));
+            road.connection.close(
+                now,
+                VarInt::from_u32(0),
+                Bytes::copy_from_slice(why.as_bytes()),
+            );
         }
         self.drive(now, ix);
     }
@@ -220,7 +235,10 @@
     /// A datagram has come in. What is none of ours is passed over.
     pub fn datagram(&mut self, now: Instant, from: SocketAddr, bytes: &[u8]) {
         let mut answer = Vec::new();
-        match self.endpoint.handle(now, from, None, None, BytesMut::from(bytes), &mut answer) {
+        match self
+            .endpoint
+            .handle(now, from, None, None, BytesMut::from(bytes), &mut answer)
+        {
             Some(DatagramEvent::ConnectionEvent(handle, event)) => {
                 if let Some(road) = self.roads.get_mut(&handle.0) {
                     road.connection.handle_event(event);
@@ -259,9 +277,17 @@
     /// Sends a letter. One that `may_be_lost` goes in a datagram if it fits; any other arrives, or its link goes
     /// down. Gives back whether there was room.
     pub fn send(&mut self, now: Instant, road: RoadNo, bytes: Vec<u8>, may_be_lost: bool) -> bool {
-        let Some(ix) = self.by_no.get(&road).copied() else { return false };
-        let Some(road) = self.roads.get_mut(&ix).filter(|r| r.up) else { return false };
-        let fits = road.connection.datagrams().max_size().is_some_and(|most| bytes.len() <= most);
+        let Some(ix) = self.by_no.get(&road).copied() else {
+            return false;
+        };
+        let Some(road) = self.roads.get_mut(&ix).filter(|r| r.up) else {
+            return false;
+        };
+        let fits = road
+            .connection
+            .datagrams()
+            .max_size()
+            .is_some_and(|most| bytes.len() <= most);
         if may_be_lost && fits {
             let sent = road.connection.datagrams().send(bytes.into(), true).is_ok();
             self.drive(now, ix);
@@ -279,12 +305,19 @@
 
     /// When `timeout` is to be called next.
     pub fn next_timeout(&mut self) -> Option<Instant> {
-        self.roads.values_mut().filter_map(|r| r.connection.poll_timeout()).min()
+        self.roads
+            .values_mut()
+            .filter_map(|r| r.connection.poll_timeout())
+            .min()
     }
 
     pub fn timeout(&mut self, now: Instant) {
         let due = |r: &mut Road| r.connection.poll_timeout().is_some_and(|at| at <= now);
-        let due: Vec<usize> = self.roads.iter_mut().filter_map(|(ix, r)| due(r).then_some(*ix)).collect();
+        let due: Vec<usize> = self
+            .roads
+            .iter_mut()
+            .filter_map(|(ix, r)| due(r).then_some(*ix))
+            .collect();
         for ix in due {
             if let Some(road) = self.roads.get_mut(&ix) {
                 road.connection.handle_timeout(now);
@@ -314,12 +347,17 @@
     fn drive(&mut self, now: Instant, ix: usize) {
         let mut buffer = Vec::new();
         loop {
-            let Some(road) = self.roads.get_mut(&ix) else { return };
+            let Some(road) = self.roads.get_mut(&ix) else {
+                return;
+            };
             let mut moved = road.write();
             while self.out.len() < OUT_MOST {
                 buffer.clear();
-                let Some(transmit) = road.connection.poll_transmit(now, 1, &mut buffer) else { break };
-                self.out.push_back((transmit.destination, buffer[..transmit.size].to_vec()));
+                let Some(transmit) = road.connection.poll_transmit(now, 1, &mut buffer) else {
+                    break;
+                };
+                self.out
+                    .push_back((transmit.destination, buffer[..transmit.size].to_vec()));
                 moved = true;
             }
             while let Some(event) = road.connection.poll_endpoint_events() {
@@ -332,7 +370,11 @@
                 moved = true;
                 if let Some(why) = road.take(event, &self.other_site, &mut self.heard) {
                     // Whoever has the wrong name is told so, and gone.
-                    road.connection.close(now, VarInt::from_u32(1), Bytes::from(why.clone().into_bytes()));
+                    road.connection.close(
+                        now,
+                        VarInt::from_u32(1),
+                        Bytes::from(why.clone().into_bytes()),
+                    );
                     let remote = road.connection.remote_address();
                     self.heard.push_back(Heard::Refused { remote, why });
                     road.peer = None;
@@ -362,11 +404,17 @@
 
 impl Road {
     /// Takes in an event. Gives back why the other end is to be turned away, if it is.
-    fn take(&mut self, event: Event, other_site: &str, heard: &mut VecDeque<Heard>) -> Option<String> {
+    fn take(
+        &mut self,
+        event: Event,
+        other_site: &str,
+        heard: &mut VecDeque<Heard>,
+    ) -> Option<String> {
         match event {
             Event::Connected => {
                 let shown = self.connection.crypto_session().peer_identity();
-                let shown = shown.and_then(|any| any.downcast::<Vec<CertificateDer<'static>>>().ok());
+                let shown =
+                    shown.and_then(|any| any.downcast::<Vec<CertificateDer<'static>>>().ok());
                 let named = match shown.as_ref().and_then(|chain| chain.first()) {
                     Some(first) => party(first),
                     None => Err("shows no certificate".into()),
@@ -374,13 +422,18 @@
                 let named = match named {
                     Ok(named) if named.site == other_site => named,
                     Ok(named) => {
-                        return Some(format!("certificate names {named}, no gateway of {other_site}"))
+                        return Some(format!(
+                            "certificate names {named}, no gateway of {other_site}"
+                        ))
                     }
                     Err(e) => return Some(format!("certificate {e}")),
                 };
                 self.up = true;
                 self.peer = Some(named.clone());
-                heard.push_back(Heard::Up { road: self.no, peer: named });
+                heard.push_back(Heard::Up {
+                    road: self.no,
+                    peer: named,
+                });
             }
             Event::ConnectionLost { reason } => {
                 let remote = self.connection.remote_address();
@@ -388,8 +441,18 @@
                 let orderly = matches!(&reason, ConnectionError::ApplicationClosed(c) if c.error_code == VarInt::from_u32(0));
                 let why = reason.to_string();
                 heard.push_back(match peer {
-                    Some(peer) => Heard::Down { road: self.no, peer: Some(peer), orderly, why },
-                    None if up => Heard::Down { road: self.no, peer: None, orderly, why },
+                    Some(peer) => Heard::Down {
+                        road: self.no,
+                        peer: Some(peer),
+                        orderly,
+                        why,
+                    },
+                    None if up => Heard::Down {
+                        road: self.no,
+                        peer: None,
+                        orderly,
+                        why,
+                    },
                     None => Heard::Refused { remote, why },
                 });
             }
@@ -407,7 +470,10 @@
             }
             Event::DatagramReceived => {
                 while let Some(bytes) = self.connection.datagrams().recv() {
-                    heard.push_back(Heard::Letter { road: self.no, bytes: bytes.into() });
+                    heard.push_back(Heard::Letter {
+                        road: self.no,
+                        bytes: bytes.into(),
+                    });
                 }
             }
             _ => {}
@@ -416,7 +482,9 @@
     }
 
     fn read(&mut self, id: StreamId, heard: &mut VecDeque<Heard>) {
-        let Some(letter) = self.reading.get_mut(&id) else { return };
+        let Some(letter) = self.reading.get_mut(&id) else {
+            return;
+        };
         let mut stream = self.connection.recv_stream(id);
         let over = match stream.read(true) {
             Ok(mut chunks) => {
@@ -444,7 +512,10 @@
             if letter.is_empty() {
                 let _ = self.connection.recv_stream(id).stop(VarInt::from_u32(2));
             } else {
-                heard.push_back(Heard::Letter { road: self.no, bytes: letter });
+                heard.push_back(Heard::Letter {
+                    road: self.no,
+                    bytes: letter,
+                });
             }
         }
     }
@@ -478,7 +549,9 @@
             }
             if *at == bytes.len() {
                 match stream.finish() {
-                    Ok(()) | Err(FinishError::Stopped(_) | FinishError::ClosedStream) => done.push(*id),
+                    Ok(()) | Err(FinishError::Stopped(_) | FinishError::ClosedStream) => {
+                        done.push(*id)
+                    }
                 }
             }
         }
