--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,6 +1,30 @@
-//! Plain types that the other packages share: what goes into and comes out of the policy, points and spans of time,
-//! and the messages of gossip with their encoding.
+//! Plain types that the other packages share: identifiers, the policy's parameters, events and actions, gossip messages with
+//! their encoding, and time. Nothing here decides, does I/O or reads a clock.
 
+#![warn(missing_docs, unreachable_pub)]
+
+mod action;
+mod endpoint;
+mod event;
 pub mod gossip;
-pub mod interface;
-pub mod time;
+mod ids;
+mod outcome;
+mod parameters;
+mod rollout;
+mod time;
+
+pub use action::Action;
+pub use endpoint::{EndpointRecord, Lifecycle, UpdateKind};
+pub use event::Event;
+pub use gossip::{GossipMessage, LatencyReport, OutcomeReport, ReportedEvent};
+pub use ids::{
+    AffinityKey, BuildId, ClassId, EndpointId, GossipId, PeerId, RequestId, TenantId, ZoneId,
+};
+pub use outcome::AttemptOutcome;
+pub use parameters::{
+    ClassParameters, DiscoveryMode, ExposureCounting, IdempotencyScope, LimitParameters,
+    LoadReporting, Parameters, ReservedParameters, RetrySafety, RolloutParameters,
+    SafetyParameters, StageControl,
+};
+pub use rollout::{Arm, PlatformStatus, RolloutDecision, RolloutPhase, RolloutUpdate};
+pub use time::{TimeDelta, Timestamp};
--- a/crates/types/src/time.rs
+++ b/crates/types/src/time.rs
@@ -1,75 +1,88 @@
-//! Points in time and spans between them, in microseconds, as two types that cannot be mixed up.
+//! Points in time and differences between them, as two types that cannot be mixed up. Both count microseconds.
 
 use std::ops::{Add, Div, Mul, Sub};
 
+const MICROS_PER_SECOND: f64 = 1e6;
+const MICROS_PER_MILLISECOND: i64 = 1000;
+
+/// A point in time, in microseconds since an origin that the owner of the clock chooses.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Point(pub i64);
+pub struct Timestamp(pub i64);
 
+/// A difference between two points in time, in microseconds. May be negative.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Span(pub i64);
+pub struct TimeDelta(pub i64);
+
+impl TimeDelta {
+    /// No time at all.
+    pub const ZERO: TimeDelta = TimeDelta(0);
 
-impl Span {
-    pub const ZERO: Span = Span(0);
+    /// The difference of this many seconds.
+    pub fn from_seconds(seconds: f64) -> TimeDelta {
+        TimeDelta((seconds * MICROS_PER_SECOND) as i64)
+    }
 
-    pub fn secs(s: f64) -> Span {
-        Span((s * 1e6) as i64)
+    /// The difference of this many milliseconds.
+    pub const fn from_millis(milliseconds: i64) -> TimeDelta {
+        TimeDelta(milliseconds.saturating_mul(MICROS_PER_MILLISECOND))
     }
 
-    pub fn as_secs(self) -> f64 {
-        self.0 as f64 / 1e6
+    /// This difference in seconds.
+    pub fn as_seconds(self) -> f64 {
+        self.0 as f64 / MICROS_PER_SECOND
     }
 
-    /// How many times `other` goes into this span; an empty `other` counts as one microsecond.
-    pub fn over(self, other: Span) -> f64 {
+    /// The ratio of this difference to another. A divisor below one microsecond counts as one.
+    pub fn ratio_to(self, other: TimeDelta) -> f64 {
         self.0 as f64 / other.0.max(1) as f64
     }
 }
 
-impl Sub for Point {
-    type Output = Span;
-    fn sub(self, other: Point) -> Span {
-        Span(self.0.saturating_sub(other.0))
+impl Sub for Timestamp {
+    type Output = TimeDelta;
+    fn sub(self, other: Timestamp) -> TimeDelta {
+        TimeDelta(self.0.saturating_sub(other.0))
     }
 }
 
-impl Add<Span> for Point {
-    type Output = Point;
-    fn add(self, span: Span) -> Point {
-        Point(self.0.saturating_add(span.0))
+impl Add<TimeDelta> for Timestamp {
+    type Output = Timestamp;
+    fn add(self, delta: TimeDelta) -> Timestamp {
+        Timestamp(self.0.saturating_add(delta.0))
     }
 }
 
-impl Sub<Span> for Point {
-    type Output = Point;
-    fn sub(self, span: Span) -> Point {
-        Point(self.0.saturating_sub(span.0))
+impl Sub<TimeDelta> for Timestamp {
+    type Output = Timestamp;
+    fn sub(self, delta: TimeDelta) -> Timestamp {
+        Timestamp(self.0.saturating_sub(delta.0))
     }
 }
 
-impl Add for Span {
-    type Output = Span;
-    fn add(self, other: Span) -> Span {
-        Span(self.0.saturating_add(other.0))
+impl Add for TimeDelta {
+    type Output = TimeDelta;
+    fn add(self, other: TimeDelta) -> TimeDelta {
+        TimeDelta(self.0.saturating_add(other.0))
     }
 }
 
-impl Sub for Span {
-    type Output = Span;
-    fn sub(self, other: Span) -> Span {
-        Span(self.0.saturating_sub(other.0))
+impl Sub for TimeDelta {
+    type Output = TimeDelta;
+    fn sub(self, other: TimeDelta) -> TimeDelta {
+        TimeDelta(self.0.saturating_sub(other.0))
     }
 }
 
-impl Mul<f64> for Span {
-    type Output = Span;
-    fn mul(self, by: f64) -> Span {
-        Span((self.0 as f64 * by) as i64)
+impl Mul<f64> for TimeDelta {
+    type Output = TimeDelta;
+    fn mul(self, factor: f64) -> TimeDelta {
+        TimeDelta((self.0 as f64 * factor) as i64)
     }
 }
 
-impl Div<f64> for Span {
-    type Output = Span;
-    fn div(self, by: f64) -> Span {
-        Span((self.0 as f64 / by) as i64)
+impl Div<f64> for TimeDelta {
+    type Output = TimeDelta;
+    fn div(self, divisor: f64) -> TimeDelta {
+        TimeDelta((self.0 as f64 / divisor) as i64)
     }
 }
