--- a/crates/ipfix/src/lib.rs
+++ b/crates/ipfix/src/lib.rs
@@ -2,10 +2,10 @@
 //! and back. Files of IPFIX messages (RFC 5655) are such messages one after another. Nothing here opens anything
 //! or decides what is exported.
 
-mod element;
-mod read;
-mod write;
+mod information_element;
+mod reader;
+mod writer;
 
-pub use element::{Element, Kind, Semantics, Template, Value, ENTERPRISE, VARIABLE};
-pub use read::{split_file, Fault, Message, Reader, Record, Split, Torn, V9_SCOPE};
-pub use write::{Form, Full, Writer, V9_TEXT};
+pub use information_element::{Element, Kind, Semantics, Template, Value, ENTERPRISE, VARIABLE};
+pub use reader::{split_file, Fault, Message, Reader, Record, Split, Torn, V9_SCOPE};
+pub use writer::{Form, Full, Writer, V9_TEXT};
--- a/crates/ipfix/src/write.rs
+++ b/crates/ipfix/src/writer.rs
@@ -1,6 +1,6 @@
 //! Writes messages within a given size.
 
-use crate::element::{Element, Kind, Template, Value};
+use crate::information_element::{Element, Kind, Template, Value};
 
 /// Which of the two forms is written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
