--- a/crates/fault-injection/src/collector.rs
+++ b/crates/fault-injection/src/collector.rs
@@ -9,7 +9,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use harrierdock_ipfix::{Reader, Record, ENTERPRISE};
+use harrierdock_ipfix::{DataRecord, MessageReader, ENTERPRISE_NUMBER};
 use nanorand::{Rng, WyRand};
 use rustls::{ServerConfig, ServerConnection};
 
@@ -77,21 +77,24 @@
 const TABLE_MOST: usize = 1_000_000;
 
 impl Counted {
-    fn message(&mut self, reader: &mut Reader, bytes: &[u8], second: u64) {
+    fn message(&mut self, reader: &mut MessageReader, bytes: &[u8], second: u64) {
         self.raw.extend_from_slice(bytes);
         self.messages += 1;
         let Ok(message) = reader.read(bytes) else {
             self.faults += 1;
             return;
         };
-        self.unknown_sets += message.unknown_sets as u64;
-        *self.octets.entry((message.domain, second)).or_default() += bytes.len() as u64;
-        let domain = self.domains.entry(message.domain).or_default();
+        self.unknown_sets += message.unknown_set_count as u64;
+        *self
+            .octets
+            .entry((message.observation_domain, second))
+            .or_default() += bytes.len() as u64;
+        let domain = self.domains.entry(message.observation_domain).or_default();
         // A session that begins anew counts from nought.
         let gap = domain
             .next
-            .map_or(0, |next| message.sequence.wrapping_sub(next));
-        domain.gap += u64::from(if message.sequence == 0 || gap > u32::MAX / 2 {
+            .map_or(0, |next| message.sequence_number.wrapping_sub(next));
+        domain.gap += u64::from(if message.sequence_number == 0 || gap > u32::MAX / 2 {
             0
         } else {
             gap
@@ -101,21 +104,22 @@
         } else {
             1
         };
-        domain.next = Some(message.sequence.wrapping_add(count));
+        domain.next = Some(message.sequence_number.wrapping_add(count));
         domain.records += message.records.len() as u64;
         for record in &message.records {
-            let number = |id| record.number(ENTERPRISE, id);
+            let number = |id| record.number(ENTERPRISE_NUMBER, id);
             if let (Some(a), Some(b)) = (number(17), number(18)) {
                 domain.dropped = [a, b];
             }
-            let kind = match record.template {
+            let kind = match record.template_id {
                 256 => "submission",
                 257 => "txn",
                 258 => "share",
                 _ => continue,
             };
             if self.table.len() < TABLE_MOST {
-                self.table.push(told(message.domain, kind, record));
+                self.table
+                    .push(told(message.observation_domain, kind, record));
             }
             if kind == "share" {
                 continue;
@@ -123,7 +127,7 @@
             let row = (
                 kind.to_string(),
                 number(1).unwrap_or(0),
-                record.text(ENTERPRISE, 3).unwrap_or_default(),
+                record.text(ENTERPRISE_NUMBER, 3).unwrap_or_default(),
             );
             *self.sums.entry(row).or_default() += number(7).unwrap_or(0);
         }
@@ -142,9 +146,9 @@
 ];
 pub const TEXTS: [&str; 4] = ["kind", "product", "outcome", "road"];
 
-fn told(domain: u32, kind: &str, record: &Record) -> Told {
-    let own = |id| record.number(ENTERPRISE, id).unwrap_or(0);
-    let text = |id| record.text(ENTERPRISE, id).unwrap_or_default();
+fn told(domain: u32, kind: &str, record: &DataRecord) -> Told {
+    let own = |id| record.number(ENTERPRISE_NUMBER, id).unwrap_or(0);
+    let text = |id| record.text(ENTERPRISE_NUMBER, id).unwrap_or_default();
     let point = |id| record.number(0, id).unwrap_or(0);
     let sums = [
         own(1),
@@ -235,7 +239,7 @@
         self.over.load(Ordering::SeqCst)
     }
 
-    fn count(&self, reader: &mut Reader, bytes: &[u8]) {
+    fn count(&self, reader: &mut MessageReader, bytes: &[u8]) {
         let second = self.from.elapsed().as_secs();
         if let Ok(mut counted) = self.counted.lock() {
             counted.message(reader, bytes, second);
@@ -244,8 +248,10 @@
 
     /// While it is away nobody answers; the system's word that the port is closed is not imitated.
     fn datagrams(&self, socket: &UdpSocket) {
-        let (mut readers, mut chance) =
-            (BTreeMap::<SocketAddr, Reader>::new(), WyRand::new_seed(7));
+        let (mut readers, mut chance) = (
+            BTreeMap::<SocketAddr, MessageReader>::new(),
+            WyRand::new_seed(7),
+        );
         let mut bytes = vec![0; 65_536];
         while !self.is_over() {
             let Ok((size, from)) = socket.recv_from(&mut bytes) else {
@@ -288,7 +294,7 @@
             .tls
             .clone()
             .and_then(|config| ServerConnection::new(config).ok());
-        let (mut reader, mut held) = (Reader::default(), Vec::new());
+        let (mut reader, mut held) = (MessageReader::default(), Vec::new());
         let mut bytes = vec![0; if self.slow { 1 } else { 16 * 1024 }];
         loop {
             let read = match &mut tls {
@@ -313,7 +319,7 @@
                     return;
                 }
             }
-            while let Ok(Some(length)) = Reader::length(&held) {
+            while let Ok(Some(length)) = MessageReader::message_length(&held) {
                 if held.len() < length {
                     break;
                 }
--- a/crates/gateway/src/cli/flow_report.rs
+++ b/crates/gateway/src/cli/flow_report.rs
@@ -6,7 +6,7 @@
 use std::fs::File;
 use std::path::{Path, PathBuf};
 
-use harrierdock_ipfix::{split_file, Reader, Record, Torn, ENTERPRISE};
+use harrierdock_ipfix::{split_file, DataRecord, FileEnd, MessageReader, ENTERPRISE_NUMBER};
 use parquet::file::reader::{FileReader, SerializedFileReader};
 use parquet::record::Field;
 use plotters::prelude::*;
@@ -74,8 +74,8 @@
     pub notes: Vec<String>,
 }
 
-fn own(record: &Record, id: u16) -> u64 {
-    record.number(ENTERPRISE, id).unwrap_or(0)
+fn own(record: &DataRecord, id: u16) -> u64 {
+    record.number(ENTERPRISE_NUMBER, id).unwrap_or(0)
 }
 
 impl Read {
@@ -92,30 +92,29 @@
                 continue;
             }
             let bytes = std::fs::read(path).map_err(|e| wrong(&e))?;
-            let (messages, torn) = split_file(&bytes)
-                .map_err(|(at, _)| wrong(&format!("no IPFIX message at octet {at}")))?;
-            if let Torn::At(at) = torn {
+            let split = split_file(&bytes).map_err(|e| wrong(&e))?;
+            if let FileEnd::TruncatedAt(at) = split.end {
                 read.notes.push(format!(
                     "{}: the last message is torn at octet {at} and passed over",
                     path.display()
                 ));
             }
-            let mut reader = Reader::default();
-            for message in messages {
-                let message = reader.read(message).map_err(|e| wrong(&format!("{e:?}")))?;
+            let mut reader = MessageReader::default();
+            for message in split.messages {
+                let message = reader.read(message).map_err(|e| wrong(&e))?;
                 message.records.iter().for_each(|record| read.take(record));
             }
         }
         Ok(read)
     }
 
-    fn take(&mut self, record: &Record) {
-        let kind = match record.template {
+    fn take(&mut self, record: &DataRecord) {
+        let kind = match record.template_id {
             256 => "submission",
             258 => "share",
             _ => return,
         };
-        let text = |id| record.text(ENTERPRISE, id).unwrap_or_default();
+        let text = |id| record.text(ENTERPRISE_NUMBER, id).unwrap_or_default();
         self.add(&Line {
             kind: kind.into(),
             until: record.number(0, 153).unwrap_or(0),
--- a/crates/gateway/src/flow_export/exporter.rs
+++ b/crates/gateway/src/flow_export/exporter.rs
@@ -13,7 +13,8 @@
     Dropped, Flow, Flows, Kind, Outcome, Pending, Road as Way, Sums, BUCKETS, KEYS,
 };
 use harrierdock_ipfix::{
-    Element, Form, Kind as Type, Semantics, Template, Value, Writer, ENTERPRISE,
+    DataType as Type, InformationElement as Element, MessageWriter as Writer, Semantics, Template,
+    Value, WireFormat as Form, ENTERPRISE_NUMBER as ENTERPRISE,
 };
 use harrierdock_site_transport::Credentials;
 use harrierdock_types::{AttemptOutcome as Ended, ClassId, EndpointId, RolloutUpdate};
@@ -60,7 +61,7 @@
         enterprise: None,
         id,
         name,
-        kind,
+        data_type: kind,
         semantics,
         units,
     }
@@ -71,7 +72,7 @@
         enterprise: Some(ENTERPRISE),
         id,
         name,
-        kind,
+        data_type: kind,
         semantics,
         units,
     }
@@ -80,7 +81,10 @@
 use Semantics::{
     Default as Plain, DeltaCounter as Delta, Identifier, Quantity, TotalCounter as Total,
 };
-use Type::{Milliseconds, Text, Unsigned16, Unsigned32, Unsigned64, Unsigned8};
+use Type::{
+    DateTimeMilliseconds as Milliseconds, String as Text, Unsigned16, Unsigned32, Unsigned64,
+    Unsigned8,
+};
 
 const START: Element = iana(152, "flowStartMilliseconds", Milliseconds, Plain, 0);
 const END: Element = iana(153, "flowEndMilliseconds", Milliseconds, Plain, 0);
@@ -142,7 +146,11 @@
 impl Templates {
     fn new() -> Templates {
         let sums = [&[COUNT, SECOND, LATE, TIME][..], &TIMES, &[OUT, BACK]].concat();
-        let template = |id, scope, fields: Vec<Element>| Template { id, scope, fields };
+        let template = |id, scope, fields: Vec<Element>| Template {
+            id,
+            scope_field_count: scope,
+            fields,
+        };
         let head = [START, END, PRODUCT, OUTCOME, ROAD];
         Templates {
             submissions: template(256, 0, [&head[..], &[BUILD, STAGE, SERVER], &sums].concat()),
@@ -391,7 +399,7 @@
             let told = templates
                 .all()
                 .into_iter()
-                .try_for_each(|t| self.writer.template(t));
+                .try_for_each(|t| self.writer.add_template(t));
             let own = templates
                 .all()
                 .into_iter()
@@ -404,12 +412,12 @@
                     let values = [
                         Value::Number(u64::from(ENTERPRISE)),
                         Value::Number(u64::from(field.id)),
-                        Value::Number(field.kind as u64),
+                        Value::Number(field.data_type as u64),
                         Value::Number(field.semantics as u64),
                         Value::Number(u64::from(field.units)),
                         Value::from(field.name),
                     ];
-                    let _ = self.writer.record(&templates.types, &values);
+                    let _ = self.writer.add_record(&templates.types, &values);
                 }
             }
             debug_assert!(told.is_ok(), "templates fit a message");
@@ -429,7 +437,7 @@
             .chain(dropped.counts)
             .map(Value::Number)
             .collect();
-            let _ = self.writer.record(&templates.statistics, &values);
+            let _ = self.writer.add_record(&templates.statistics, &values);
             self.statistics_due = now + STATISTICS_EVERY;
         }
         let at = |point: Timestamp| {
@@ -452,7 +460,7 @@
             ];
             let _ = self
                 .writer
-                .record(&templates.shares, &values.map(Value::Number));
+                .add_record(&templates.shares, &values.map(Value::Number));
             room = room.saturating_sub(64);
         }
         while room > 0 {
@@ -497,7 +505,7 @@
                 .chain(times)
                 .chain([out, back]);
             values.extend(sums.map(Value::Number));
-            let written = self.writer.record(template, &values);
+            let written = self.writer.add_record(template, &values);
             debug_assert!(written.is_ok(), "a record fits a message");
             flows.push(flow);
             self.collect(now, export, &mut flows, false);
@@ -511,14 +519,19 @@
     /// that began the next.
     fn collect(&mut self, now: Timestamp, export: &Sources, flows: &mut Vec<Flow>, all: bool) {
         let up = ((now - export.start).0 / 1000) as u32;
-        let done = self.writer.take((export.unix_ms / 1000) as u32, up);
+        let done = self
+            .writer
+            .take_messages((export.unix_ms / 1000) as u32, up);
         let last = done.len().saturating_sub(1);
-        for (at, (bytes, records)) in done.into_iter().enumerate() {
+        for (at, message) in done.into_iter().enumerate() {
             let keep = usize::from(!all || at < last);
             let own = flows.drain(..flows.len().saturating_sub(keep)).collect();
-            self.records += u64::from(records);
-            self.octets += bytes.len() as u64;
-            self.sealed.push_back(Sealed { bytes, flows: own });
+            self.records += u64::from(message.record_count);
+            self.octets += message.octets.len() as u64;
+            self.sealed.push_back(Sealed {
+                bytes: message.octets,
+                flows: own,
+            });
         }
     }
 }
@@ -537,7 +550,7 @@
             None => None,
         };
         let form = if told.form == FlowForm::V9 {
-            Form::V9
+            Form::NetflowV9
         } else {
             Form::Ipfix
         };
--- a/crates/gateway/src/flow_export/file.rs
+++ b/crates/gateway/src/flow_export/file.rs
@@ -8,7 +8,7 @@
 use std::thread::JoinHandle;
 
 use harrierdock_flow_metering::Flow;
-use harrierdock_ipfix::{split_file, Form, Torn};
+use harrierdock_ipfix::{split_file, FileEnd, WireFormat};
 use harrierdock_types::Timestamp;
 
 use crate::config::extensions::FlowFileTold;
@@ -55,16 +55,18 @@
         let mut bytes = Vec::new();
         file.read_to_end(&mut bytes).map_err(wrong)?;
         match split_file(&bytes) {
-            Ok((_, Torn::Whole)) => {}
-            Ok((_, Torn::At(end))) => {
-                tracing::warn!("flows: {} is torn, cut at octet {end}", path.display());
-                file.set_len(end as u64).map_err(wrong)?;
+            Ok(split) => {
+                if let FileEnd::TruncatedAt(end) = split.end {
+                    tracing::warn!("flows: {} is torn, cut at octet {end}", path.display());
+                    file.set_len(end as u64).map_err(wrong)?;
+                }
             }
-            Err((at, _)) => {
+            Err(e) => {
+                let at = e.offset;
                 return Err(format!(
                     "flows.file.path: {}: no IPFIX at octet {at}",
                     path.display()
-                ))
+                ));
             }
         }
         let size = file.metadata().map_err(wrong)?.len();
@@ -142,7 +144,7 @@
             }
             let _ = disk.file.sync_all();
         });
-        let outbox = Outbox::new(now, Form::Ipfix, domain, MESSAGE_MOST, None);
+        let outbox = Outbox::new(now, WireFormat::Ipfix, domain, MESSAGE_MOST, None);
         Ok(FlowFile {
             outbox,
             held: None,
--- a/crates/ipfix/src/information_element.rs
+++ b/crates/ipfix/src/information_element.rs
@@ -1,83 +1,70 @@
-//! Information elements, templates made of them, and their values.
+//! Information elements: what a field of a record means, and how many octets it takes.
 
-/// The enterprise number kept for documentation (RFC 5612), under which our own elements stand.
-pub const ENTERPRISE: u32 = 32_473;
-/// The length that says that a field tells its own (RFC 7011, 7).
-pub const VARIABLE: u16 = 65_535;
+/// The enterprise number reserved for documentation (RFC 5612), under which the gateway's own elements are registered.
+pub const ENTERPRISE_NUMBER: u32 = 32_473;
+/// The length in a template of a field whose records carry its length (RFC 7011, section 7).
+pub const VARIABLE_LENGTH: u16 = 65_535;
 
-/// Abstract data types (RFC 7012, 3.1), with their numbers for type records (RFC 5610, 3.1).
+/// Abstract data types (RFC 7012, section 3.1), with their numbers in type records (RFC 5610, section 3.1).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
-pub enum Kind {
+pub enum DataType {
+    /// A number of one octet.
     Unsigned8 = 1,
+    /// A number of two octets.
     Unsigned16 = 2,
+    /// A number of four octets.
     Unsigned32 = 3,
+    /// A number of eight octets.
     Unsigned64 = 4,
-    Text = 13,
+    /// UTF-8 text.
+    String = 13,
     /// Milliseconds since 1970.
-    Milliseconds = 15,
+    DateTimeMilliseconds = 15,
 }
 
-/// Data type semantics (RFC 7012, 3.2), with their numbers for type records (RFC 5610, 3.6).
+/// Data type semantics (RFC 7012, section 3.2), with their numbers in type records (RFC 5610, section 3.6).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Semantics {
+    /// No semantics apply.
     Default = 0,
+    /// A measured value.
     Quantity = 1,
+    /// A count since the exporting process started.
     TotalCounter = 2,
+    /// A count over the record's interval.
     DeltaCounter = 3,
+    /// A number that identifies something.
     Identifier = 4,
 }
 
-/// An information element: of IANA's registry, or of an enterprise's.
+/// An information element, of IANA's registry or of an enterprise.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Element {
+pub struct InformationElement {
+    /// The enterprise that defines the element; none for IANA's registry.
     pub enterprise: Option<u32>,
-    /// From 1 to 32,767.
+    /// The element's number, from 1 to 32,767.
     pub id: u16,
+    /// The element's registered name.
     pub name: &'static str,
-    pub kind: Kind,
+    /// The type of its values.
+    pub data_type: DataType,
+    /// What its values stand for.
     pub semantics: Semantics,
     /// IANA's number of the unit (informationElementUnits, 345): 0 none, 2 octets, 4 seconds, 5 milliseconds.
     pub units: u16,
 }
 
-impl Element {
-    /// The length in octets in a template; texts tell their own.
+impl InformationElement {
+    /// The length in octets in an IPFIX template; [`VARIABLE_LENGTH`] for text.
     pub const fn length(&self) -> u16 {
-        match self.kind {
-            Kind::Unsigned8 => 1,
-            Kind::Unsigned16 => 2,
-            Kind::Unsigned32 => 4,
-            Kind::Unsigned64 | Kind::Milliseconds => 8,
-            Kind::Text => VARIABLE,
+        match self.data_type {
+            DataType::Unsigned8 => 1,
+            DataType::Unsigned16 => 2,
+            DataType::Unsigned32 => 4,
+            DataType::Unsigned64 | DataType::DateTimeMilliseconds => 8,
+            DataType::String => VARIABLE_LENGTH,
         }
     }
 }
-
-/// A template, or an options template if some of its first fields are a scope.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Template {
-    /// From 256 on.
-    pub id: u16,
-    pub scope: u16,
-    pub fields: Vec<Element>,
-}
-
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Value {
-    Number(u64),
-    Text(String),
-}
-
-impl From<u64> for Value {
-    fn from(number: u64) -> Value {
-        Value::Number(number)
-    }
-}
-
-impl From<&str> for Value {
-    fn from(text: &str) -> Value {
-        Value::Text(text.into())
-    }
-}
--- a/crates/ipfix/src/reader.rs
+++ b/crates/ipfix/src/reader.rs
@@ -1,261 +1,202 @@
-//! Reads messages by the templates that came before. Whatever comes in ends in records or an error.
+//! Decodes messages by the templates received before them. Any input ends in records or an error.
 
 use std::collections::BTreeMap;
 
-/// Templates kept for each domain, fields in each, and domains, at the most.
-const TEMPLATES_MOST: usize = 256;
-const FIELDS_MOST: usize = 256;
-const DOMAINS_MOST: usize = 64;
+use crate::octets::Octets;
+use crate::wire_format::{
+    SetKind, ENTERPRISE_BIT, FIRST_DATA_SET_ID, IPFIX_HEADER_OCTETS, IPFIX_VERSION,
+    NETFLOW_V9_VERSION, SET_HEADER_OCTETS,
+};
+use crate::{
+    DataRecord, DecodeError, FieldValue, Message, WireFormat, ENTERPRISE_NUMBER, NETFLOW_V9_SCOPE,
+    VARIABLE_LENGTH,
+};
 
-/// What stands in the place of an enterprise for scopes of NetFlow v9, whose types are numbered by themselves.
-pub const V9_SCOPE: u32 = u32::MAX;
+const MAX_TEMPLATES_PER_DOMAIN: usize = 256;
+const MAX_FIELDS_PER_TEMPLATE: usize = 256;
+const MAX_DOMAINS: usize = 64;
+const TEMPLATE_HEADER_OCTETS: usize = 4;
+/// The octets of a field specifier of NetFlow v9, in which options templates state their lengths.
+const NETFLOW_V9_SPECIFIER_OCTETS: u16 = 4;
+/// The first octet of a variable-length field whose length follows in two more.
+const LONG_LENGTH_MARKER: usize = 255;
 
-/// Why a message cannot be read.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
-    Version(u16),
-    /// It ends before it says it does, or says it is longer than it is.
-    Length,
-    /// A template or set that cannot be.
-    Form,
-    /// More templates, fields or domains than are kept.
-    TooMany,
-}
-
-/// One record, field by field: enterprise (0 for IANA's), element, octets.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Record {
-    pub template: u16,
-    /// How many of the first fields are a scope.
-    pub scope: u16,
-    pub fields: Vec<(u32, u16, Vec<u8>)>,
+#[derive(Clone)]
+struct FieldSpecifier {
+    enterprise: u32,
+    element_id: u16,
+    length: u16,
 }
 
-impl Record {
-    /// The octets of one element.
-    pub fn octets(&self, enterprise: u32, id: u16) -> Option<&[u8]> {
-        self.fields
-            .iter()
-            .find(|f| f.0 == enterprise && f.1 == id)
-            .map(|f| &f.2[..])
-    }
-
-    /// An element as a number of up to eight octets.
-    pub fn number(&self, enterprise: u32, id: u16) -> Option<u64> {
-        let octets = self.octets(enterprise, id).filter(|o| o.len() <= 8)?;
-        Some(octets.iter().fold(0, |n, o| n << 8 | u64::from(*o)))
+impl FieldSpecifier {
+    /// The fewest octets that the field takes in a record.
+    fn min_octets(&self) -> usize {
+        if self.length == VARIABLE_LENGTH {
+            1
+        } else {
+            usize::from(self.length)
+        }
     }
 
-    /// An element as text, without the noughts that NetFlow v9 puts behind it.
-    pub fn text(&self, enterprise: u32, id: u16) -> Option<String> {
-        let octets = self.octets(enterprise, id)?;
-        Some(
-            String::from_utf8_lossy(octets)
-                .trim_end_matches('\0')
-                .to_string(),
-        )
+    fn read_value(&self, set: &mut Octets) -> Result<FieldValue, DecodeError> {
+        let mut length = usize::from(self.length);
+        if self.length == VARIABLE_LENGTH {
+            length = usize::from(set.take(1)?[0]);
+            if length == LONG_LENGTH_MARKER {
+                length = usize::from(set.u16()?);
+            }
+        }
+        Ok(FieldValue {
+            enterprise: self.enterprise,
+            element_id: self.element_id,
+            octets: set.take(length)?.to_vec(),
+        })
     }
 }
 
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Message {
-    pub version: u16,
-    /// Unix seconds.
-    pub time: u32,
-    pub sequence: u32,
-    pub domain: u32,
-    pub records: Vec<Record>,
-    /// Sets passed over because their template has not come.
-    pub unknown_sets: usize,
+#[derive(Clone)]
+struct ReceivedTemplate {
+    scope_field_count: u16,
+    fields: Vec<FieldSpecifier>,
 }
 
-#[derive(Clone)]
-struct Held {
+/// How many fields a template record announces.
+struct FieldCounts {
+    all: usize,
     scope: u16,
-    fields: Vec<(u32, u16, u16)>,
 }
 
-/// Reads messages of one exporter, and keeps its templates within bounds.
+/// Decodes the messages of one exporter, and keeps a bounded number of its templates.
 #[derive(Default)]
-pub struct Reader {
-    templates: BTreeMap<u32, BTreeMap<u16, Held>>,
+pub struct MessageReader {
+    templates: BTreeMap<u32, BTreeMap<u16, ReceivedTemplate>>,
 }
 
-struct Bytes<'a>(&'a [u8]);
-
-impl<'a> Bytes<'a> {
-    fn take(&mut self, count: usize) -> Result<&'a [u8], Fault> {
-        let (taken, rest) = self.0.split_at_checked(count).ok_or(Fault::Length)?;
-        self.0 = rest;
-        Ok(taken)
-    }
-
-    fn u16(&mut self) -> Result<u16, Fault> {
-        self.take(2).map(|b| u16::from_be_bytes([b[0], b[1]]))
-    }
-
-    fn u32(&mut self) -> Result<u32, Fault> {
-        self.take(4)
-            .map(|b| u32::from_be_bytes([b[0], b[1], b[2], b[3]]))
-    }
-}
-
-impl Reader {
-    /// The length that a message at the beginning of these bytes has, as soon as it can be told (IPFIX only).
+impl MessageReader {
+    /// The length in octets of the IPFIX message at the start of the octets; none while there are too few to tell.
     ///
     /// # Errors
-    /// Says that no message begins here.
-    pub fn length(bytes: &[u8]) -> Result<Option<usize>, Fault> {
-        let mut head = Bytes(bytes);
-        let (Ok(version), Ok(length)) = (head.u16(), head.u16()) else {
+    /// No IPFIX message begins here.
+    pub fn message_length(octets: &[u8]) -> Result<Option<usize>, DecodeError> {
+        let mut header = Octets(octets);
+        let (Ok(version), Ok(length)) = (header.u16(), header.u16()) else {
             return Ok(None);
         };
         match (version, usize::from(length)) {
-            (10, length) if length >= 16 => Ok(Some(length)),
-            (10, _) => Err(Fault::Length),
-            (odd, _) => Err(Fault::Version(odd)),
+            (IPFIX_VERSION, length) if length >= IPFIX_HEADER_OCTETS => Ok(Some(length)),
+            (IPFIX_VERSION, _) => Err(DecodeError::WrongLength),
+            (version, _) => Err(DecodeError::UnsupportedVersion(version)),
         }
     }
 
-    /// Forgets all templates, as a collector that has started anew.
-    pub fn forget(&mut self) {
+    /// Removes all templates, as a collector that has restarted.
+    pub fn clear_templates(&mut self) {
         self.templates.clear();
     }
 
-    /// Reads one whole message, IPFIX or NetFlow v9.
+    /// Decodes one whole message, IPFIX or NetFlow v9.
     ///
     /// # Errors
-    /// The first thing in it that cannot be; templates read before that are kept.
-    pub fn read(&mut self, bytes: &[u8]) -> Result<Message, Fault> {
-        let mut rest = Bytes(bytes);
-        let version = rest.u16()?;
-        let second = rest.u16()?;
-        let v9 = match version {
-            10 if usize::from(second) == bytes.len() => false,
-            10 => return Err(Fault::Length),
-            9 => true,
-            odd => return Err(Fault::Version(odd)),
-        };
-        if v9 {
-            rest.u32()?;
-        }
-        let (time, sequence, domain) = (rest.u32()?, rest.u32()?, rest.u32()?);
-        let (records, unknown_sets) = (Vec::new(), 0);
-        let mut message = Message {
-            version,
-            time,
-            sequence,
-            domain,
-            records,
-            unknown_sets,
-        };
-        while !rest.0.is_empty() {
-            let (id, length) = (rest.u16()?, usize::from(rest.u16()?));
-            let set = Bytes(rest.take(length.checked_sub(4).ok_or(Fault::Length)?)?);
-            match (v9, id) {
-                (false, 2) | (true, 0) => self.learn(domain, set, v9, false)?,
-                (false, 3) | (true, 1) => self.learn(domain, set, v9, true)?,
-                (_, 256..) => self.data(&mut message, id, set)?,
-                _ => return Err(Fault::Form),
+    /// The first fault in the message; templates read before it are kept.
+    pub fn read(&mut self, octets: &[u8]) -> Result<Message, DecodeError> {
+        let mut rest = Octets(octets);
+        let format = read_format(&mut rest, octets.len())?;
+        let mut message = read_header(&mut rest, format)?;
+        while !rest.is_empty() {
+            let set_id = rest.u16()?;
+            let length = usize::from(rest.u16()?);
+            let body_length = length
+                .checked_sub(SET_HEADER_OCTETS)
+                .ok_or(DecodeError::WrongLength)?;
+            let set = Octets(rest.take(body_length)?);
+            match format.set_kind(set_id) {
+                Some(SetKind::Data(template_id)) => {
+                    self.read_data(&mut message, template_id, set)?
+                }
+                Some(kind) => self.read_templates(message.observation_domain, set, format, kind)?,
+                None => return Err(DecodeError::Malformed),
             }
         }
         Ok(message)
     }
 
-    fn learn(&mut self, domain: u32, mut set: Bytes, v9: bool, options: bool) -> Result<(), Fault> {
-        if !self.templates.contains_key(&domain) && self.templates.len() >= DOMAINS_MOST {
-            return Err(Fault::TooMany);
+    fn read_templates(
+        &mut self,
+        domain: u32,
+        mut set: Octets,
+        format: WireFormat,
+        kind: SetKind,
+    ) -> Result<(), DecodeError> {
+        if !self.templates.contains_key(&domain) && self.templates.len() >= MAX_DOMAINS {
+            return Err(DecodeError::LimitExceeded);
         }
-        // What is left over, less than a template's head, is padding.
-        while set.0.len() >= 4 {
-            let id = set.u16()?;
-            if id < 256 {
-                return if id == 0 && set.0.iter().all(|b| *b == 0) {
+        // Fewer octets than a template's header are padding.
+        while set.len() >= TEMPLATE_HEADER_OCTETS {
+            let template_id = set.u16()?;
+            if template_id < FIRST_DATA_SET_ID {
+                let is_padding = template_id == 0 && set.0.iter().all(|octet| *octet == 0);
+                return if is_padding {
                     Ok(())
                 } else {
-                    Err(Fault::Form)
+                    Err(DecodeError::Malformed)
                 };
             }
-            let (mut count, mut scope) = (usize::from(set.u16()?), 0);
-            if options && v9 {
-                (scope, count) = (count as u16 / 4, count / 4 + usize::from(set.u16()?) / 4);
-            } else if options {
-                scope = set.u16()?;
-            }
-            if count == 0 && !options {
-                // A withdrawal (RFC 7011, 8.1).
-                self.templates.entry(domain).or_default().remove(&id);
+            let counts = read_field_counts(&mut set, format, kind)?;
+            if counts.all == 0 && kind == SetKind::Templates {
+                // A template withdrawal (RFC 7011, section 8.1).
+                self.templates
+                    .entry(domain)
+                    .or_default()
+                    .remove(&template_id);
                 continue;
             }
-            if count > FIELDS_MOST || count == 0 || usize::from(scope) > count {
-                return Err(Fault::TooMany);
-            }
-            let mut fields = Vec::with_capacity(count);
-            for at in 0..count {
-                let (element, length) = (set.u16()?, set.u16()?);
-                let enterprise = if element & 0x8000 != 0 && !v9 {
-                    set.u32()?
-                } else {
-                    0
-                };
-                // NetFlow v9 has no numbers of enterprises: its large types are taken for ours.
-                let enterprise = if v9 && element & 0x8000 != 0 {
-                    crate::ENTERPRISE
-                } else {
-                    enterprise
-                };
-                // Scopes of NetFlow v9 are numbered by themselves.
-                let enterprise = if v9 && at < usize::from(scope) {
-                    V9_SCOPE
-                } else {
-                    enterprise
-                };
-                fields.push((enterprise, element & 0x7fff, length));
-            }
-            let held = self.templates.entry(domain).or_default();
-            if !held.contains_key(&id) && held.len() >= TEMPLATES_MOST {
-                return Err(Fault::TooMany);
-            }
-            held.insert(id, Held { scope, fields });
+            let template = read_template(&mut set, format, &counts)?;
+            self.keep_template(domain, template_id, template)?;
         }
         Ok(())
     }
 
-    fn data(&self, message: &mut Message, id: u16, mut set: Bytes) -> Result<(), Fault> {
-        let Some(held) = self.templates.get(&message.domain).and_then(|t| t.get(&id)) else {
-            message.unknown_sets += 1;
+    fn keep_template(
+        &mut self,
+        domain: u32,
+        template_id: u16,
+        template: ReceivedTemplate,
+    ) -> Result<(), DecodeError> {
+        let kept = self.templates.entry(domain).or_default();
+        if !kept.contains_key(&template_id) && kept.len() >= MAX_TEMPLATES_PER_DOMAIN {
+            return Err(DecodeError::LimitExceeded);
+        }
+        kept.insert(template_id, template);
+        Ok(())
+    }
+
+    fn read_data(
+        &self,
+        message: &mut Message,
+        template_id: u16,
+        mut set: Octets,
+    ) -> Result<(), DecodeError> {
+        let template = self
+            .templates
+            .get(&message.observation_domain)
+            .and_then(|templates| templates.get(&template_id));
+        let Some(template) = template else {
+            message.unknown_set_count += 1;
             return Ok(());
         };
-        let least: usize = held
-            .fields
-            .iter()
-            .map(|f| {
-                if f.2 == crate::VARIABLE {
-                    1
-                } else {
-                    usize::from(f.2)
-                }
-            })
-            .sum();
-        // Guards against a template of empty fields, whose records would never end.
-        if least == 0 {
-            return Err(Fault::Form);
+        let min_octets: usize = template.fields.iter().map(FieldSpecifier::min_octets).sum();
+        // Records of a template of empty fields would never use up the set.
+        if min_octets == 0 {
+            return Err(DecodeError::Malformed);
         }
-        while set.0.len() >= least {
-            let mut fields = Vec::with_capacity(held.fields.len());
-            for (enterprise, element, length) in &held.fields {
-                let mut count = usize::from(*length);
-                if *length == crate::VARIABLE {
-                    count = usize::from(set.take(1)?[0]);
-                    if count == 255 {
-                        count = usize::from(set.u16()?);
-                    }
-                }
-                fields.push((*enterprise, *element, set.take(count)?.to_vec()));
+        while set.len() >= min_octets {
+            let mut fields = Vec::with_capacity(template.fields.len());
+            for field in &template.fields {
+                fields.push(field.read_value(&mut set)?);
             }
-            message.records.push(Record {
-                template: id,
-                scope: held.scope,
+            message.records.push(DataRecord {
+                template_id,
+                scope_field_count: template.scope_field_count,
                 fields,
             });
         }
@@ -263,31 +204,102 @@
     }
 }
 
-/// How a file of messages ends.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Torn {
-    Whole,
-    /// The last message stops before its end, at this octet of the file.
-    At(usize),
+/// Reads the version, and the length of an IPFIX message or the record count of NetFlow v9.
+fn read_format(rest: &mut Octets, message_octets: usize) -> Result<WireFormat, DecodeError> {
+    let version = rest.u16()?;
+    let length_or_count = rest.u16()?;
+    match version {
+        IPFIX_VERSION if usize::from(length_or_count) == message_octets => Ok(WireFormat::Ipfix),
+        IPFIX_VERSION => Err(DecodeError::WrongLength),
+        NETFLOW_V9_VERSION => Ok(WireFormat::NetflowV9),
+        version => Err(DecodeError::UnsupportedVersion(version)),
+    }
 }
 
-/// The messages of a file, and how it ends.
-pub type Split<'a> = (Vec<&'a [u8]>, Torn);
+fn read_header(rest: &mut Octets, format: WireFormat) -> Result<Message, DecodeError> {
+    let version = match format {
+        WireFormat::Ipfix => IPFIX_VERSION,
+        WireFormat::NetflowV9 => {
+            // The uptime of the exporter.
+            rest.u32()?;
+            NETFLOW_V9_VERSION
+        }
+    };
+    Ok(Message {
+        version,
+        export_time: rest.u32()?,
+        sequence_number: rest.u32()?,
+        observation_domain: rest.u32()?,
+        records: Vec::new(),
+        unknown_set_count: 0,
+    })
+}
 
-/// The messages of a file (RFC 5655), and whether the last one is whole.
-///
-/// # Errors
-/// Says at which octet no message begins where one should.
-pub fn split_file(bytes: &[u8]) -> Result<Split<'_>, (usize, Fault)> {
-    let (mut at, mut messages) = (0, Vec::new());
-    while at < bytes.len() {
-        match Reader::length(&bytes[at..]).map_err(|e| (at, e))? {
-            Some(length) if at + length <= bytes.len() => {
-                messages.push(&bytes[at..at + length]);
-                at += length;
-            }
-            _ => return Ok((messages, Torn::At(at))),
+fn read_field_counts(
+    set: &mut Octets,
+    format: WireFormat,
+    kind: SetKind,
+) -> Result<FieldCounts, DecodeError> {
+    let first = set.u16()?;
+    match (format, kind) {
+        (WireFormat::NetflowV9, SetKind::OptionsTemplates) => {
+            let scope = first / NETFLOW_V9_SPECIFIER_OCTETS;
+            let others = set.u16()? / NETFLOW_V9_SPECIFIER_OCTETS;
+            Ok(FieldCounts {
+                all: usize::from(scope) + usize::from(others),
+                scope,
+            })
         }
+        (WireFormat::Ipfix, SetKind::OptionsTemplates) => Ok(FieldCounts {
+            all: usize::from(first),
+            scope: set.u16()?,
+        }),
+        _ => Ok(FieldCounts {
+            all: usize::from(first),
+            scope: 0,
+        }),
     }
-    Ok((messages, Torn::Whole))
+}
+
+fn read_template(
+    set: &mut Octets,
+    format: WireFormat,
+    counts: &FieldCounts,
+) -> Result<ReceivedTemplate, DecodeError> {
+    let is_within_limits = (1..=MAX_FIELDS_PER_TEMPLATE).contains(&counts.all);
+    if !is_within_limits || usize::from(counts.scope) > counts.all {
+        return Err(DecodeError::LimitExceeded);
+    }
+    let mut fields = Vec::with_capacity(counts.all);
+    for index in 0..counts.all {
+        let is_scope = index < usize::from(counts.scope);
+        fields.push(read_specifier(set, format, is_scope)?);
+    }
+    Ok(ReceivedTemplate {
+        scope_field_count: counts.scope,
+        fields,
+    })
+}
+
+fn read_specifier(
+    set: &mut Octets,
+    format: WireFormat,
+    is_scope: bool,
+) -> Result<FieldSpecifier, DecodeError> {
+    let element = set.u16()?;
+    let length = set.u16()?;
+    let has_enterprise_bit = element & ENTERPRISE_BIT != 0;
+    let enterprise = match format {
+        WireFormat::Ipfix if has_enterprise_bit => set.u32()?,
+        WireFormat::Ipfix => 0,
+        WireFormat::NetflowV9 if is_scope => NETFLOW_V9_SCOPE,
+        // NetFlow v9 has no enterprise numbers: large types are taken for the gateway's own elements.
+        WireFormat::NetflowV9 if has_enterprise_bit => ENTERPRISE_NUMBER,
+        WireFormat::NetflowV9 => 0,
+    };
+    Ok(FieldSpecifier {
+        enterprise,
+        element_id: element & !ENTERPRISE_BIT,
+        length,
+    })
 }
