--- a/crates/flow-metering/src/lib.rs
+++ b/crates/flow-metering/src/lib.rs
@@ -2,17 +2,17 @@
 //! `Flows` is told what ended and gives back sums that are due; each collector's `Pending` merges what waits for
 //! it and decides what is given up when it cannot all be kept. No I/O, no clock of its own.
 
-mod pending;
-mod sketch;
-mod sums;
-mod table;
-mod wheel;
+mod pending_flows;
+mod heavy_hitters;
+mod flow;
+mod flow_table;
+mod timer_wheel;
 
-pub use pending::{Dropped, Pending};
-pub use sketch::Busiest;
-pub use sums::{Flow, Key, Kind, Outcome, Road, Sums, BUCKETS};
-pub use table::Table;
-pub use wheel::Wheel;
+pub use pending_flows::{Dropped, Pending};
+pub use heavy_hitters::Busiest;
+pub use flow::{Flow, Key, Kind, Outcome, Road, Sums, BUCKETS};
+pub use flow_table::Table;
+pub use timer_wheel::Wheel;
 
 use harrierdock_types::{TimeDelta, Timestamp};
 
