--- a/crates/flow-metering/src/flow.rs
+++ b/crates/flow-metering/src/flow.rs
@@ -1,194 +1,164 @@
-//! What is summed, and under which key.
+//! What is observed, the key under which it is counted, and a flow: the counters of one key over an interval.
 
 use harrierdock_types::{TimeDelta, Timestamp};
 
-use crate::Ended;
+use crate::FlowCounters;
 
-/// What is counted: attempts to servers, or requests of clients.
+/// What a flow counts: attempts at endpoints, or requests of clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Kind {
-    Submission = 0,
-    Txn = 1,
+pub enum RecordKind {
+    /// Attempts at endpoints.
+    Attempt = 0,
+    /// Requests of clients.
+    Request = 1,
 }
 
-impl Kind {
-    pub const ALL: [Kind; 2] = [Kind::Submission, Kind::Txn];
-
-    pub fn name(self) -> &'static str {
-        match self {
-            Kind::Submission => "submission",
-            Kind::Txn => "txn",
-        }
-    }
+impl RecordKind {
+    /// All kinds, each at the index of its number.
+    pub const ALL: [RecordKind; 2] = [RecordKind::Attempt, RecordKind::Request];
 }
 
-/// How it ended: a attempt (the first eight), or a request.
+/// How an attempt (the first eight) or a request (the others) ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Outcome {
-    Served = 0,
-    Errored = 1,
-    Full = 2,
+pub enum FlowOutcome {
+    /// The endpoint answered.
+    Succeeded = 0,
+    /// The endpoint answered with an error.
+    ServerError = 1,
+    /// The endpoint rejected the attempt with the promise of no effect.
+    Rejected = 2,
+    /// The attempt's time was up.
     TimedOut = 3,
+    /// No connection came up.
     ConnectFailed = 4,
+    /// The connection broke.
     Reset = 5,
-    Recalled = 6,
-    Moot = 7,
-    Settled = 8,
-    Declined = 9,
-    Voided = 10,
-    Left = 11,
+    /// The gateway cancelled the attempt.
+    Cancelled = 6,
+    /// The attempt was dropped before its first byte.
+    NotSent = 7,
+    /// The request was answered.
+    RequestSucceeded = 8,
+    /// The request was rejected with the promise of no effect.
+    RequestRejected = 9,
+    /// The request ended with unknown effect.
+    RequestFailed = 10,
+    /// The client disconnected before the answer.
+    ClientDisconnected = 11,
 }
 
-impl Outcome {
-    pub const ALL: [Outcome; 12] = [
-        Outcome::Served,
-        Outcome::Errored,
-        Outcome::Full,
-        Outcome::TimedOut,
-        Outcome::ConnectFailed,
-        Outcome::Reset,
-        Outcome::Recalled,
-        Outcome::Moot,
-        Outcome::Settled,
-        Outcome::Declined,
-        Outcome::Voided,
-        Outcome::Left,
+impl FlowOutcome {
+    /// All outcomes, each at the index of its number.
+    pub const ALL: [FlowOutcome; 12] = [
+        FlowOutcome::Succeeded,
+        FlowOutcome::ServerError,
+        FlowOutcome::Rejected,
+        FlowOutcome::TimedOut,
+        FlowOutcome::ConnectFailed,
+        FlowOutcome::Reset,
+        FlowOutcome::Cancelled,
+        FlowOutcome::NotSent,
+        FlowOutcome::RequestSucceeded,
+        FlowOutcome::RequestRejected,
+        FlowOutcome::RequestFailed,
+        FlowOutcome::ClientDisconnected,
     ];
-
-    pub fn name(self) -> &'static str {
-        match self {
-            Outcome::Served => "served",
-            Outcome::Errored => "errored",
-            Outcome::Full => "full",
-            Outcome::TimedOut => "timed-out",
-            Outcome::ConnectFailed => "connect-failed",
-            Outcome::Reset => "reset",
-            Outcome::Recalled => "recalled",
-            Outcome::Moot => "moot",
-            Outcome::Settled => "settled",
-            Outcome::Declined => "declined",
-            Outcome::Voided => "voided",
-            Outcome::Left => "left",
-        }
-    }
 }
 
+/// Which sites a request went through.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Road {
-    Here = 0,
-    /// Handed over to the other site.
-    Across = 1,
-    /// Handed over by the other site.
-    Inward = 2,
+pub enum FlowPath {
+    /// Received and answered at the local site.
+    Local = 0,
+    /// Forwarded to the other site.
+    Forwarded = 1,
+    /// Received from the other site.
+    Inbound = 2,
 }
 
-impl Road {
-    pub fn name(self) -> &'static str {
-        match self {
-            Road::Here => "here",
-            Road::Across => "across",
-            Road::Inward => "inward",
-        }
-    }
+/// One attempt or request that ended.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Observation {
+    /// Whether it is an attempt or a request.
+    pub kind: RecordKind,
+    /// The build that served it; 0 where there is none.
+    pub build: u32,
+    /// The build's rollout stage.
+    pub stage: u8,
+    /// The request class.
+    pub class: u8,
+    /// How it ended.
+    pub outcome: FlowOutcome,
+    /// Which sites it went through.
+    pub path: FlowPath,
+    /// The endpoint of an attempt; none for requests.
+    pub endpoint: Option<u32>,
+    /// Whether it is an attempt after the request's first one.
+    pub is_retry: bool,
+    /// How long it took.
+    pub duration: TimeDelta,
+    /// The request class's latency objective.
+    pub latency_objective: TimeDelta,
+    /// Octets of the request's body.
+    pub request_octets: u64,
+    /// Octets of the response's body.
+    pub response_octets: u64,
 }
 
+/// What the counters of a flow have in common.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Key {
-    pub kind: Kind,
-    /// 0 where no build is known.
+pub struct FlowKey {
+    /// Whether attempts or requests are counted.
+    pub kind: RecordKind,
+    /// The build; 0 where there is none.
     pub build: u32,
+    /// The build's rollout stage.
     pub stage: u8,
+    /// The request class.
     pub class: u8,
-    pub outcome: Outcome,
-    pub road: Road,
-    /// None for all servers that have no row of their own.
+    /// How they ended.
+    pub outcome: FlowOutcome,
+    /// Which sites they went through.
+    pub path: FlowPath,
+    /// The endpoint; none for all endpoints that have no flow of their own.
     pub endpoint: Option<u32>,
 }
 
-impl Key {
-    pub fn of(ended: &Ended, endpoint: Option<u32>) -> Key {
-        Key {
-            kind: ended.kind,
-            build: ended.build,
-            stage: ended.stage,
-            class: ended.class,
-            outcome: ended.outcome,
-            road: ended.road,
+impl FlowKey {
+    /// The key of an observation, with the endpoint that it is to be counted under.
+    pub fn of(observation: &Observation, endpoint: Option<u32>) -> FlowKey {
+        FlowKey {
+            kind: observation.kind,
+            build: observation.build,
+            stage: observation.stage,
+            class: observation.class,
+            outcome: observation.outcome,
+            path: observation.path,
             endpoint,
         }
     }
 
-    /// The key in one number, for tables.
+    /// The key as one number, different for each key.
     pub fn packed(&self) -> u128 {
-        let endpoint = self.endpoint.map_or(0, |s| u128::from(s) + 1);
-        let small = (self.kind as u128) << 24
+        let endpoint = self.endpoint.map_or(0, |id| u128::from(id) + 1);
+        let low = (self.kind as u128) << 24
             | u128::from(self.stage) << 16
             | u128::from(self.class) << 8
             | (self.outcome as u128) << 2
-            | self.road as u128;
-        endpoint << 72 | u128::from(self.build) << 32 | small
+            | self.path as u128;
+        endpoint << 72 | u128::from(self.build) << 32 | low
     }
 }
 
-/// Classes of time taken, as parts of the latency objective: up to 1/8, 1/4, 1/2, 1, 2, 4, 8, and beyond.
-pub const BUCKETS: usize = 8;
-
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Sums {
-    pub count: u64,
-    pub second: u64,
-    /// Those that took longer than the latency objective.
-    pub late: u64,
-    /// Microseconds.
-    pub time: u64,
-    pub times: [u64; BUCKETS],
-    pub out: u64,
-    pub back: u64,
-}
-
-impl Sums {
-    pub fn add(&mut self, ended: &Ended) {
-        self.count += 1;
-        self.second += u64::from(ended.second);
-        self.late += u64::from(ended.took > ended.sla);
-        self.time = self.time.saturating_add(ended.took.0.max(0) as u64);
-        self.times[bucket(ended.took, ended.sla)] += 1;
-        self.out = self.out.saturating_add(ended.out);
-        self.back = self.back.saturating_add(ended.back);
-    }
-
-    /// Adds other sums. Those that would wrap stay at the largest number.
-    pub fn merge(&mut self, other: &Sums) {
-        let pairs = [
-            (&mut self.count, other.count),
-            (&mut self.second, other.second),
-            (&mut self.late, other.late),
-            (&mut self.time, other.time),
-            (&mut self.out, other.out),
-            (&mut self.back, other.back),
-        ];
-        pairs
-            .into_iter()
-            .for_each(|(sum, more)| *sum = sum.saturating_add(more));
-        self.times
-            .iter_mut()
-            .zip(other.times)
-            .for_each(|(sum, more)| *sum = sum.saturating_add(more));
-    }
-}
-
-fn bucket(took: TimeDelta, sla: TimeDelta) -> usize {
-    let eighth = (sla.0 / 8).max(1);
-    (0..BUCKETS - 1)
-        .find(|n| took.0 <= eighth << n)
-        .unwrap_or(BUCKETS - 1)
-}
-
-/// Sums of one key over an interval.
+/// The counters of one key over an interval.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Flow {
-    pub key: Key,
-    pub sums: Sums,
-    pub from: Timestamp,
-    pub until: Timestamp,
+    /// What is counted.
+    pub key: FlowKey,
+    /// The counts.
+    pub counters: FlowCounters,
+    /// When the interval starts.
+    pub start: Timestamp,
+    /// When the interval ends.
+    pub end: Timestamp,
 }
--- a/crates/flow-metering/src/flow_table.rs
+++ b/crates/flow-metering/src/flow_table.rs
@@ -1,135 +1,197 @@
-//! A table by key: open addressing over small slots, the rows themselves dense, so that a walk or a drain costs what
-//! is in it and a touch costs one hash and, mostly, one look.
+//! A hash table by flow key: open addressing over small slots that point into dense rows.
+//!
+//! Iterating and draining cost what is in the table, and a lookup costs one hash and mostly one probe.
 
-use crate::Key;
+use crate::FlowKey;
 
-const EMPTY: u32 = u32::MAX;
+const EMPTY_ROW: u32 = u32::MAX;
+const INITIAL_SLOTS: usize = 64;
 
-pub struct Table<T> {
-    /// A hash's high bits and the row's place.
-    slots: Vec<(u32, u32)>,
-    rows: Vec<(Key, T)>,
+/// A slot of the hash table: the high bits of the key's hash, and the index of its row.
+#[derive(Clone, Copy)]
+struct Slot {
+    tag: u32,
+    row: u32,
 }
 
-impl<T> Default for Table<T> {
-    fn default() -> Table<T> {
-        Table::new()
+impl Slot {
+    const EMPTY: Slot = Slot {
+        tag: 0,
+        row: EMPTY_ROW,
+    };
+
+    fn new(key: &FlowKey, row: usize) -> Slot {
+        Slot {
+            tag: tag(hash(key)),
+            row: row as u32,
+        }
+    }
+
+    fn is_empty(self) -> bool {
+        self.row == EMPTY_ROW
     }
 }
 
-fn hash(key: &Key) -> u64 {
+/// Where a key was looked for.
+enum Lookup {
+    /// The slot that holds the key.
+    Occupied(usize),
+    /// The empty slot in which the key belongs.
+    Vacant(usize),
+}
+
+/// A table of values by flow key. Rows are in the order of insertion, but a removal moves the last row into the gap.
+pub struct FlowTable<T> {
+    slots: Vec<Slot>,
+    rows: Vec<(FlowKey, T)>,
+}
+
+impl<T> Default for FlowTable<T> {
+    fn default() -> FlowTable<T> {
+        FlowTable::new()
+    }
+}
+
+/// Multiplies both halves of the key and folds the product.
+fn hash(key: &FlowKey) -> u64 {
     let packed = key.packed();
-    // Multiply and fold, over both halves.
-    let (low, high) = (
-        packed as u64 ^ 0x9e37_79b9_7f4a_7c15,
-        (packed >> 64) as u64 ^ 0xd6e8_feb8_6659_fd93,
-    );
-    let wide = u128::from(low) * u128::from(high | 1);
-    let folded = wide as u64 ^ (wide >> 64) as u64;
+    let low = packed as u64 ^ 0x9e37_79b9_7f4a_7c15;
+    let high = (packed >> 64) as u64 ^ 0xd6e8_feb8_6659_fd93;
+    let product = u128::from(low) * u128::from(high | 1);
+    let folded = product as u64 ^ (product >> 64) as u64;
     folded.wrapping_mul(0xff51_afd7_ed55_8ccd) ^ folded >> 32
 }
 
-impl<T> Table<T> {
-    pub fn new() -> Table<T> {
-        Table {
-            slots: vec![(0, EMPTY); 64],
+fn tag(hash: u64) -> u32 {
+    (hash >> 32) as u32
+}
+
+impl<T> FlowTable<T> {
+    /// An empty table.
+    pub fn new() -> FlowTable<T> {
+        FlowTable {
+            slots: vec![Slot::EMPTY; INITIAL_SLOTS],
             rows: Vec::new(),
         }
     }
 
+    /// How many keys the table holds.
     pub fn len(&self) -> usize {
         self.rows.len()
     }
 
+    /// Whether the table holds no key.
     pub fn is_empty(&self) -> bool {
         self.rows.is_empty()
     }
 
-    /// The slot that holds the key, or the empty one where it would go.
-    fn find(&self, key: &Key) -> (usize, bool) {
-        let (hash, mask) = (hash(key), self.slots.len() - 1);
-        let tag = (hash >> 32) as u32;
-        let mut at = hash as usize & mask;
+    fn mask(&self) -> usize {
+        self.slots.len() - 1
+    }
+
+    fn find(&self, key: &FlowKey) -> Lookup {
+        let hash = hash(key);
+        let mask = self.mask();
+        let tag = tag(hash);
+        let mut index = hash as usize & mask;
         loop {
-            let (held, row) = self.slots[at];
-            if row == EMPTY {
-                return (at, false);
+            let slot = self.slots[index];
+            if slot.is_empty() {
+                return Lookup::Vacant(index);
             }
-            if held == tag && self.rows[row as usize].0 == *key {
-                return (at, true);
+            if slot.tag == tag && self.rows[slot.row as usize].0 == *key {
+                return Lookup::Occupied(index);
             }
-            at = (at + 1) & mask;
+            index = (index + 1) & mask;
         }
     }
 
-    pub fn contains(&self, key: &Key) -> bool {
-        self.find(key).1
+    /// Whether the table holds the key.
+    pub fn contains(&self, key: &FlowKey) -> bool {
+        matches!(self.find(key), Lookup::Occupied(_))
     }
 
-    pub fn get_mut(&mut self, key: &Key) -> Option<&mut T> {
-        let (at, held) = self.find(key);
-        held.then(|| &mut self.rows[self.slots[at].1 as usize].1)
+    /// The value of a key.
+    pub fn get_mut(&mut self, key: &FlowKey) -> Option<&mut T> {
+        match self.find(key) {
+            Lookup::Occupied(index) => {
+                let row = self.slots[index].row as usize;
+                Some(&mut self.rows[row].1)
+            }
+            Lookup::Vacant(_) => None,
+        }
     }
 
-    /// Puts a row in; gives back the one that the key had.
-    pub fn insert(&mut self, key: Key, value: T) -> Option<T> {
+    /// Sets the value of a key, and returns the value that it had.
+    pub fn insert(&mut self, key: FlowKey, value: T) -> Option<T> {
+        // At most half of the slots are in use, so that probes stay short.
         if (self.rows.len() + 1) * 2 > self.slots.len() {
             self.grow();
         }
-        let (at, held) = self.find(&key);
-        if held {
-            return Some(std::mem::replace(
-                &mut self.rows[self.slots[at].1 as usize].1,
-                value,
-            ));
+        match self.find(&key) {
+            Lookup::Occupied(index) => {
+                let row = self.slots[index].row as usize;
+                Some(std::mem::replace(&mut self.rows[row].1, value))
+            }
+            Lookup::Vacant(index) => {
+                self.slots[index] = Slot::new(&key, self.rows.len());
+                self.rows.push((key, value));
+                None
+            }
         }
-        self.slots[at] = ((hash(&key) >> 32) as u32, self.rows.len() as u32);
-        self.rows.push((key, value));
-        None
     }
 
     fn grow(&mut self) {
-        self.slots = vec![(0, EMPTY); self.slots.len() * 2];
+        self.slots = vec![Slot::EMPTY; self.slots.len() * 2];
         for row in 0..self.rows.len() {
             let key = self.rows[row].0;
-            let (at, _) = self.find(&key);
-            self.slots[at] = ((hash(&key) >> 32) as u32, row as u32);
+            if let Lookup::Vacant(index) = self.find(&key) {
+                self.slots[index] = Slot::new(&key, row);
+            }
         }
     }
 
-    pub fn remove(&mut self, key: &Key) -> Option<T> {
-        let (mut at, held) = self.find(key);
-        if !held {
+    /// Removes a key, and returns its value.
+    pub fn remove(&mut self, key: &FlowKey) -> Option<T> {
+        let Lookup::Occupied(index) = self.find(key) else {
             return None;
-        }
-        let (row, mask) = (self.slots[at].1 as usize, self.slots.len() - 1);
-        // What stands behind it in the same run moves up, so that no mark of a removed one is needed.
-        let mut next = (at + 1) & mask;
-        while self.slots[next].1 != EMPTY {
-            let home = hash(&self.rows[self.slots[next].1 as usize].0) as usize & mask;
-            if (next.wrapping_sub(home) & mask) >= (next.wrapping_sub(at) & mask) {
-                self.slots[at] = self.slots[next];
-                at = next;
-            }
-            next = (next + 1) & mask;
-        }
-        self.slots[at] = (0, EMPTY);
-        // The last row takes its place; its slot must say so.
+        };
+        let row = self.slots[index].row as usize;
+        self.vacate(index);
+        // The last row moves into the gap, so its slot has to point there.
         let last = self.rows.len() - 1;
         if row != last {
-            let (moved, _) = self.find(&self.rows[last].0);
-            self.slots[moved].1 = row as u32;
+            if let Lookup::Occupied(moved) = self.find(&self.rows[last].0) {
+                self.slots[moved].row = row as u32;
+            }
         }
         Some(self.rows.swap_remove(row).1)
     }
 
-    pub fn iter(&self) -> impl Iterator<Item = &(Key, T)> {
+    /// Empties a slot, and shifts back the slots after it that were displaced by it, so that no tombstone is needed.
+    fn vacate(&mut self, mut index: usize) {
+        let mask = self.mask();
+        let mut next = (index + 1) & mask;
+        while !self.slots[next].is_empty() {
+            let row = self.slots[next].row as usize;
+            let preferred = hash(&self.rows[row].0) as usize & mask;
+            if (next.wrapping_sub(preferred) & mask) >= (next.wrapping_sub(index) & mask) {
+                self.slots[index] = self.slots[next];
+                index = next;
+            }
+            next = (next + 1) & mask;
+        }
+        self.slots[index] = Slot::EMPTY;
+    }
+
+    /// All keys with their values, in the order of the rows.
+    pub fn iter(&self) -> impl Iterator<Item = &(FlowKey, T)> {
         self.rows.iter()
     }
 
-    /// Takes all rows out.
-    pub fn drain(&mut self) -> Vec<(Key, T)> {
-        self.slots.iter_mut().for_each(|slot| *slot = (0, EMPTY));
+    /// Removes all keys, and returns them with their values in the order of the rows.
+    pub fn drain(&mut self) -> Vec<(FlowKey, T)> {
+        self.slots.fill(Slot::EMPTY);
         std::mem::take(&mut self.rows)
     }
 }
--- a/crates/flow-metering/src/pending_flows.rs
+++ b/crates/flow-metering/src/pending_flows.rs
@@ -1,35 +1,45 @@
-//! What waits for one collector. The next interval's sums join those that wait under the same key, and the interval
-//! widens; when there are too many keys, servers are folded into their release, then stages into their build. Only
-//! what has no room even then is dropped, and counted.
+//! The flows that wait for one collector.
+//!
+//! A flow joins the one that waits under the same key, and that one's interval widens. When there are too many keys, endpoints are
+//! aggregated into their build, and then stages. Only what doesn't fit even then is dropped, and counted.
 
 use std::collections::BTreeMap;
 
-use crate::{Flow, Key, Kind};
+use crate::{Flow, FlowKey, RecordKind};
 
-/// How many were dropped, by kind, and how many sums they stood in.
+/// What was dropped because too many keys waited.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Dropped {
-    pub counts: [u64; Kind::ALL.len()],
+pub struct DroppedFlows {
+    /// Attempts and requests, by kind.
+    pub counts: [u64; RecordKind::ALL.len()],
+    /// The flows that counted them.
     pub flows: u64,
 }
 
-/// What is folded together for want of room.
+impl DroppedFlows {
+    fn add(&mut self, flow: &Flow) {
+        self.counts[flow.key.kind as usize] += flow.counters.count;
+        self.flows += 1;
+    }
+}
+
+/// How far keys are aggregated.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Fold {
-    Nothing,
-    Servers,
-    Stages,
+enum Aggregation {
+    None,
+    Endpoints,
+    EndpointsAndStages,
 }
 
-impl Fold {
-    fn key(self, key: Key) -> Key {
+impl Aggregation {
+    fn apply(self, key: FlowKey) -> FlowKey {
         match self {
-            Fold::Nothing => key,
-            Fold::Servers => Key {
+            Aggregation::None => key,
+            Aggregation::Endpoints => FlowKey {
                 endpoint: None,
                 ..key
             },
-            Fold::Stages => Key {
+            Aggregation::EndpointsAndStages => FlowKey {
                 endpoint: None,
                 stage: 0,
                 ..key
@@ -38,102 +48,97 @@
     }
 }
 
-pub struct Pending {
-    most: usize,
-    fold: Fold,
-    flows: BTreeMap<Key, Flow>,
-    dropped: Dropped,
-    /// How often sums were merged because they waited.
-    pub merged: u64,
+/// A bounded table of the flows that wait for one collector.
+pub struct PendingFlows {
+    max_keys: usize,
+    aggregation: Aggregation,
+    flows: BTreeMap<FlowKey, Flow>,
+    dropped: DroppedFlows,
 }
 
-impl Pending {
-    /// Keeps so many keys at the most.
-    pub fn new(most: usize) -> Pending {
-        Pending {
-            most: most.max(1),
-            fold: Fold::Nothing,
+impl PendingFlows {
+    /// An empty table of so many keys at most, one at least.
+    pub fn new(max_keys: usize) -> PendingFlows {
+        PendingFlows {
+            max_keys: max_keys.max(1),
+            aggregation: Aggregation::None,
             flows: BTreeMap::new(),
-            dropped: Dropped::default(),
-            merged: 0,
+            dropped: DroppedFlows::default(),
         }
     }
 
+    /// How many flows wait.
     pub fn len(&self) -> usize {
         self.flows.len()
     }
 
+    /// Whether no flow waits.
     pub fn is_empty(&self) -> bool {
         self.flows.is_empty()
     }
 
     /// All that was dropped so far.
-    pub fn dropped(&self) -> Dropped {
+    pub fn dropped(&self) -> DroppedFlows {
         self.dropped
     }
 
+    /// Adds a flow, or returns one that could not be sent.
     pub fn add(&mut self, flow: Flow) {
         loop {
-            let key = self.fold.key(flow.key);
-            if self.flows.contains_key(&key) {
-                return self.join(key, &flow);
+            let key = self.aggregation.apply(flow.key);
+            if self.merge(key, &flow) {
+                return;
             }
-            if self.flows.len() < self.most {
+            if self.flows.len() < self.max_keys {
                 self.flows.insert(key, Flow { key, ..flow });
                 return;
             }
-            // Guards against folding again and again what is folded already: each step is taken once, until all
-            // that waits has gone.
-            match self.fold {
-                Fold::Nothing => self.fold_to(Fold::Servers),
-                Fold::Servers => self.fold_to(Fold::Stages),
-                Fold::Stages => {
-                    self.dropped.counts[key.kind as usize] += flow.sums.count;
-                    self.dropped.flows += 1;
+            // Each step of aggregation is taken once until the table is empty again, so the loop ends.
+            match self.aggregation {
+                Aggregation::None => self.aggregate(Aggregation::Endpoints),
+                Aggregation::Endpoints => self.aggregate(Aggregation::EndpointsAndStages),
+                Aggregation::EndpointsAndStages => {
+                    self.dropped.add(&flow);
                     return;
                 }
             }
         }
     }
 
-    fn join(&mut self, place: Key, flow: &Flow) {
-        if let Some(held) = self.flows.get_mut(&place) {
-            held.sums.merge(&flow.sums);
-            (held.from, held.until) = (held.from.min(flow.from), held.until.max(flow.until));
-            self.merged += 1;
-        }
+    /// Merges a flow into the one that waits under a key. Returns false if there is none.
+    fn merge(&mut self, key: FlowKey, flow: &Flow) -> bool {
+        let Some(pending) = self.flows.get_mut(&key) else {
+            return false;
+        };
+        pending.counters.merge(&flow.counters);
+        pending.start = pending.start.min(flow.start);
+        pending.end = pending.end.max(flow.end);
+        true
     }
 
-    fn fold_to(&mut self, fold: Fold) {
-        self.fold = fold;
+    fn aggregate(&mut self, aggregation: Aggregation) {
+        self.aggregation = aggregation;
         for (key, flow) in std::mem::take(&mut self.flows) {
-            let key = fold.key(key);
-            match self.flows.get(&key) {
-                Some(_) => self.join(key, &flow),
-                None => drop(self.flows.insert(key, Flow { key, ..flow })),
+            let key = aggregation.apply(key);
+            if !self.merge(key, &flow) {
+                self.flows.insert(key, Flow { key, ..flow });
             }
         }
     }
 
-    /// Takes out the next that waits, by key.
-    pub fn take(&mut self) -> Option<Flow> {
-        let next = self.flows.pop_first().map(|(_, flow)| flow);
+    /// Takes the first flow, in the order of keys.
+    pub fn pop_first(&mut self) -> Option<Flow> {
+        let first = self.flows.pop_first().map(|(_, flow)| flow);
         if self.flows.is_empty() {
-            self.fold = Fold::Nothing;
+            self.aggregation = Aggregation::None;
         }
-        next
-    }
-
-    /// Puts back what could not be sent after all.
-    pub fn put_back(&mut self, flow: Flow) {
-        self.add(flow);
+        first
     }
 
-    /// Gives up all that waits, counted as dropped.
-    pub fn give_up(&mut self) {
-        for (key, flow) in std::mem::take(&mut self.flows) {
-            self.dropped.counts[key.kind as usize] += flow.sums.count;
-            self.dropped.flows += 1;
+    /// Drops all flows that wait, and counts them as dropped.
+    pub fn drop_all(&mut self) {
+        for flow in std::mem::take(&mut self.flows).into_values() {
+            self.dropped.add(&flow);
         }
     }
 }
--- a/crates/flow-metering/src/timer_wheel.rs
+++ b/crates/flow-metering/src/timer_wheel.rs
@@ -1,59 +1,62 @@
-//! A wheel of time-outs: what is due within its span is put into the slot of its turn, and each turn takes one slot.
+//! A timer wheel: a timer goes into the slot of the tick in which it expires, and each tick empties one slot.
 
 use harrierdock_types::{TimeDelta, Timestamp};
 
-pub struct Wheel<T> {
+/// Timers by the tick in which they expire.
+pub struct TimerWheel<T> {
     slots: Vec<Vec<T>>,
-    turn: TimeDelta,
-    at: usize,
-    next: Timestamp,
+    tick: TimeDelta,
+    current_slot: usize,
+    next_tick: Timestamp,
 }
 
-impl<T> Wheel<T> {
-    /// `slots` turns of this length; what is due later than that comes in the last of them.
-    pub fn new(now: Timestamp, turn: TimeDelta, slots: usize) -> Wheel<T> {
-        let turn = turn.max(TimeDelta(1));
-        Wheel {
+impl<T> TimerWheel<T> {
+    /// A wheel of so many slots, two at least, each one tick long. A timer beyond the wheel's span expires in its last slot.
+    pub fn new(now: Timestamp, tick: TimeDelta, slots: usize) -> TimerWheel<T> {
+        let tick = tick.max(TimeDelta(1));
+        TimerWheel {
             slots: (0..slots.max(2)).map(|_| Vec::new()).collect(),
-            turn,
-            at: 0,
-            next: now + turn,
+            tick,
+            current_slot: 0,
+            next_tick: now + tick,
         }
     }
 
-    /// Never due early; late by less than a turn.
-    pub fn set(&mut self, due: Timestamp, what: T) {
-        let left = (due - self.next).0.max(0);
-        let turns =
-            ((left + self.turn.0 - 1) / self.turn.0).min(self.slots.len() as i64 - 1) as usize;
-        let at = (self.at + turns) % self.slots.len();
-        self.slots[at].push(what);
+    /// Sets a timer. Within the wheel's span it never expires early, and late by less than a tick.
+    pub fn schedule(&mut self, deadline: Timestamp, timer: T) {
+        let remaining = (deadline - self.next_tick).0.max(0);
+        let last_slot = self.slots.len() as i64 - 1;
+        let ticks = ((remaining + self.tick.0 - 1) / self.tick.0).min(last_slot) as usize;
+        let slot = (self.current_slot + ticks) % self.slots.len();
+        self.slots[slot].push(timer);
     }
 
-    /// All that has come due.
-    pub fn turn(&mut self, now: Timestamp) -> Vec<T> {
-        let mut due = Vec::new();
-        let mut turns = 0;
-        while self.next <= now {
-            due.append(&mut self.slots[self.at]);
-            self.at = (self.at + 1) % self.slots.len();
-            self.next = self.next + self.turn;
-            turns += 1;
-            // After a full round everything has come; the turns that were missed meanwhile are skipped.
-            if turns >= self.slots.len() {
-                let behind = (now - self.next).0.max(-1) / self.turn.0 + 1;
-                self.next = self.next + TimeDelta(self.turn.0.saturating_mul(behind.max(0)));
-                break;
+    /// Advances to this point in time, and returns all timers that have expired.
+    pub fn advance(&mut self, now: Timestamp) -> Vec<T> {
+        let mut expired = Vec::new();
+        for _ in 0..self.slots.len() {
+            if self.next_tick > now {
+                return expired;
             }
+            expired.append(&mut self.slots[self.current_slot]);
+            self.current_slot = (self.current_slot + 1) % self.slots.len();
+            self.next_tick = self.next_tick + self.tick;
         }
-        due
+        // After a full round every timer has expired; ticks missed beyond it are skipped.
+        let missed = (now - self.next_tick).0.max(-1) / self.tick.0 + 1;
+        self.next_tick = self.next_tick + TimeDelta(self.tick.0.saturating_mul(missed.max(0)));
+        expired
     }
 
-    pub fn next(&self) -> Timestamp {
-        self.next
+    /// When the next tick is.
+    pub fn next_tick(&self) -> Timestamp {
+        self.next_tick
     }
 
+    /// Cancels all timers.
     pub fn clear(&mut self) {
-        self.slots.iter_mut().for_each(Vec::clear);
+        for slot in &mut self.slots {
+            slot.clear();
+        }
     }
 }
--- a/crates/gateway/src/dispatch/dispatcher.rs
+++ b/crates/gateway/src/dispatch/dispatcher.rs
@@ -145,7 +145,7 @@
                 }
             }
             Notice::Left { id } => {
-                if self.close_txn(id, Ending::Left, flows::Outcome::Left) {
+                if self.close_txn(id, Ending::Left, flows::FlowOutcome::ClientDisconnected) {
                     self.answer_across(now, id, Verdict::Voided, None, Vec::new());
                     self.sites(now, Crossing::Left { id });
                     self.take(now, Event::ClientDisconnected { id });
@@ -187,7 +187,7 @@
                     );
                 }
                 if let Some(mut told) = told {
-                    if !self.close_txn(id, Ending::Settled, flows::Outcome::Settled) {
+                    if !self.close_txn(id, Ending::Settled, flows::FlowOutcome::RequestSucceeded) {
                         self.room.buffers.release(&mut told.buffer);
                     } else if self.is_inward(id) {
                         let body = told.buffer[told.body.clone()].to_vec();
@@ -222,7 +222,7 @@
     }
 
     /// The request has its answer, or needs none any more. Gives back whether it had none before.
-    fn close_txn(&mut self, id: RequestId, ending: Ending, outcome: flows::Outcome) -> bool {
+    fn close_txn(&mut self, id: RequestId, ending: Ending, outcome: flows::FlowOutcome) -> bool {
         let Some(entry) = self.driver.book.get_mut(&id).filter(|e| !e.answered) else {
             return false;
         };
@@ -231,9 +231,9 @@
         let (class, taken, whereabouts) = (entry.class, entry.taken, entry.whereabouts);
         if let Some(export) = &mut self.export {
             let road = match (entry.inward, whereabouts) {
-                (true, _) => flows::Road::Inward,
-                (_, Whereabouts::Across) => flows::Road::Across,
-                _ => flows::Road::Here,
+                (true, _) => flows::FlowPath::Inbound,
+                (_, Whereabouts::Across) => flows::FlowPath::Forwarded,
+                _ => flows::FlowPath::Local,
             };
             let now = self.room.clock.now();
             export.request(now, class, outcome, road, now - taken);
@@ -408,9 +408,9 @@
             Answer::Declined { .. } | Answer::Voided => Ending::Failed,
         };
         let outcome = match &answer {
-            Answer::Settled(_) => flows::Outcome::Settled,
-            Answer::Declined { .. } => flows::Outcome::Declined,
-            Answer::Voided => flows::Outcome::Voided,
+            Answer::Settled(_) => flows::FlowOutcome::RequestSucceeded,
+            Answer::Declined { .. } => flows::FlowOutcome::RequestRejected,
+            Answer::Voided => flows::FlowOutcome::RequestFailed,
         };
         if !self.close_txn(id, ending, outcome) {
             return;
--- a/crates/gateway/src/flow_export/exporter.rs
+++ b/crates/gateway/src/flow_export/exporter.rs
@@ -10,7 +10,9 @@
 
 use harrierdock_config::Names;
 use harrierdock_flow_metering::{
-    Dropped, Flow, Flows, Kind, Outcome, Pending, Road as Way, Sums, BUCKETS, KEYS,
+    DroppedFlows as Dropped, Flow, FlowCounters, FlowMeter as Flows, FlowOutcome as Outcome,
+    FlowPath as Way, Observation, PendingFlows as Pending, RecordKind as Kind,
+    DURATION_BUCKETS as BUCKETS, MAX_FLOW_KEYS as KEYS,
 };
 use harrierdock_ipfix::{
     DataType as Type, InformationElement as Element, MessageWriter as Writer, Semantics, Template,
@@ -273,14 +275,14 @@
 
 fn outcome(ended: Ended) -> Outcome {
     match ended {
-        Ended::Succeeded => Outcome::Served,
-        Ended::ServerError => Outcome::Errored,
-        Ended::Rejected => Outcome::Full,
+        Ended::Succeeded => Outcome::Succeeded,
+        Ended::ServerError => Outcome::ServerError,
+        Ended::Rejected => Outcome::Rejected,
         Ended::TimedOut => Outcome::TimedOut,
         Ended::ConnectFailed => Outcome::ConnectFailed,
         Ended::Reset => Outcome::Reset,
-        Ended::Cancelled => Outcome::Recalled,
-        Ended::NotSent => Outcome::Moot,
+        Ended::Cancelled => Outcome::Cancelled,
+        Ended::NotSent => Outcome::NotSent,
     }
 }
 
@@ -297,6 +299,38 @@
     pub back: usize,
 }
 
+fn kind_name(kind: Kind) -> &'static str {
+    match kind {
+        Kind::Attempt => "submission",
+        Kind::Request => "txn",
+    }
+}
+
+fn outcome_name(outcome: Outcome) -> &'static str {
+    match outcome {
+        Outcome::Succeeded => "served",
+        Outcome::ServerError => "errored",
+        Outcome::Rejected => "full",
+        Outcome::TimedOut => "timed-out",
+        Outcome::ConnectFailed => "connect-failed",
+        Outcome::Reset => "reset",
+        Outcome::Cancelled => "recalled",
+        Outcome::NotSent => "moot",
+        Outcome::RequestSucceeded => "settled",
+        Outcome::RequestRejected => "declined",
+        Outcome::RequestFailed => "voided",
+        Outcome::ClientDisconnected => "left",
+    }
+}
+
+fn path_name(path: Way) -> &'static str {
+    match path {
+        Way::Local => "here",
+        Way::Forwarded => "across",
+        Way::Inbound => "inward",
+    }
+}
+
 fn unix_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -364,7 +398,7 @@
             sealed
                 .flows
                 .into_iter()
-                .for_each(|flow| self.pending.put_back(flow));
+                .for_each(|flow| self.pending.add(flow));
         }
     }
 
@@ -464,20 +498,20 @@
             room = room.saturating_sub(64);
         }
         while room > 0 {
-            let Some(flow) = self.pending.take() else {
+            let Some(flow) = self.pending.pop_first() else {
                 break;
             };
             let key = flow.key;
             let class = names.classes.name(ClassId(usize::from(key.class)));
             let mut values = vec![
-                Value::Number(at(flow.from)),
-                Value::Number(at(flow.until)),
+                Value::Number(at(flow.start)),
+                Value::Number(at(flow.end)),
                 Value::from(class),
-                Value::from(key.outcome.name()),
-                Value::from(key.road.name()),
+                Value::from(outcome_name(key.outcome)),
+                Value::from(path_name(key.path)),
             ];
             let template = match key.kind {
-                Kind::Submission => {
+                Kind::Attempt => {
                     let endpoint = key
                         .endpoint
                         .and_then(|s| names.endpoints.name(EndpointId(s as usize)))
@@ -489,17 +523,17 @@
                     ]);
                     &templates.submissions
                 }
-                Kind::Txn => &templates.requests,
+                Kind::Request => &templates.requests,
             };
-            let Sums {
+            let FlowCounters {
                 count,
-                second,
+                retries: second,
                 late,
-                time,
-                times,
-                out,
-                back,
-            } = flow.sums;
+                duration_us: time,
+                duration_histogram: times,
+                request_octets: out,
+                response_octets: back,
+            } = flow.counters;
             let sums = [count, second, late, time]
                 .into_iter()
                 .chain(times)
@@ -685,7 +719,7 @@
                     if !stream.write(&sealed.bytes)? {
                         return Ok(());
                     }
-                    let count = sealed.flows.iter().map(|f| f.sums.count).sum();
+                    let count = sealed.flows.iter().map(|f| f.counters.count).sum();
                     stream.lately.push_back((now, count));
                     while stream.lately.front().is_some_and(|l| now - l.0 > IN_DOUBT) {
                         stream.lately.pop_front();
@@ -919,27 +953,27 @@
 
     pub fn submission(&mut self, now: Timestamp, of: &Submission) {
         *self.by_build.entry(of.build).or_default() += 1;
-        self.count(Kind::Submission, of.build, of.class);
+        self.count(Kind::Attempt, of.build, of.class);
         let stage = if of.build == self.stage.0 {
             self.stage.1
         } else {
             0
         };
-        self.flows.record(
+        self.flows.observe(
             now,
-            &harrierdock_flow_metering::Ended {
-                kind: Kind::Submission,
+            &Observation {
+                kind: Kind::Attempt,
                 build: of.build,
                 stage,
                 class: of.class.0.min(255) as u8,
                 outcome: outcome(of.ended),
-                road: if of.inward { Way::Inward } else { Way::Here },
+                path: if of.inward { Way::Inbound } else { Way::Local },
                 endpoint: u32::try_from(of.endpoint).ok(),
-                second: of.second,
-                took: of.duration,
-                sla: self.slas.get(of.class.0).copied().unwrap_or(TimeDelta(1)),
-                out: of.out as u64,
-                back: of.back as u64,
+                is_retry: of.second,
+                duration: of.duration,
+                latency_objective: self.slas.get(of.class.0).copied().unwrap_or(TimeDelta(1)),
+                request_octets: of.out as u64,
+                response_octets: of.back as u64,
             },
         );
     }
@@ -960,7 +994,7 @@
         let rows = self
             .tally
             .iter()
-            .map(|((kind, build, p), n)| (kind.name(), build, name(*p), n));
+            .map(|((kind, build, p), n)| (kind_name(*kind), build, name(*p), n));
         serde_json::to_string(&rows.collect::<Vec<_>>()).unwrap_or_default()
     }
 
@@ -972,36 +1006,36 @@
         road: Way,
         duration: TimeDelta,
     ) {
-        self.count(Kind::Txn, 0, class);
-        self.flows.record(
+        self.count(Kind::Request, 0, class);
+        self.flows.observe(
             now,
-            &harrierdock_flow_metering::Ended {
-                kind: Kind::Txn,
+            &Observation {
+                kind: Kind::Request,
                 build: 0,
                 stage: 0,
                 class: class.0.min(255) as u8,
                 outcome,
-                road,
+                path: road,
                 endpoint: None,
-                second: false,
-                took: duration,
-                sla: self.slas.get(class.0).copied().unwrap_or(TimeDelta(1)),
-                out: 0,
-                back: 0,
+                is_retry: false,
+                duration,
+                latency_objective: self.slas.get(class.0).copied().unwrap_or(TimeDelta(1)),
+                request_octets: 0,
+                response_octets: 0,
             },
         );
     }
 
     pub fn next(&self) -> Timestamp {
-        self.flows.next()
+        self.flows.next_expiry()
     }
 
     /// A turn of the wheel: what is due joins what waits, and all lines are moved on.
     pub fn turn(&mut self, now: Timestamp, names: &Names, ends: bool) {
         let due = if ends {
-            self.flows.flush(now)
+            self.flows.take_all(now)
         } else {
-            self.flows.due(now)
+            self.flows.take_expired(now)
         };
         for collector in &mut self.collectors {
             due.iter()
@@ -1016,8 +1050,8 @@
             start: self.start,
             unix_ms: unix_ms(),
             domain: self.told.domain,
-            recorded: self.flows.recorded(),
-            ignored: self.flows.ignored.iter().sum(),
+            recorded: self.flows.observed(),
+            ignored: self.flows.ignored().iter().sum(),
             ends,
         };
         for collector in &mut self.collectors {
@@ -1082,7 +1116,7 @@
         }
         for mut gone in std::mem::take(&mut self.collectors) {
             gone.outbox.unseal();
-            gone.outbox.pending.give_up();
+            gone.outbox.pending.drop_all();
             let dropped = gone.outbox.pending.dropped().counts;
             tracing::warn!(
                 "flows: collector {} is gone; given up in all: {dropped:?}",
@@ -1099,13 +1133,13 @@
         self.turn(now, names, true);
         for collector in &mut self.collectors {
             collector.outbox.unseal();
-            collector.outbox.pending.give_up();
+            collector.outbox.pending.drop_all();
         }
         if let Some(file) = self.file.take() {
             file.close();
         }
         (
-            self.flows.recorded(),
+            self.flows.observed(),
             self.collectors.iter().map(Collector::tally).collect(),
         )
     }
