--- /dev/null
+++ b/crates/flow-export/src/lib.rs
@@ -0,0 +1,33 @@
+//! Flow export: sends the flows that `harrierdock-flow-metering` has counted to collectors by UDP, TCP or TLS, and writes them to a
+//! file; and reports on such files.
+//!
+//! Nothing here blocks the event loop: sockets are non-blocking and have buffers of their own, and a helper thread writes the file.
+//! All of them make progress whenever [`FlowExporter::export`] is called.
+
+#![warn(missing_docs, unreachable_pub)]
+
+mod collector;
+mod connection;
+mod error;
+mod export_context;
+mod exporter;
+mod file_writer;
+mod information_elements;
+mod key_files;
+mod observed_totals;
+mod rate_limit;
+pub mod report;
+mod rollout_share;
+mod rotating_file;
+mod send_queue;
+mod settings;
+mod templates;
+mod wire_names;
+
+pub use collector::CollectorSummary;
+pub use error::{FlowExportError, SettingsError};
+pub use exporter::{AttemptEnded, ExportSummary, ExporterSetup, FlowExporter, RequestEnded};
+pub use key_files::{KeyFileError, KeyFiles};
+pub use settings::{
+    CollectorSettings, FlowExportSettings, FlowFileSettings, MessageFormat, Transport,
+};
--- /dev/null
+++ b/crates/flow-export/src/rotating_file.rs
@@ -0,0 +1,122 @@
+//! A file of IPFIX messages (RFC 5655) that is rotated by size.
+
+use std::fs::{rename, File, OpenOptions};
+use std::io::{self, Read, Write};
+use std::path::{Path, PathBuf};
+
+use harrierdock_ipfix::{split_file, FileEnd};
+
+use crate::{FlowExportError, FlowFileSettings};
+
+const OCTETS_PER_MEGABYTE: u64 = 1 << 20;
+
+/// A file that messages are appended to.
+pub(crate) struct RotatingFile {
+    path: PathBuf,
+    file: File,
+    octets: u64,
+    max_octets: u64,
+    rotated_files: u32,
+    /// The first message, which holds the templates: each file begins with it, as it can be read by them alone.
+    templates: Vec<u8>,
+}
+
+/// The path of a rotated file.
+fn rotated_path(path: &Path, number: u32) -> PathBuf {
+    let mut name = path.as_os_str().to_owned();
+    name.push(format!(".{number}"));
+    name.into()
+}
+
+impl RotatingFile {
+    /// Opens a file to append to. A last message that a kill has cut short is removed.
+    ///
+    /// # Errors
+    /// The file cannot be opened, or holds something other than IPFIX messages.
+    pub(crate) fn open(
+        path: PathBuf,
+        settings: &FlowFileSettings,
+    ) -> Result<RotatingFile, FlowExportError> {
+        let failed = |source: io::Error| FlowExportError::FlowFile {
+            path: path.clone(),
+            source,
+        };
+        let mut file = OpenOptions::new()
+            .read(true)
+            .append(true)
+            .create(true)
+            .open(&path)
+            .map_err(failed)?;
+        let mut content = Vec::new();
+        file.read_to_end(&mut content).map_err(failed)?;
+        let split = split_file(&content).map_err(|e| FlowExportError::NotIpfix {
+            path: path.clone(),
+            offset: e.offset,
+            source: e.source,
+        })?;
+        if let FileEnd::TruncatedAt(offset) = split.end {
+            tracing::warn!("flows: {} is torn, cut at octet {offset}", path.display());
+            file.set_len(offset as u64).map_err(failed)?;
+        }
+        let octets = file.metadata().map_err(failed)?.len();
+        Ok(RotatingFile {
+            path,
+            file,
+            octets,
+            max_octets: u64::from(settings.max_megabytes.max(1)) * OCTETS_PER_MEGABYTE,
+            rotated_files: settings.rotated_files,
+            templates: Vec::new(),
+        })
+    }
+
+    pub(crate) fn path(&self) -> &Path {
+        &self.path
+    }
+
+    /// Appends a message, to the next file if it would make this one too large.
+    pub(crate) fn append(&mut self, message: &[u8]) -> io::Result<()> {
+        if self.templates.is_empty() {
+            self.templates = message.to_vec();
+        }
+        if self.octets + message.len() as u64 > self.max_octets {
+            self.rotate()?;
+            let templates = self.templates.clone();
+            self.write(&templates)?;
+        }
+        self.write(message)
+    }
+
+    fn write(&mut self, message: &[u8]) -> io::Result<()> {
+        self.file.write_all(message)?;
+        self.octets += message.len() as u64;
+        Ok(())
+    }
+
+    /// Renames this file and the earlier ones, and begins another.
+    fn rotate(&mut self) -> io::Result<()> {
+        for number in (1..self.rotated_files).rev() {
+            // There may be fewer rotated files than are kept.
+            let _ = rename(
+                rotated_path(&self.path, number),
+                rotated_path(&self.path, number + 1),
+            );
+        }
+        if self.rotated_files > 0 {
+            rename(&self.path, rotated_path(&self.path, 1))?;
+        }
+        self.file = OpenOptions::new()
+            .append(true)
+            .create(true)
+            .open(&self.path)?;
+        if self.rotated_files == 0 {
+            self.file.set_len(0)?;
+        }
+        self.octets = 0;
+        Ok(())
+    }
+
+    /// Writes everything through to the disk.
+    pub(crate) fn sync(&self) -> io::Result<()> {
+        self.file.sync_all()
+    }
+}
--- a/crates/gateway/src/config/extensions.rs
+++ b/crates/gateway/src/config/extensions.rs
@@ -3,9 +3,9 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
+use harrierdock_flow_export::{FlowExportSettings, KeyFiles};
 use harrierdock_site_messages::Party;
 use harrierdock_site_transport::{keys, Credentials};
-use harrierdock_types::TimeDelta;
 use schemars::JsonSchema;
 use serde::Deserialize;
 
@@ -19,7 +19,7 @@
     /// Another site that requests may cross to.
     pub sites: Option<Between>,
     /// Flow export.
-    pub flows: Option<FlowsTold>,
+    pub flows: Option<FlowExportSettings>,
     /// Duties that one gateway of a fleet holds at a time.
     pub fleet: Option<FleetTold>,
     /// The folder that paths in the file are relative to.
@@ -64,145 +64,6 @@
     pub address: SocketAddr,
 }
 
-/// PEM files, relative to this file's folder.
-#[derive(Clone, Debug, PartialEq, Deserialize, JsonSchema)]
-#[serde(deny_unknown_fields)]
-pub struct KeyFiles {
-    /// The certificate of the authority that both sites believe.
-    pub authority: PathBuf,
-    pub certificate: PathBuf,
-    pub key: PathBuf,
-}
-
-/// Flow export: sums by release, stage, request class, outcome and road.
-#[derive(Clone, Debug, PartialEq, Deserialize, JsonSchema)]
-#[serde(deny_unknown_fields)]
-pub struct FlowsTold {
-    /// After how many milliseconds sums that go on are told.
-    #[serde(default = "a_second")]
-    pub active_ms: u32,
-    /// The observation domain, or v9's source.
-    #[serde(default = "one")]
-    pub domain: u32,
-    #[serde(default)]
-    pub collectors: Vec<CollectorTold>,
-    pub file: Option<FlowFileTold>,
-}
-
-/// How a collector is reached.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, JsonSchema)]
-#[serde(rename_all = "lowercase")]
-pub enum CollectorRoad {
-    Udp,
-    Tcp,
-    /// TLS 1.3 on TCP, with `keys`.
-    Tls,
-}
-
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, JsonSchema)]
-#[serde(rename_all = "lowercase")]
-pub enum FlowForm {
-    #[default]
-    Ipfix,
-    V9,
-}
-
-#[derive(Clone, Debug, PartialEq, Deserialize, JsonSchema)]
-#[serde(deny_unknown_fields)]
-pub struct CollectorTold {
-    /// Another one for each collector; by it a reload knows what waits for whom.
-    pub name: String,
-    pub address: SocketAddr,
-    pub road: CollectorRoad,
-    #[serde(default)]
-    pub form: FlowForm,
-    /// The longest message over UDP, in octets; 1400 by default.
-    pub message_octets: Option<usize>,
-    /// Octets a second that it is sent at the most; what is beyond waits and is merged. 16384 by default.
-    #[serde(default = "octets")]
-    pub octets_a_second: u32,
-    pub keys: Option<KeyFiles>,
-    /// The name in the collector's certificate; its address by default.
-    pub server_name: Option<String>,
-}
-
-/// A file of IPFIX messages (RFC 5655).
-#[derive(Clone, Debug, PartialEq, Deserialize, JsonSchema)]
-#[serde(deny_unknown_fields)]
-pub struct FlowFileTold {
-    pub path: PathBuf,
-    /// How large it may become, in megabytes, before another one begins.
-    pub most_mb: u32,
-    /// Earlier ones kept: PATH.1 is the newest.
-    #[serde(default)]
-    pub keep: u32,
-}
-
-fn a_second() -> u32 {
-    1000
-}
-
-fn one() -> u32 {
-    1
-}
-
-fn octets() -> u32 {
-    16 * 1024
-}
-
-/// The shortest time after which sums may be told, in milliseconds.
-const ACTIVE_LEAST: u32 = 100;
-/// Collectors at the most.
-const COLLECTORS_MOST: usize = 8;
-/// Octets a second by which a collector still learns of each key in a while.
-const OCTETS_LEAST: u32 = 1024;
-/// What a message must hold, and what a datagram may, in octets.
-const OCTETS: std::ops::RangeInclusive<usize> = 512..=65_000;
-
-impl FlowsTold {
-    pub fn active(&self) -> TimeDelta {
-        TimeDelta(i64::from(self.active_ms) * 1000)
-    }
-
-    fn check(&self) -> Result<(), String> {
-        let field = |field: &str, e: &str| Err(format!("flows.{field}: {e}"));
-        if self.active_ms < ACTIVE_LEAST {
-            return field(
-                "active_ms",
-                &format!("{} is less than {ACTIVE_LEAST}", self.active_ms),
-            );
-        }
-        if self.collectors.len() > COLLECTORS_MOST {
-            return field("collectors", &format!("more than {COLLECTORS_MOST}"));
-        }
-        for (at, told) in self.collectors.iter().enumerate() {
-            let here = |name: &str| format!("collectors[{at}].{name}");
-            if self.collectors[..at].iter().any(|c| c.name == told.name) {
-                return field(&here("name"), &format!("'{}' is there twice", told.name));
-            }
-            if (told.road == CollectorRoad::Tls) != told.keys.is_some() {
-                return field(&here("keys"), "are for the road tls, which needs them");
-            }
-            if told.form == FlowForm::V9 && told.road != CollectorRoad::Udp {
-                return field(
-                    &here("form"),
-                    "v9 has no lengths of messages, so its road is udp",
-                );
-            }
-            if told.octets_a_second < OCTETS_LEAST {
-                return field(
-                    &here("octets_a_second"),
-                    &format!("is {OCTETS_LEAST} at the least"),
-                );
-            }
-            if told.message_octets.is_some_and(|o| !OCTETS.contains(&o)) {
-                return field(&here("message_octets"), "is from 512 to 65000");
-            }
-        }
-        Ok(())
-    }
-}
-
 impl With {
     /// Reads the file, if one is named.
     ///
@@ -227,12 +88,10 @@
     /// The field and the reason, in one line.
     pub fn check(&self, name: &str, classes: &[&str]) -> Result<(), String> {
         if let Some(flows) = &self.flows {
-            flows.check()?;
-            for told in &flows.collectors {
-                if let Some(files) = &told.keys {
-                    self.read_keys(files, &format!("flows.collectors.{}.keys", told.name))?;
-                }
-            }
+            flows.validate().map_err(|e| e.to_string())?;
+            flows
+                .check_key_files(&self.folder)
+                .map_err(|e| e.to_string())?;
         }
         let Some(sites) = &self.sites else {
             return Ok(());
@@ -273,7 +132,9 @@
 
     /// What is wrong with what it tells of flows.
     pub fn check_flows(&self) -> Result<(), String> {
-        self.flows.as_ref().map_or(Ok(()), FlowsTold::check)
+        self.flows
+            .as_ref()
+            .map_or(Ok(()), |flows| flows.validate().map_err(|e| e.to_string()))
     }
 
     /// What is wrong with what it tells of a fleet beside the configuration.
@@ -290,12 +151,17 @@
         let flows = self
             .flows
             .as_ref()
-            .map_or(0, |f| f.collectors.len() + usize::from(f.file.is_some()));
+            .map_or(0, FlowExportSettings::descriptors);
         // The steward's call, and one before it that is being closed.
         let fleet = if self.fleet.is_some() { 2 } else { 0 };
         sites + flows + fleet
     }
 
+    /// The folder that paths in the file are relative to.
+    pub fn folder(&self) -> &Path {
+        &self.folder
+    }
+
     /// A path in the file.
     pub fn path(&self, path: &Path) -> PathBuf {
         self.folder.join(path)
@@ -322,16 +188,7 @@
     /// # Errors
     /// The field and the reason, in one line.
     pub fn read_keys(&self, files: &KeyFiles, of: &str) -> Result<Credentials, String> {
-        let read = |field: &str, file: &Path| {
-            let path = self.path(file);
-            std::fs::read(&path).map_err(|e| format!("{of}.{field}: {}: {e}", path.display()))
-        };
-        let (authority, certificate) = (
-            read("authority", &files.authority)?,
-            read("certificate", &files.certificate)?,
-        );
-        let key = read("key", &files.key)?;
-        Credentials::read(&authority, &certificate, &key).map_err(|e| format!("{of}.{e}"))
+        files.read(&self.folder, of).map_err(|e| e.to_string())
     }
 }
 
--- a/crates/gateway/src/dispatch/dispatcher.rs
+++ b/crates/gateway/src/dispatch/dispatcher.rs
@@ -4,6 +4,7 @@
 use std::collections::BTreeMap;
 
 use harrierdock_config::Names;
+use harrierdock_flow_export::{AttemptEnded, RequestEnded};
 use harrierdock_flow_metering as flows;
 use harrierdock_multi_site::{Ending, Event as Crossing};
 use harrierdock_policy as policy;
@@ -13,7 +14,6 @@
 
 use crate::dispatch::request_table::{Entry, Whereabouts};
 use crate::downstream::Answer;
-use crate::flow_export::exporter::Submission;
 use crate::metrics::Count;
 use crate::runtime::context::Notice;
 use crate::runtime::gateway::Gateway;
@@ -102,7 +102,9 @@
             Notice::Event(event) => {
                 if let Event::RolloutUpdated(news) = &event {
                     self.steward_news(news);
-                    self.export.iter_mut().for_each(|export| export.stage(news));
+                    self.export
+                        .iter_mut()
+                        .for_each(|export| export.set_rollout(news));
                 }
                 let listed = matches!(event, Event::EndpointsUpdated { .. });
                 self.take(now, event);
@@ -136,7 +138,7 @@
                 self.driver.book.insert(id, entry);
                 self.room.dues.set(overdue, Due::Txn(id));
                 if let Some(export) = &mut self.export {
-                    export.taken();
+                    export.count_received_request();
                 }
                 if self.across.is_some() && inward.is_none() {
                     self.sites(now, Crossing::Txn { id, class, left });
@@ -230,13 +232,19 @@
         self.room.dues.cancel(entry.overdue, Due::Txn(id));
         let (class, taken, whereabouts) = (entry.class, entry.taken, entry.whereabouts);
         if let Some(export) = &mut self.export {
-            let road = match (entry.inward, whereabouts) {
+            let path = match (entry.inward, whereabouts) {
                 (true, _) => flows::FlowPath::Inbound,
                 (_, Whereabouts::Across) => flows::FlowPath::Forwarded,
                 _ => flows::FlowPath::Local,
             };
             let now = self.room.clock.now();
-            export.request(now, class, outcome, road, now - taken);
+            let ended = RequestEnded {
+                class,
+                outcome,
+                path,
+                duration: now - taken,
+            };
+            export.record_request(now, &ended);
         }
         if self.across.is_some() && matches!(whereabouts, Whereabouts::Here | Whereabouts::Back) {
             let now = self.room.now();
@@ -257,9 +265,9 @@
         now: Timestamp,
         id: RequestId,
         (endpoint, attempt): (EndpointId, usize),
-        ended: AttemptOutcome,
+        outcome: AttemptOutcome,
         duration: TimeDelta,
-        (out, back): (usize, usize),
+        (request_octets, response_octets): (usize, usize),
     ) {
         let Gateway {
             export: Some(export),
@@ -277,19 +285,18 @@
             .endpoints
             .get(&endpoint)
             .map_or(BuildId(0), |s| s.listed.build);
-        let (class, second, inward) = (entry.class, attempt > 0, entry.inward);
-        let of = Submission {
-            class,
-            build: build.0,
-            endpoint: endpoint.0,
-            ended,
+        let ended = AttemptEnded {
+            class: entry.class,
+            build,
+            endpoint,
+            outcome,
             duration,
-            second,
-            inward,
-            out,
-            back,
+            is_retry: attempt > 0,
+            is_inbound: entry.inward,
+            request_octets,
+            response_octets,
         };
-        export.submission(now, &of);
+        export.record_attempt(now, &ended);
     }
 
     pub fn is_inward(&self, id: RequestId) -> bool {
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -6,7 +6,6 @@
 mod control_plane;
 mod dispatch;
 mod downstream;
-mod flow_export;
 mod gossip;
 mod lease;
 mod metrics;
@@ -19,6 +18,7 @@
 use std::process::ExitCode;
 
 use harrierdock_event_loop::logging;
+use harrierdock_flow_export::report::FlowReport;
 
 use cli::arguments::{command_line, Command, Keys};
 use config::gateway::Told;
@@ -54,12 +54,15 @@
         }) => print(cli::keys::issue_all(&folder, &gateways, days)?),
         Command::Keys(Keys::Show { file }) => print(cli::keys::show_file(&file)?),
         Command::Flows { chart, files } => {
-            let read = cli::flow_report::Read::files(&files)?;
-            read.notes
+            let report = FlowReport::read(&files).map_err(|e| e.to_string())?;
+            report
+                .notes()
                 .iter()
                 .try_for_each(|note| say(io::stderr(), note))?;
-            print(read.table())?;
-            chart.map_or(Ok(()), |path| read.chart(&path))
+            print(report.table())?;
+            chart.map_or(Ok(()), |path| {
+                report.draw_charts(&path).map_err(|e| e.to_string())
+            })
         }
         Command::Site { word, control } => {
             print(multi_site::control_socket::say(&control, word.as_str())?)
--- a/crates/gateway/src/runtime/gateway.rs
+++ b/crates/gateway/src/runtime/gateway.rs
@@ -5,6 +5,7 @@
 use calloop::signals::{Event, Signal, Signals};
 use calloop::EventLoop;
 use harrierdock_event_loop::{logging, BufferPool, DescriptorBudget, IoContext};
+use harrierdock_flow_export::{ExporterSetup, FlowExporter};
 use harrierdock_types::{TimeDelta, Timestamp};
 
 use crate::config::extensions::With;
@@ -13,7 +14,6 @@
 use crate::control_plane::rollout_platform::Platform;
 use crate::dispatch::dispatcher::Driver;
 use crate::downstream::{Clients, Serving, UNUSED};
-use crate::flow_export::exporter::Export;
 use crate::gossip::Peers;
 use crate::lease::participant::Duties;
 use crate::metrics::Count;
@@ -47,7 +47,7 @@
     /// The other site, where one is told.
     pub across: Option<Across>,
     pub control: Option<Control>,
-    pub export: Option<Box<Export>>,
+    pub export: Option<Box<FlowExporter>>,
     /// This gateway's part in a fleet, and in the waves of a release, where they are told.
     pub duties: Option<Box<Duties>>,
     pub stewarding: Option<Box<Stewarding>>,
@@ -156,8 +156,20 @@
             .map_err(|e| format!("no signals: {e}"))?;
         // Guards against a signal that ends the program at once: a helper thread takes over the signals that are held
         // back when it starts, so it starts only now.
-        let slas = terms.classes.iter().map(|p| p.latency_objective).collect();
-        let export = Export::open(room.now(), &with, slas, told.seed())?.map(Box::new);
+        let latency_objectives = terms.classes.iter().map(|p| p.latency_objective).collect();
+        let export = match &with.flows {
+            Some(settings) => {
+                let setup = ExporterSetup {
+                    settings,
+                    folder: with.folder(),
+                    latency_objectives,
+                    seed: told.seed(),
+                };
+                let exporter = FlowExporter::open(room.now(), setup).map_err(|e| e.to_string())?;
+                Some(Box::new(exporter))
+            }
+            None => None,
+        };
         let on_signal = |event: Event, _: &mut (), gateway: &mut Gateway| match event.signal() {
             Signal::SIGHUP => gateway.reload(),
             _ => gateway.shut_down(),
@@ -362,7 +374,7 @@
         }
         let now = self.room.now();
         if let Some(export) = &mut self.export {
-            match export.renew(now, with) {
+            match export.reload(now, with.flows.as_ref(), with.folder()) {
                 Ok(()) => tracing::info!("flows: collectors are read again"),
                 Err(e) => tracing::warn!("flows: the collectors held stay: {e}"),
             }
@@ -372,8 +384,12 @@
     /// Flows are told where connections are looked after anyway, so that they wake nobody.
     fn tell_flows(&mut self) {
         let (now, ends) = (self.room.now(), self.shutdown_since.is_some());
-        if let Some(export) = self.export.as_mut().filter(|e| ends || e.next() <= now) {
-            export.turn(now, &self.driver.names, ends);
+        if let Some(export) = self
+            .export
+            .as_mut()
+            .filter(|e| ends || e.next_export() <= now)
+        {
+            export.export(now, &self.driver.names, ends);
         }
     }
 
@@ -401,16 +417,20 @@
         let Some(mut export) = self.export.take() else {
             return;
         };
-        tracing::info!("flows: tally {}", export.tally(&self.driver.names));
-        let (recorded, tallies) = export.end(now, &self.driver.names);
-        for t in tallies {
+        tracing::info!(
+            "flows: tally {}",
+            export.observed_totals_json(&self.driver.names)
+        );
+        let summary = export.close(now, &self.driver.names);
+        let recorded = summary.observed;
+        for t in summary.collectors {
             tracing::info!(
                 "flows: to {}: recorded {recorded:?} dropped {:?} in-doubt {} messages {} records {}",
                 t.name,
                 t.dropped.counts,
                 t.in_doubt,
-                t.messages,
-                t.records
+                t.sent_messages,
+                t.encoded_records
             );
         }
     }
--- a/crates/ipfix/src/decoded.rs
+++ b/crates/ipfix/src/decoded.rs
@@ -1,6 +1,6 @@
 //! Decoded messages and their records.
 
-/// Takes the place of the enterprise for scope fields of NetFlow v9, whose types are a number space of their own.
+/// Stands for the enterprise of scope fields of NetFlow v9, whose types are a number space of their own.
 pub const NETFLOW_V9_SCOPE: u32 = u32::MAX;
 
 /// One field of a decoded record.
--- a/crates/ipfix/src/writer.rs
+++ b/crates/ipfix/src/writer.rs
@@ -141,7 +141,7 @@
             id: set_id,
         });
         put_u16(&mut self.message, set_id);
-        // The length, known when the set is closed.
+        // The length, filled in when the set is closed.
         put_u16(&mut self.message, 0);
     }
 
