--- a/crates/ipfix/src/information_element.rs
+++ b/crates/ipfix/src/information_element.rs
@@ -1,6 +1,6 @@
 //! Information elements: what a field of a record means, and how many octets it takes.
 
-/// The enterprise number reserved for documentation (RFC 5612), under which the gateway's own elements are registered.
+/// The enterprise number reserved for documentation (RFC 5612), under which the gateway's own elements are defined.
 pub const ENTERPRISE_NUMBER: u32 = 32_473;
 /// The length in a template of a field whose records carry its length (RFC 7011, section 7).
 pub const VARIABLE_LENGTH: u16 = 65_535;
