--- a/crates/flow-export/src/exporter.rs
+++ b/crates/flow-export/src/exporter.rs
@@ -144,12 +144,12 @@
     /// Counts an attempt that ended.
     pub fn record_attempt(&mut self, now: Timestamp, attempt: &AttemptEnded) {
         let build = attempt.build;
-        self.shares.count_attempt(build.0);
+        self.shares.count_attempt(build);
         self.totals.count(RecordKind::Attempt, build, attempt.class);
         let observation = Observation {
             kind: RecordKind::Attempt,
-            build: build.0,
-            stage: self.shares.stage_of(build.0),
+            build,
+            stage: self.shares.stage_of(build),
             class: flow_class(attempt.class),
             outcome: attempt_outcome(attempt.outcome),
             path: if attempt.is_inbound {
@@ -173,7 +173,7 @@
             .count(RecordKind::Request, BuildId(0), request.class);
         let observation = Observation {
             kind: RecordKind::Request,
-            build: 0,
+            build: BuildId(0),
             stage: 0,
             class: flow_class(request.class),
             outcome: request.outcome,
--- a/crates/flow-export/src/rollout_share.rs
+++ b/crates/flow-export/src/rollout_share.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use harrierdock_types::{RolloutUpdate, Timestamp};
+use harrierdock_types::{BuildId, RolloutUpdate, Timestamp};
 
 /// Shares that wait for one collector, at most.
 const MAX_PENDING_SHARES: usize = 256;
@@ -11,7 +11,7 @@
 /// A build at a stage of its rollout.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct BuildStage {
-    pub(crate) build: u32,
+    pub(crate) build: BuildId,
     pub(crate) stage: u8,
 }
 
@@ -32,7 +32,7 @@
     rollout: BuildStage,
     exposure_limit_ppm: u64,
     received_requests: u64,
-    attempts_by_build: BTreeMap<u32, u64>,
+    attempts_by_build: BTreeMap<BuildId, u64>,
     interval_start: Timestamp,
 }
 
@@ -51,13 +51,13 @@
         let exposure_limit = update.exposure_limit.clamp(0.0, 1.0);
         self.exposure_limit_ppm = (exposure_limit * MILLION as f64) as u64;
         self.rollout = BuildStage {
-            build: update.build.0,
+            build: update.build,
             stage: update.stage.min(255) as u8,
         };
     }
 
     /// The rollout stage of a build; 0 for all but the newest.
-    pub(crate) fn stage_of(&self, build: u32) -> u8 {
+    pub(crate) fn stage_of(&self, build: BuildId) -> u8 {
         if build == self.rollout.build {
             self.rollout.stage
         } else {
@@ -69,7 +69,7 @@
         self.received_requests += 1;
     }
 
-    pub(crate) fn count_attempt(&mut self, build: u32) {
+    pub(crate) fn count_attempt(&mut self, build: BuildId) {
         *self.attempts_by_build.entry(build).or_default() += 1;
     }
 
@@ -97,7 +97,7 @@
     }
 
     /// Only the newest build has an exposure limit below all requests.
-    fn exposure_limit_of(&self, build: u32) -> u64 {
+    fn exposure_limit_of(&self, build: BuildId) -> u64 {
         if build == self.rollout.build {
             self.exposure_limit_ppm
         } else {
--- a/crates/flow-export/src/templates.rs
+++ b/crates/flow-export/src/templates.rs
@@ -126,7 +126,7 @@
     [
         clock.unix_ms_at(share.start),
         clock.unix_ms_at(share.end),
-        u64::from(of.build),
+        u64::from(of.build.0),
         u64::from(of.stage),
         share.exposure_limit_ppm,
         share.received_requests,
@@ -148,7 +148,7 @@
     ];
     if key.kind == RecordKind::Attempt {
         values.extend([
-            Value::Number(u64::from(key.build)),
+            Value::Number(u64::from(key.build.0)),
             Value::Number(u64::from(key.stage)),
             Value::from(endpoint_name(key, names)),
         ]);
--- a/crates/flow-metering/src/flow.rs
+++ b/crates/flow-metering/src/flow.rs
@@ -1,6 +1,6 @@
 //! What is observed, the key under which it is counted, and a flow: the counters of one key over an interval.
 
-use harrierdock_types::{TimeDelta, Timestamp};
+use harrierdock_types::{BuildId, TimeDelta, Timestamp};
 
 use crate::FlowCounters;
 
@@ -82,16 +82,16 @@
     /// Whether it is an attempt or a request.
     pub kind: RecordKind,
     /// The build that served it; 0 where there is none.
-    pub build: u32,
+    pub build: BuildId,
     /// The build's rollout stage.
     pub stage: u8,
-    /// The request class.
+    /// The request class's number; 255 for all from there on.
     pub class: u8,
     /// How it ended.
     pub outcome: FlowOutcome,
     /// Which sites it went through.
     pub path: FlowPath,
-    /// The endpoint of an attempt; none for requests.
+    /// The number of an attempt's endpoint; none for requests.
     pub endpoint: Option<u32>,
     /// Whether it is an attempt after the request's first one.
     pub is_retry: bool,
@@ -111,16 +111,16 @@
     /// Whether attempts or requests are counted.
     pub kind: RecordKind,
     /// The build; 0 where there is none.
-    pub build: u32,
+    pub build: BuildId,
     /// The build's rollout stage.
     pub stage: u8,
-    /// The request class.
+    /// The request class's number; 255 for all from there on.
     pub class: u8,
     /// How they ended.
     pub outcome: FlowOutcome,
     /// Which sites they went through.
     pub path: FlowPath,
-    /// The endpoint; none for all endpoints that have no flow of their own.
+    /// The endpoint's number; none for all endpoints that have no flow of their own.
     pub endpoint: Option<u32>,
 }
 
@@ -146,7 +146,7 @@
             | u128::from(self.class) << 8
             | (self.outcome as u128) << 2
             | self.path as u128;
-        endpoint << 72 | u128::from(self.build) << 32 | low
+        endpoint << 72 | u128::from(self.build.0) << 32 | low
     }
 }
 
