--- a/crates/gateway/src/dispatch/attempts.rs
+++ b/crates/gateway/src/dispatch/attempts.rs
@@ -17,14 +17,16 @@
 impl Driver {
     /// What an attempt of this request at this endpoint, decided on now, is decided on.
     fn precondition(&self, entry: &Entry, endpoint: EndpointId) -> Precondition {
-        let listed = self.module.endpoints.get(&endpoint);
-        let build = listed.map_or(BuildId(0), |s| s.listed.build);
+        let listed = self.module.endpoint(endpoint);
+        let build = listed.map_or(BuildId(0), |record| record.build);
         Precondition {
             build,
-            started_at: listed.and_then(|s| s.started),
-            exposure_limit: self.module.cap_of(build),
-            deduplicated_until: entry
-                .deduplicated_until(self.module.parameters.classes.get(entry.class.0), self.tick),
+            started_at: self.module.endpoint_start(endpoint),
+            exposure_limit: self.module.exposure_limit(build),
+            deduplicated_until: entry.deduplicated_until(
+                self.module.parameters().classes.get(entry.class.0),
+                self.tick,
+            ),
         }
     }
 
@@ -41,21 +43,17 @@
             return Some(Violation::RequestFinished);
         };
         let sent = entry.sent.get(of.attempt)?;
-        let endpoint = self
-            .module
-            .endpoints
-            .get(&sent.endpoint)
-            .filter(|_| of.placed);
+        let endpoint = self.module.endpoint(sent.endpoint).filter(|_| of.placed);
         sent.precondition.violation(&CurrentState {
             now,
             request_finished: entry.answered || !waits,
             list_is_stale: stale,
-            endpoint: endpoint.map(|s| ListedEndpoint {
-                lifecycle: s.listed.lifecycle,
-                build: s.listed.build,
-                started_at: s.started,
+            endpoint: endpoint.map(|record| ListedEndpoint {
+                lifecycle: record.lifecycle,
+                build: record.build,
+                started_at: self.module.endpoint_start(sent.endpoint),
             }),
-            exposure_limit: self.module.cap_of(sent.precondition.build),
+            exposure_limit: self.module.exposure_limit(sent.precondition.build),
             sticky_build: entry.key.map_or(BuildId(0), |key| self.pin_of(key)),
         })
     }
@@ -65,9 +63,9 @@
         let entry = self.book.get_mut(&of.id)?;
         let sent = entry.sent.get_mut(of.attempt)?;
         let since = std::mem::replace(&mut sent.counted, now);
-        let arrives = self
-            .module
-            .arrives(now, since, entry.class, sent.precondition.build);
+        let arrives =
+            self.module
+                .admits_late_attempt(now, since, entry.class, sent.precondition.build);
         (!arrives).then_some(Violation::ExposureLimitReached)
     }
 }
--- a/crates/gateway/src/dispatch/dispatcher.rs
+++ b/crates/gateway/src/dispatch/dispatcher.rs
@@ -20,7 +20,7 @@
 use crate::runtime::timer::Due;
 
 pub struct Driver {
-    pub module: policy::Gateway,
+    pub module: policy::Policy,
     pub names: Names,
     pub book: BTreeMap<RequestId, Entry>,
     /// How many attempts a request may have.
@@ -31,7 +31,7 @@
 impl Driver {
     pub fn new(terms: Parameters, names: Names, seed: u64) -> Driver {
         let (most_attempts, tick) = (terms.limits.max_attempts, terms.tick);
-        let module = policy::Gateway::new(terms, seed);
+        let module = policy::Policy::new(terms, seed);
         Driver {
             module,
             names,
@@ -43,15 +43,14 @@
 
     /// The build that this key stays with.
     pub fn pin_of(&self, key: AffinityKey) -> BuildId {
-        self.module.pin_of(key)
+        self.module.sticky_build(key)
     }
 
     /// How many endpoints are listed like this.
     pub fn count(&self, lifecycle: Lifecycle) -> usize {
         self.module
-            .endpoints
-            .values()
-            .filter(|s| s.listed.lifecycle == lifecycle)
+            .endpoints()
+            .filter(|endpoint| endpoint.lifecycle == lifecycle)
             .count()
     }
 
@@ -90,10 +89,10 @@
         // Guards against names of endpoints that pile up as these come and go; asked only once the module has heard
         // of all that have come.
         let Driver { module, names, .. } = &mut self.driver;
-        if names.endpoints.ids().len() > module.endpoints.len() {
+        if names.endpoints.ids().len() > module.endpoint_count() {
             names
                 .endpoints
-                .retain(|endpoint| module.endpoints.contains_key(&endpoint));
+                .retain(|endpoint| module.endpoint(endpoint).is_some());
         }
     }
 
@@ -195,9 +194,8 @@
                         let build = self
                             .driver
                             .module
-                            .endpoints
-                            .get(&endpoint)
-                            .map(|s| s.listed.build);
+                            .endpoint(endpoint)
+                            .map(|record| record.build);
                         self.answer_across(now, id, Verdict::Settled, build, body);
                     } else {
                         self.clients
@@ -274,9 +272,8 @@
         };
         let build = driver
             .module
-            .endpoints
-            .get(&endpoint)
-            .map_or(BuildId(0), |s| s.listed.build);
+            .endpoint(endpoint)
+            .map_or(BuildId(0), |record| record.build);
         let (class, second, inward) = (entry.class, attempt > 0, entry.inward);
         let of = Submission {
             class,
--- /dev/null
+++ b/crates/policy/src/control_plane.rs
@@ -0,0 +1,83 @@
+//! What endpoint lists, rollout updates and complaints change in the parts of a policy.
+
+use harrierdock_types::{
+    AffinityKey, BuildId, ClassId, EndpointId, EndpointRecord, OutcomeReport, PlatformStatus,
+    ReportedEvent, RolloutUpdate, UpdateKind,
+};
+use nanorand::Rng;
+
+use crate::elimination_votes::EliminationVotes;
+use crate::rollout_state::{is_rollback, StageChange};
+use crate::rollout_voter::RolloutEvidence;
+use crate::Policy;
+
+impl Policy {
+    pub(crate) fn update_endpoints(&mut self, kind: UpdateKind, records: Vec<EndpointRecord>) {
+        let now = self.context.now;
+        self.discovery_watch.list_received(now, kind);
+        if kind == UpdateKind::Failed {
+            return;
+        }
+        self.endpoints.begin_list(now, kind);
+        for record in records {
+            if !self.endpoints.refresh(now, &record) {
+                let latency_estimate = self.latency.initial_estimate(record.model);
+                let tie_breaker = self.rng.generate();
+                self.endpoints
+                    .insert(now, record, latency_estimate, tie_breaker);
+            }
+        }
+        self.endpoints.survey(&self.context, &self.rollout);
+    }
+
+    pub(crate) fn update_rollout(&mut self, update: RolloutUpdate) {
+        if update.answers_vote {
+            self.voter
+                .vote_answered(&self.context, update.status, &mut self.rng);
+        }
+        if update.status != PlatformStatus::Valid {
+            return;
+        }
+        if is_rollback(update.phase) {
+            self.sticky_versions.release_build(update.build);
+        }
+        let change = self.rollout.apply(self.context.now, update);
+        self.elimination.change_stage(change);
+        if change != StageChange::None {
+            self.elimination_votes = EliminationVotes::default();
+            self.voter.change_stage();
+        }
+        self.endpoints.survey(&self.context, &self.rollout);
+        self.decide_vote();
+    }
+
+    pub(crate) fn decide_vote(&mut self) {
+        self.voter.decide(&RolloutEvidence {
+            context: &self.context,
+            rollout: &self.rollout,
+            eliminations: &self.elimination_votes,
+            endpoints: &self.endpoints,
+        });
+    }
+
+    /// Keeps a key with a build that has answered it at another site (departure J in docs/design.md).
+    pub(crate) fn learn_sticky_version(&mut self, key: AffinityKey, build: BuildId) {
+        if self.context.parameters.rollout.monotonic_versions {
+            self.sticky_versions.keep(key, build);
+        }
+    }
+
+    pub(crate) fn receive_complaint(&mut self, endpoint: EndpointId, class: ClassId) {
+        let Some(record) = self.endpoint(endpoint) else {
+            return;
+        };
+        let report = OutcomeReport {
+            gossip_id: record.gossip_id,
+            build: record.build,
+            class,
+            event: ReportedEvent::Complaint,
+            latency_ratio: 0.0,
+        };
+        self.report_outcome(report);
+    }
+}
--- /dev/null
+++ b/crates/policy/src/elimination_votes.rs
@@ -0,0 +1,78 @@
+//! The elimination votes of this gateway's gossip group and of others (departures B and H in docs/design.md). Owns the votes of
+//! the current stage.
+
+use std::collections::BTreeMap;
+
+use harrierdock_types::{Action, Arm, GossipMessage, PeerId, TimeDelta, Timestamp};
+
+use crate::context::Context;
+use crate::payoff::{DELTA, ETA};
+use crate::per_arm::PerArm;
+use crate::rollout_state::RolloutStage;
+
+/// How often a held elimination vote is sent.
+const SEND_INTERVAL: TimeDelta = TimeDelta(1_000_000);
+
+/// The elimination votes of one stage, by arm and gossip group.
+#[derive(Debug, Default)]
+pub(crate) struct EliminationVotes {
+    weights: PerArm<BTreeMap<PeerId, usize>>,
+    last_sent: Option<Timestamp>,
+}
+
+impl EliminationVotes {
+    /// Counts a vote of this many factors of η. Only aggregators vote, and each holds the highest weight it has voted with.
+    pub(crate) fn record(&mut self, context: &Context, arm: Arm, from: PeerId, weight: usize) {
+        let is_aggregator =
+            from.0 < context.parameters.gateway_count && context.gossip_group_of(from) == from;
+        if weight > 0 && is_aggregator {
+            let held = self.weights.get_mut(arm).entry(from).or_default();
+            *held = weight.max(*held);
+        }
+    }
+
+    /// Whether the votes against an arm make up a ratio of the weight that δ asks for, from half of the groups, at least one.
+    ///
+    /// Where four groups or more vote, one makes up half of the weight at the most, however sure it is: its trouble may be its
+    /// own. A gateway without gossip is the only voter (departure L).
+    pub(crate) fn eliminate(&self, context: &Context, arm: Arm, ratio: f64) -> bool {
+        let weights = self.weights.get(arm);
+        let needed = (DELTA.ln() / ETA.ln()).floor();
+        let voters = (context.voting_group_count() / 2).max(1);
+        let max_weight = needed / voters.min(2) as f64;
+        let total = weights
+            .values()
+            .map(|weight| max_weight.min(*weight as f64))
+            .sum::<f64>();
+        weights.len() >= voters && total >= needed * ratio
+    }
+
+    /// Sends this gateway's votes to all, once in an interval while it holds any.
+    pub(crate) fn emit(
+        &mut self,
+        context: &Context,
+        stage: &RolloutStage,
+        actions: &mut Vec<Action>,
+    ) {
+        let is_early = self
+            .last_sent
+            .is_some_and(|at| context.now - at < SEND_INTERVAL);
+        let parameters = &context.parameters;
+        if !parameters.limits.gossip_enabled || parameters.gateway_count < 2 || is_early {
+            return;
+        }
+        for arm in [Arm::Canary, Arm::Baseline] {
+            let Some(weight) = self.weights.get(arm).get(&parameters.local_peer) else {
+                continue;
+            };
+            self.last_sent = Some(context.now);
+            let message = GossipMessage::EliminationVote {
+                build: stage.build,
+                stage: stage.index,
+                weight: *weight,
+                arm,
+            };
+            actions.push(Action::SendGossip { to: None, message });
+        }
+    }
+}
--- /dev/null
+++ b/crates/policy/src/per_arm.rs
@@ -0,0 +1,34 @@
+//! One value for each arm of a rollout.
+
+use harrierdock_types::Arm;
+
+/// A value for the baseline and one for the canary.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct PerArm<T> {
+    pub(crate) baseline: T,
+    pub(crate) canary: T,
+}
+
+impl<T> PerArm<T> {
+    pub(crate) fn get(&self, arm: Arm) -> &T {
+        match arm {
+            Arm::Baseline => &self.baseline,
+            Arm::Canary => &self.canary,
+        }
+    }
+
+    pub(crate) fn get_mut(&mut self, arm: Arm) -> &mut T {
+        match arm {
+            Arm::Baseline => &mut self.baseline,
+            Arm::Canary => &mut self.canary,
+        }
+    }
+}
+
+/// The arm of a build that is, or is not, the canary.
+pub(crate) fn arm_if_canary(is_canary: bool) -> Arm {
+    match is_canary {
+        true => Arm::Canary,
+        false => Arm::Baseline,
+    }
+}
--- /dev/null
+++ b/crates/policy/src/request_flow.rs
@@ -0,0 +1,276 @@
+//! A request on its way through the parts of a policy: received, sent to endpoints, and answered.
+
+use harrierdock_types::{
+    AffinityKey, AttemptOutcome, BuildId, ClassId, EndpointId, GossipId, OutcomeReport,
+    ReportedEvent, RequestId, TimeDelta,
+};
+use nanorand::Rng;
+
+use crate::endpoint_selection::EndpointSelector;
+use crate::exposure_limiter::CanaryAttempt;
+use crate::fleet_view::FleetView;
+use crate::request_table::{Answer, Attempt, AttemptState, FinishedAttempt, Request};
+use crate::retries::may_reject;
+use crate::Policy;
+
+/// How soon an endpoint is looked for again, as a ratio to the latency objective.
+const RETRY_DELAY_RATIO: f64 = 0.04;
+/// How long a request may wait for an endpoint, as a ratio to the latency objective.
+const MAX_WAIT_RATIO: f64 = 0.1;
+
+/// A request that a client has sent.
+pub(crate) struct RequestReceived {
+    pub(crate) id: RequestId,
+    pub(crate) class: ClassId,
+    pub(crate) key: Option<AffinityKey>,
+    pub(crate) time_left: TimeDelta,
+    pub(crate) is_client_retry: bool,
+}
+
+/// An attempt that has ended.
+pub(crate) struct AttemptFinished {
+    pub(crate) id: RequestId,
+    pub(crate) attempt: usize,
+    pub(crate) endpoint: EndpointId,
+    pub(crate) outcome: AttemptOutcome,
+    pub(crate) duration: TimeDelta,
+    pub(crate) request_finished: bool,
+}
+
+impl Policy {
+    pub(crate) fn receive_request(&mut self, received: RequestReceived) {
+        let RequestReceived { id, class, key, .. } = received;
+        let now = self.context.now;
+        self.exposure.record_request(now, class);
+        self.traffic
+            .record_request(&self.context, received.is_client_retry);
+        self.shedder.record_request(class);
+        let request = Request::new(class, key, now, now + received.time_left);
+        self.requests.insert(id, request);
+        let sticky_build = self.sticky_build_of(key);
+        let is_canary = sticky_build > BuildId(0) && self.fleet().is_canary(sticky_build);
+        self.sticky_versions.record_request(is_canary);
+        let draw = self.rng.generate::<f64>();
+        if draw < self.shedder.class_shed_ratio(&self.context, class) {
+            self.give_up(id);
+        } else {
+            self.look_for_endpoint(id);
+        }
+    }
+
+    /// The build that a key stays with: one that has answered it, or whose answer may be on its way by now. Build 0 if any may
+    /// answer it.
+    pub(crate) fn sticky_build_of(&self, key: Option<AffinityKey>) -> BuildId {
+        let Some(key) = key else {
+            return BuildId(0);
+        };
+        if !self.context.parameters.rollout.monotonic_versions {
+            return BuildId(0);
+        }
+        let in_flight = self
+            .requests
+            .newest_build_in_flight(key, self.rollout.rolled_back_build());
+        in_flight
+            .max(self.sticky_versions.build_of(key))
+            .unwrap_or(BuildId(0))
+    }
+
+    /// Starts an attempt of a request that waits for one; if no endpoint may take it, waits for one or gives the request up.
+    pub(crate) fn look_for_endpoint(&mut self, id: RequestId) {
+        let Some(request) = self.requests.get(id) else {
+            return;
+        };
+        if !request.needs_endpoint() {
+            return;
+        }
+        let now = self.context.now;
+        let class = request.class;
+        let latency_objective = self.context.class(class).latency_objective;
+        let retry_at = now + latency_objective * RETRY_DELAY_RATIO;
+        let wait_end = request
+            .deadline
+            .min(request.received + latency_objective * MAX_WAIT_RATIO);
+        let max_attempts = self.context.parameters.limits.max_attempts;
+        if request.attempts.len() >= max_attempts || request.deadline <= now {
+            return self.give_up(id);
+        }
+        match self.select_endpoint(id) {
+            Some(endpoint) => self.start_attempt(id, class, endpoint),
+            None if retry_at < wait_end => self.requests.schedule_retry(id, retry_at),
+            None => self.give_up(id),
+        }
+    }
+
+    fn select_endpoint(&mut self, id: RequestId) -> Option<EndpointId> {
+        self.slow_start.record_selection(self.context.now);
+        let request = self.requests.get(id)?;
+        let sticky_build = self.sticky_build_of(request.key);
+        let mut selector = EndpointSelector {
+            fleet: FleetView {
+                context: &self.context,
+                endpoints: &self.endpoints,
+                rollout: &self.rollout,
+                zones: &self.zones,
+                eliminations: &self.elimination_votes,
+                mean_latency: self.latency.longest_mean(),
+            },
+            exposure: &self.exposure,
+            slow_start: &self.slow_start,
+            request,
+            sticky_build,
+            rng: &mut self.rng,
+        };
+        let sticky_versions = &self.sticky_versions;
+        selector.select(|ratio| sticky_versions.free_canary_ratio(ratio))
+    }
+
+    fn start_attempt(&mut self, id: RequestId, class: ClassId, to: EndpointId) {
+        let now = self.context.now;
+        let Some(endpoint) = self.endpoints.get_mut(to) else {
+            return;
+        };
+        let build = endpoint.record.build;
+        endpoint.load.attempt_started();
+        endpoint.health.attempt_started(now);
+        endpoint.slow_start.attempt_started(now);
+        if self.fleet().is_canary(build) {
+            self.exposure
+                .record_attempt(now, CanaryAttempt { class, build });
+        }
+        let attempt = Attempt {
+            endpoint: to,
+            build,
+            started: now,
+            state: AttemptState::Wanted,
+        };
+        self.requests.start_attempt(id, attempt);
+    }
+
+    /// Answers a request that gets no other attempt.
+    fn give_up(&mut self, id: RequestId) {
+        let Some(request) = self.requests.get(id) else {
+            return;
+        };
+        let answer = match may_reject(&self.context, request) {
+            true => Answer::Reject,
+            false => Answer::Fail,
+        };
+        if request.attempts.is_empty() {
+            let class = request.class;
+            self.report_outcome(OutcomeReport {
+                gossip_id: GossipId(0),
+                build: BuildId(0),
+                class,
+                event: ReportedEvent::NotAttempted,
+                latency_ratio: 0.0,
+            });
+        }
+        self.finish_request(id, answer);
+    }
+
+    pub(crate) fn finish_request(&mut self, id: RequestId, answer: Answer) {
+        let can_cancel = self.context.parameters.limits.can_cancel;
+        let is_unanswered = self.requests.finish(id, answer, can_cancel);
+        self.traffic.record_end(is_unanswered);
+    }
+
+    pub(crate) fn finish_attempt(&mut self, finished: AttemptFinished) {
+        let outcome = finished.outcome;
+        let had_no_effect = matches!(
+            outcome,
+            AttemptOutcome::Rejected | AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent
+        );
+        let id = finished.id;
+        let attempt = self
+            .requests
+            .finish_attempt(id, finished.attempt, !had_no_effect);
+        let Some(attempt) = attempt else {
+            return;
+        };
+        if outcome == AttemptOutcome::Succeeded {
+            self.slow_start.record_answer(self.context.now);
+        }
+        let latency_objective = self.context.class(attempt.class).latency_objective;
+        let latency_ratio = finished.duration.ratio_to(latency_objective);
+        self.update_endpoint(&finished, &attempt, latency_ratio);
+        self.keep_sticky_version(&attempt, outcome, had_no_effect);
+        // An attempt that was cancelled early says nothing of its endpoint.
+        if outcome != AttemptOutcome::Cancelled || finished.duration >= latency_objective {
+            let endpoint = self.endpoints.get(finished.endpoint);
+            self.report_outcome(OutcomeReport {
+                gossip_id: endpoint.map_or(GossipId(0), |endpoint| endpoint.record.gossip_id),
+                build: attempt.build,
+                class: attempt.class,
+                event: ReportedEvent::Attempt(outcome),
+                latency_ratio,
+            });
+        }
+        self.continue_request(&finished, latency_objective);
+        self.requests.mark_changed(id);
+    }
+
+    /// Updates what is known of the attempt's endpoint and its zone.
+    fn update_endpoint(
+        &mut self,
+        finished: &AttemptFinished,
+        attempt: &FinishedAttempt,
+        latency_ratio: f64,
+    ) {
+        let now = self.context.now;
+        let latency_objective = self.context.class(attempt.class).latency_objective;
+        let first_ejection = self.context.first_ejection();
+        let Some(endpoint) = self.endpoints.get_mut(finished.endpoint) else {
+            return;
+        };
+        let outcome = finished.outcome;
+        self.zones
+            .attempt_finished(now, endpoint.record.zone, outcome);
+        endpoint
+            .load
+            .attempt_finished(outcome, attempt.started, latency_ratio);
+        let in_flight = endpoint.load.in_flight();
+        endpoint.health.attempt_finished(
+            now,
+            outcome,
+            in_flight,
+            latency_objective,
+            first_ejection,
+        );
+    }
+
+    /// Keeps a key with the newest build, canary or released, that may have answered it, even if that answer could not be read or
+    /// was not waited for. Some keys stay with a build that never answered them. An error is no answer.
+    fn keep_sticky_version(
+        &mut self,
+        attempt: &FinishedAttempt,
+        outcome: AttemptOutcome,
+        had_no_effect: bool,
+    ) {
+        let is_monotonic = self.context.parameters.rollout.monotonic_versions;
+        if !is_monotonic || had_no_effect || outcome == AttemptOutcome::ServerError {
+            return;
+        }
+        if let Some(key) = attempt.key {
+            if self.rollout.is_newest(attempt.build) {
+                self.sticky_versions.keep(key, attempt.build);
+            }
+        }
+    }
+
+    /// Finishes the attempt's request, or looks for another endpoint.
+    fn continue_request(&mut self, finished: &AttemptFinished, latency_objective: TimeDelta) {
+        let id = finished.id;
+        if finished.request_finished || finished.outcome == AttemptOutcome::Succeeded {
+            return self.finish_request(id, Answer::Given);
+        }
+        match finished.outcome {
+            // Every endpoint may reject: retry after a delay, so that retries don't amplify the overload.
+            AttemptOutcome::Rejected => {
+                let retry_at = self.context.now + latency_objective * RETRY_DELAY_RATIO;
+                self.requests.schedule_retry(id, retry_at);
+            }
+            AttemptOutcome::Cancelled => {}
+            _ => self.look_for_endpoint(id),
+        }
+    }
+}
--- /dev/null
+++ b/crates/policy/src/rollout_state.rs
@@ -0,0 +1,156 @@
+//! How the newest rollout stands. Owns what the platform stated last.
+
+use harrierdock_types::{Arm, BuildId, RolloutParameters, RolloutPhase, RolloutUpdate, Timestamp};
+
+use crate::context::{Context, FALLBACK_WAIT};
+use crate::endpoint_table::EndpointTable;
+use crate::per_arm::arm_if_canary;
+
+/// After its release a build is in question for this many slow start windows, and the fallback wait.
+const QUESTION_SLOW_START_WINDOWS: f64 = 3.0;
+
+/// One stage of a rollout.
+#[derive(Clone, Copy, Debug, Default)]
+pub(crate) struct RolloutStage {
+    pub(crate) build: BuildId,
+    pub(crate) index: usize,
+    pub(crate) since: Timestamp,
+    /// Whether the platform has stated it while the build was the canary.
+    pub(crate) was_canary: bool,
+}
+
+/// What a valid update begins.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(crate) enum StageChange {
+    /// The stage goes on.
+    None,
+    /// A later stage of the same build.
+    NextStage,
+    /// A newer build's rollout.
+    NewBuild,
+}
+
+/// The newest rollout.
+#[derive(Debug, Default)]
+pub(crate) struct RolloutState {
+    update: Option<RolloutUpdate>,
+    stage: RolloutStage,
+    phase_since: Timestamp,
+}
+
+impl RolloutState {
+    /// What the platform stated last, if anything.
+    pub(crate) fn update(&self) -> Option<&RolloutUpdate> {
+        self.update.as_ref()
+    }
+
+    pub(crate) fn stage(&self) -> &RolloutStage {
+        &self.stage
+    }
+
+    /// Applies a valid update. One that is out of date binds the exposure limit but takes no stage back.
+    pub(crate) fn apply(&mut self, now: Timestamp, update: RolloutUpdate) -> StageChange {
+        let mut change = StageChange::None;
+        if (update.build, update.stage) > (self.stage.build, self.stage.index) {
+            change = match update.build == self.stage.build {
+                true => StageChange::NextStage,
+                false => StageChange::NewBuild,
+            };
+            self.stage = RolloutStage {
+                build: update.build,
+                index: update.stage,
+                since: now - update.age,
+                was_canary: false,
+            };
+        }
+        if self.phase() != Some(update.phase) {
+            self.phase_since = now - update.age;
+        }
+        self.stage.was_canary |= update.phase == RolloutPhase::Canary;
+        self.update = Some(update);
+        change
+    }
+
+    fn phase(&self) -> Option<RolloutPhase> {
+        self.update.as_ref().map(|update| update.phase)
+    }
+
+    /// Whether a build is not released: it is rolled out or back, or no update has named it yet.
+    pub(crate) fn is_canary(&self, build: BuildId, endpoints: &EndpointTable) -> bool {
+        match &self.update {
+            Some(update) => {
+                build > update.build
+                    || (build == update.build && update.phase != RolloutPhase::Released)
+            }
+            None => endpoints
+                .iter()
+                .any(|endpoint| endpoint.record.build < build),
+        }
+    }
+
+    /// The arm of a build that is not newer than the stage's.
+    pub(crate) fn arm_of(&self, build: BuildId) -> Arm {
+        arm_if_canary(build == self.stage.build)
+    }
+
+    /// Whether outcomes of a build belong to one of the two arms.
+    pub(crate) fn compares(&self, build: BuildId) -> bool {
+        self.update.is_some() && build <= self.stage.build
+    }
+
+    /// The stage that a build is in, if the last update is about it.
+    pub(crate) fn stage_index_of(&self, build: BuildId) -> usize {
+        self.update
+            .as_ref()
+            .filter(|update| update.build == build)
+            .map_or(0, |update| update.stage)
+    }
+
+    /// The build that is, or was, rolled back.
+    pub(crate) fn rolled_back_build(&self) -> Option<BuildId> {
+        self.update
+            .as_ref()
+            .filter(|update| is_rollback(update.phase))
+            .map(|update| update.build)
+    }
+
+    /// Whether a build is the newest that the platform has stated, or newer.
+    pub(crate) fn is_newest(&self, build: BuildId) -> bool {
+        self.update
+            .as_ref()
+            .is_none_or(|update| build >= update.build)
+    }
+
+    /// The exposure limit of a build; 1 for one that is released. A build that no update has named has the first stage's.
+    pub(crate) fn exposure_limit(&self, build: BuildId, parameters: &RolloutParameters) -> f64 {
+        match &self.update {
+            Some(update) if build == update.build && update.phase != RolloutPhase::Released => {
+                update.exposure_limit
+            }
+            Some(update) if build <= update.build => 1.0,
+            _ => parameters.exposure_limits.first().copied().unwrap_or(0.0),
+        }
+    }
+
+    /// Whether there is a canary, or was one so lately that its load has just come.
+    pub(crate) fn in_question(&self, context: &Context) -> bool {
+        let since = context.now - self.phase_since;
+        let slow_start_window = context.parameters.safety.slow_start_window;
+        match self.phase() {
+            None => false,
+            Some(RolloutPhase::Canary) => true,
+            Some(RolloutPhase::Released) => {
+                self.stage.was_canary
+                    && since < slow_start_window * QUESTION_SLOW_START_WINDOWS + FALLBACK_WAIT
+            }
+            Some(RolloutPhase::RollingBack | RolloutPhase::RolledBack) => {
+                self.stage.was_canary && since < slow_start_window
+            }
+        }
+    }
+}
+
+/// Whether a build in this phase is, or was, rolled back.
+pub(crate) fn is_rollback(phase: RolloutPhase) -> bool {
+    matches!(phase, RolloutPhase::RollingBack | RolloutPhase::RolledBack)
+}
--- a/crates/policy/src/sliding_window.rs
+++ b/crates/policy/src/sliding_window.rs
@@ -1,70 +1,88 @@
-//! What happened lately, oldest first, each with its point in time.
+//! Recent events, oldest first, each with the time at which it happened.
 
 use std::collections::VecDeque;
 
 use harrierdock_types::Timestamp;
 
 #[derive(Clone, Debug)]
-pub struct SlidingWindow<T>(VecDeque<(Timestamp, T)>);
+struct Entry<T> {
+    at: Timestamp,
+    value: T,
+}
+
+/// Events in the order in which they happened. The owner drops what is too old with [`SlidingWindow::drop_before`].
+#[derive(Clone, Debug)]
+pub struct SlidingWindow<T> {
+    entries: VecDeque<Entry<T>>,
+}
 
 impl<T> Default for SlidingWindow<T> {
     fn default() -> Self {
-        SlidingWindow(VecDeque::new())
+        SlidingWindow {
+            entries: VecDeque::new(),
+        }
     }
 }
 
 impl<T> SlidingWindow<T> {
-    pub fn push(&mut self, at: Timestamp, what: T) {
-        self.0.push_back((at, what));
+    /// Adds an event. Events are added in the order of their times.
+    pub fn push(&mut self, at: Timestamp, value: T) {
+        self.entries.push_back(Entry { at, value });
     }
 
-    /// Takes back what was said to be at this point, if it is still held.
-    pub fn take_back(&mut self, at: Timestamp, what: &T)
+    /// Removes one event of this time and value, if it is still held.
+    pub fn remove(&mut self, at: Timestamp, value: &T)
     where
         T: PartialEq,
     {
-        let from = self.0.partition_point(|(point, _)| *point < at);
-        let same = self
-            .0
+        let first = self.entries.partition_point(|entry| entry.at < at);
+        let found = self
+            .entries
             .iter()
-            .skip(from)
-            .take_while(|(point, _)| *point == at)
-            .position(|(_, w)| w == what);
-        same.map(|place| self.0.remove(from + place));
+            .skip(first)
+            .take_while(|entry| entry.at == at)
+            .position(|entry| entry.value == *value);
+        if let Some(offset) = found {
+            self.entries.remove(first + offset);
+        }
     }
 
-    pub fn forget(&mut self, before: Timestamp) {
-        while self.0.front().is_some_and(|(at, _)| *at < before) {
-            self.0.pop_front();
+    /// Drops the events before this time.
+    pub fn drop_before(&mut self, edge: Timestamp) {
+        while self.entries.front().is_some_and(|entry| entry.at < edge) {
+            self.entries.pop_front();
         }
     }
 
+    /// How many events are held.
     pub fn len(&self) -> usize {
-        self.0.len()
+        self.entries.len()
     }
 
+    /// Whether no event is held.
     pub fn is_empty(&self) -> bool {
-        self.0.is_empty()
+        self.entries.is_empty()
     }
 
-    /// When the oldest that is held was.
-    pub fn first(&self) -> Option<Timestamp> {
-        self.0.front().map(|(at, _)| *at)
+    /// When the oldest event that is held happened.
+    pub fn oldest(&self) -> Option<Timestamp> {
+        self.entries.front().map(|entry| entry.at)
     }
 
-    pub fn since(&self, from: Timestamp) -> impl Iterator<Item = &T> {
-        self.0
+    /// The events after this time, newest first.
+    pub fn after(&self, from: Timestamp) -> impl Iterator<Item = &T> {
+        self.entries
             .iter()
             .rev()
-            .take_while(move |(at, _)| *at > from)
-            .map(|(_, what)| what)
+            .take_while(move |entry| entry.at > from)
+            .map(|entry| &entry.value)
     }
 
-    /// How many of those after `from` are of the kind asked for.
-    pub fn count(&self, from: Timestamp, of_kind: impl Fn(&T) -> bool) -> f64 {
-        self.0
+    /// How many events after this time match.
+    pub fn count_after(&self, from: Timestamp, matches: impl Fn(&T) -> bool) -> f64 {
+        self.entries
             .iter()
-            .filter(|(at, what)| *at > from && of_kind(what))
+            .filter(|entry| entry.at > from && matches(&entry.value))
             .count() as f64
     }
 }
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use harrierdock_config::Names;
-use harrierdock_policy::Gateway;
+use harrierdock_policy::Policy;
 use harrierdock_types::Timestamp;
 use serde_json::{json, Value};
 
@@ -13,7 +13,7 @@
 use crate::row::Row;
 
 struct Instance {
-    policy: Gateway,
+    policy: Policy,
     names: Names,
 }
 
@@ -85,7 +85,7 @@
         self.instances.insert(
             number,
             Instance {
-                policy: Gateway::new(parameters, seed),
+                policy: Policy::new(parameters, seed),
                 names,
             },
         );
