--- a/crates/policy/src/request_table.rs
+++ b/crates/policy/src/request_table.rs
@@ -264,7 +264,7 @@
             .max()
     }
 
-    /// Emits what the changed requests want and has not been asked for, and drops those that are over.
+    /// Emits what the changed requests want and has not been asked for, and removes those that are over.
     pub(crate) fn emit(&mut self, retry_after: Option<TimeDelta>, actions: &mut Vec<Action>) {
         for id in std::mem::take(&mut self.changed) {
             let Some(request) = self.requests.get_mut(&id) else {
--- a/crates/policy/src/sliding_window.rs
+++ b/crates/policy/src/sliding_window.rs
@@ -10,7 +10,7 @@
     value: T,
 }
 
-/// Events in the order in which they happened. The owner drops what is too old with [`SlidingWindow::drop_before`].
+/// Events in the order in which they happened. The owner removes what is too old with [`SlidingWindow::drop_before`].
 #[derive(Clone, Debug)]
 pub struct SlidingWindow<T> {
     entries: VecDeque<Entry<T>>,
--- /dev/null
+++ b/crates/policy/tests/decisions/concurrency_limits.rs
@@ -0,0 +1,29 @@
+//! How many attempts an endpoint may hold.
+
+use expect_test::expect;
+use harrierdock_types::*;
+
+use crate::support::*;
+
+#[test]
+fn timed_out_attempts_count_against_the_limit() {
+    let mut gateway =
+        ScriptedGateway::with_endpoints(default_parameters(), &[1], RolloutPhase::Released);
+    let mut open = Vec::new();
+    for _ in 0..12 {
+        open.push(gateway.receive_request(NON_IDEMPOTENT, None));
+    }
+    gateway.run_until(1500);
+    for request in open {
+        if gateway.sent.iter().any(|sent| sent.request == request) {
+            gateway.finish_attempt(request, 0, AttemptOutcome::TimedOut, 1500);
+        }
+    }
+    gateway.trace.clear();
+    gateway.receive_request(IDEMPOTENT, None);
+    gateway.run_until(1900);
+    expect![[r#"
+        1540: attempt #13 to 0
+    "#]]
+    .assert_eq(&gateway.trace);
+}
--- /dev/null
+++ b/crates/policy/tests/decisions/rollout_votes.rs
@@ -0,0 +1,120 @@
+//! Votes on a rollout: decided, cast, renewed and withdrawn.
+
+use expect_test::expect;
+use harrierdock_types::*;
+
+use crate::support::*;
+
+#[test]
+fn eliminations_count_once_a_sender_and_start_anew_each_stage() {
+    let mut gateway = canary_trial(6, StageControl::Votes, 0, |_| false);
+    gateway.receive_gossip(1, "2.0.15.t");
+    gateway.receive_gossip(1, "2.0.15.t"); // the same sender again
+    gateway.receive_gossip(2, "2.1.15.t"); // another stage
+    gateway.receive_gossip(9, "2.0.15.t"); // no such gateway
+    gateway.receive_gossip(3, "hello");
+    gateway.receive_gossip(4, "2.0.12.t");
+    gateway.trace.push_str("two senders of three\n");
+    gateway.update_rollout(2, 1, RolloutPhase::Canary, 1.0);
+    gateway.receive_gossip(5, "2.1.40.t"); // three are needed
+    gateway.receive_gossip(4, "2.1.1.t");
+    gateway.trace.push_str("three senders, 16 of 28\n");
+    gateway.receive_gossip(1, "2.1.12.t");
+    gateway
+        .trace
+        .push_str("27 of 28, as one counts 14 at the most\n");
+    gateway.update_rollout(2, 0, RolloutPhase::Canary, 0.2); // out of date
+    gateway.receive_gossip(1, "2.1.13.t");
+    expect![[r#"
+        two senders of three
+        three senders, 16 of 28
+        27 of 28, as one counts 14 at the most
+        0: vote RollBack on 2 stage 1
+    "#]]
+    .assert_eq(&gateway.decisions());
+}
+
+#[test]
+fn a_roll_back_vote_is_gossiped_renewed_and_cast_again() {
+    let mut gateway = canary_trial(2, StageControl::Votes, 20, |_| true);
+    for status in [
+        PlatformStatus::Overloaded,
+        PlatformStatus::TimedOut,
+        PlatformStatus::ServerError,
+        PlatformStatus::Valid,
+    ] {
+        gateway.answer_vote(2, 0, status);
+        gateway.advance(400);
+        gateway.trace.push_str(&format!("after {status:?}\n"));
+    }
+    gateway.run_until(4000);
+    gateway.update_rollout(2, 0, RolloutPhase::Released, 1.0);
+    gateway.run_until(6000);
+    gateway.update_rollout(2, 0, RolloutPhase::RolledBack, 0.0);
+    gateway.run_until(8000);
+    expect![[r#"
+        1030: vote RollBack on 2 stage 0
+        1030: gossip 2.0.232.t
+        after Overloaded
+        1550: vote RollBack on 2 stage 0
+        after TimedOut
+        1950: vote RollBack on 2 stage 0
+        2050: gossip 2.0.232.t
+        after ServerError
+        after Valid
+        3050: gossip 2.0.232.t
+        4050: gossip 2.0.232.t
+        4250: vote RollBack on 2 stage 0
+        5050: gossip 2.0.232.t
+        5100: vote RollBack on 2 stage 0
+        5950: vote RollBack on 2 stage 0
+        6050: gossip 2.0.232.t
+        7050: gossip 2.0.232.t
+    "#]]
+    .assert_eq(&gateway.decisions());
+}
+
+#[test]
+fn baseline_eliminations_and_the_fallback_wait_promote() {
+    let mut gateway = canary_trial(4, StageControl::Votes, 0, |_| false);
+    gateway.run_until(1000);
+    for from in [1, 2] {
+        gateway.receive_gossip(from, "2.0.14.e");
+    }
+    gateway.update_rollout(2, 1, RolloutPhase::Canary, 1.0);
+    gateway.run_until(11000);
+    expect![[r#"
+        1000: vote Promote on 2 stage 0
+        10000: vote Promote on 2 stage 1
+        10850: vote Promote on 2 stage 1
+    "#]]
+    .assert_eq(&gateway.decisions());
+}
+
+#[test]
+fn under_clock_control_half_the_eliminations_hold_for_three_seconds() {
+    let mut gateway = canary_trial(8, StageControl::Clock, 0, |_| false);
+    gateway.run_until(1000);
+    for from in [1, 2, 3, 4] {
+        gateway.receive_gossip(from, "2.0.4.t");
+    }
+    gateway.answer_vote(2, 0, PlatformStatus::Valid);
+    gateway.run_until(9000);
+    expect![[r#"
+        1000: vote Hold on 2 stage 0
+        3000: vote Hold on 2 stage 0
+        3850: vote Hold on 2 stage 0
+        4000: vote Withdraw on 2 stage 0
+    "#]]
+    .assert_eq(&gateway.decisions());
+}
+
+#[test]
+fn the_same_events_give_the_same_actions() {
+    let run = || {
+        let mut gateway = canary_trial(3, StageControl::Votes, 30, |outcome| outcome % 4 == 0);
+        gateway.run_until(9000);
+        gateway.trace
+    };
+    assert_eq!(run(), run());
+}
--- /dev/null
+++ b/crates/policy/tests/support/mod.rs
@@ -0,0 +1,89 @@
+//! Set-up that the tests share: parameters, endpoint records and rollout updates, a scripted gateway and a simulated fleet.
+
+mod platform;
+mod scripted_gateway;
+mod simulated_endpoint;
+mod simulated_fleet;
+
+use harrierdock_types::{
+    BuildId, ClassId, ClassParameters, EndpointId, EndpointRecord, GossipId, IdempotencyScope,
+    PlatformStatus, RetrySafety, RolloutPhase, RolloutUpdate, TimeDelta, ZoneId,
+};
+
+pub use scripted_gateway::{
+    canary_trial, default_parameters, group_member, share, ScriptedGateway, ALWAYS_SUCCEEDS,
+};
+pub use simulated_fleet::{ClassTotals, SimulatedFleet};
+
+/// The class of requests that may be sent again anywhere.
+pub const IDEMPOTENT: ClassId = ClassId(0);
+/// The class of requests with an idempotency key.
+pub const KEYED: ClassId = ClassId(1);
+/// The class of requests that may not be sent again.
+pub const NON_IDEMPOTENT: ClassId = ClassId(2);
+
+/// The difference of this many milliseconds.
+pub fn ms(milliseconds: i64) -> TimeDelta {
+    TimeDelta::from_millis(milliseconds)
+}
+
+/// The three classes, of which each is like `class` but for its retry safety.
+pub fn classes(
+    class: ClassParameters,
+    scope: IdempotencyScope,
+    deduplication_window: TimeDelta,
+) -> Vec<ClassParameters> {
+    let with_key = RetrySafety::IdempotencyKey {
+        scope,
+        deduplication_window,
+    };
+    [
+        RetrySafety::Idempotent,
+        with_key,
+        RetrySafety::NonIdempotent,
+    ]
+    .map(|retry_safety| ClassParameters {
+        retry_safety,
+        ..class
+    })
+    .to_vec()
+}
+
+/// A ready endpoint that started long ago, in one of two zones.
+pub fn endpoint(number: usize, build: u32) -> EndpointRecord {
+    EndpointRecord {
+        endpoint: EndpointId(number),
+        build: BuildId(build),
+        weight: 1.0,
+        zone: ZoneId(number % 2),
+        gossip_id: GossipId(number as u16),
+        ..EndpointRecord::default()
+    }
+}
+
+/// Endpoints 0.. of these builds.
+pub fn endpoints(builds: &[u32]) -> Vec<EndpointRecord> {
+    builds
+        .iter()
+        .enumerate()
+        .map(|(number, build)| endpoint(number, *build))
+        .collect()
+}
+
+/// A valid update that answers no vote.
+pub fn rollout_update(
+    build: u32,
+    stage: usize,
+    phase: RolloutPhase,
+    exposure_limit: f64,
+) -> RolloutUpdate {
+    RolloutUpdate {
+        build: BuildId(build),
+        stage,
+        phase,
+        exposure_limit,
+        status: PlatformStatus::Valid,
+        answers_vote: false,
+        age: TimeDelta::ZERO,
+    }
+}
--- /dev/null
+++ b/crates/policy/tests/support/scripted_gateway.rs
@@ -0,0 +1,374 @@
+//! One gateway that is given events at stated milliseconds; its decisions are written down as a trace.
+
+use std::cell::Cell;
+
+use harrierdock_policy::Policy;
+use harrierdock_types::{
+    gossip, Action, AffinityKey, AttemptOutcome, ClassId, ClassParameters, EndpointId,
+    EndpointRecord, Event, GossipMessage, IdempotencyScope, LimitParameters, OutcomeReport,
+    Parameters, PeerId, PlatformStatus, RequestId, RolloutParameters, RolloutPhase, RolloutUpdate,
+    SafetyParameters, StageControl, Timestamp, UpdateKind,
+};
+
+use super::{classes, endpoints, ms, rollout_update, NON_IDEMPOTENT};
+
+/// How long clients wait.
+const TIMEOUT_MS: i64 = 1500;
+/// How long an endpoint takes that fails a request of a canary trial.
+const ERROR_LATENCY_MS: i64 = 5;
+/// How long an endpoint takes otherwise.
+const USUAL_LATENCY_MS: i64 = 50;
+
+/// Three request classes, two zones, two stages; a single gateway unless a test says otherwise.
+pub fn default_parameters() -> Parameters {
+    let class = ClassParameters {
+        latency_objective: ms(500),
+        timeout: ms(TIMEOUT_MS),
+        priority_weight: 1.0,
+        ..ClassParameters::default()
+    };
+    Parameters {
+        gateway_count: 1,
+        tick: ms(5),
+        classes: classes(class, IdempotencyScope::Zone, ms(1000)),
+        rollout: RolloutParameters {
+            exposure_limits: vec![0.2, 1.0],
+            stage_ratios: vec![0.2, 1.0],
+            exposure_window: ms(2000),
+            exposure_allowance: 1.0,
+            vote_ttl: ms(4000),
+            vote_timeout: ms(800),
+            votes_per_second: 600.0,
+            ..RolloutParameters::default()
+        },
+        safety: SafetyParameters {
+            initial_capacity_ratio: 0.3,
+            slow_start_window: ms(5000),
+            overload_window: ms(1000),
+            overload_multiple: 3.0,
+            max_poll_interval: ms(8000),
+            drain_grace: ms(500),
+        },
+        limits: LimitParameters {
+            max_attempts: 3,
+            can_cancel: true,
+            gossip_enabled: true,
+            retry_after: Some(ms(400)),
+            ..LimitParameters::default()
+        },
+        ..Parameters::default()
+    }
+}
+
+/// What every endpoint does in bulk traffic without trouble.
+pub const ALWAYS_SUCCEEDS: fn(usize) -> (AttemptOutcome, i64) =
+    |_| (AttemptOutcome::Succeeded, USUAL_LATENCY_MS);
+
+/// An attempt that the gateway has started.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct SentAttempt {
+    pub request: u64,
+    pub endpoint: usize,
+}
+
+/// A policy, its clock and its trace.
+pub struct ScriptedGateway {
+    policy: Policy,
+    now: Timestamp,
+    timer: Option<Timestamp>,
+    last_request: u64,
+    /// Whether the requests are marked as clients' retries.
+    pub is_client_retry: bool,
+    pub trace: String,
+    pub sent: Vec<SentAttempt>,
+}
+
+impl ScriptedGateway {
+    /// A gateway that knows no endpoint.
+    pub fn new(parameters: Parameters) -> ScriptedGateway {
+        ScriptedGateway {
+            policy: Policy::new(parameters, 7),
+            now: Timestamp(0),
+            timer: None,
+            last_request: 0,
+            is_client_retry: false,
+            trace: String::new(),
+            sent: Vec::new(),
+        }
+    }
+
+    /// With endpoints 0.. of the given builds, and the last of the builds as the newest.
+    pub fn with_endpoints(
+        parameters: Parameters,
+        builds: &[u32],
+        phase: RolloutPhase,
+    ) -> ScriptedGateway {
+        let mut gateway = ScriptedGateway::new(parameters);
+        gateway.update_endpoints(UpdateKind::Snapshot, endpoints(builds));
+        gateway.update_rollout(builds.last().copied().unwrap_or(1), 0, phase, 1.0);
+        gateway
+    }
+
+    /// How much it retains that comes and goes.
+    pub fn retained_state(&self) -> String {
+        format!(
+            "{} endpoints, {} gossip ids, {} keys",
+            self.policy.endpoint_count(),
+            self.policy.gossip_id_count(),
+            self.policy.sticky_key_count()
+        )
+    }
+
+    /// A datagram comes from a peer; one that can't be decoded is dropped.
+    pub fn receive_gossip(&mut self, from: usize, datagram: &str) {
+        if let Some(message) = gossip::decode(datagram) {
+            self.handle(Event::GossipReceived {
+                from: PeerId(from),
+                message,
+            });
+        }
+    }
+
+    /// A peer reports outcomes and its traffic, as a datagram.
+    pub fn receive_outcome_reports(
+        &mut self,
+        from: usize,
+        received: usize,
+        in_flight: usize,
+        reports: Vec<OutcomeReport>,
+    ) {
+        let message = GossipMessage::OutcomeReports {
+            received,
+            first_tries: received,
+            in_flight,
+            reports,
+        };
+        self.receive_gossip(from, &gossip::encode(&message));
+    }
+
+    /// Discovery sends a list.
+    pub fn update_endpoints(&mut self, kind: UpdateKind, endpoints: Vec<EndpointRecord>) {
+        self.handle(Event::EndpointsUpdated { kind, endpoints });
+    }
+
+    /// Handles an event now, and writes down the actions.
+    pub fn handle(&mut self, event: Event) {
+        for action in self.policy.handle(self.now, event) {
+            match &action {
+                Action::SetTimer { after } => {
+                    self.timer = Some(self.now + *after);
+                    continue;
+                }
+                Action::StartAttempt { id, endpoint, .. } => self.sent.push(SentAttempt {
+                    request: id.0,
+                    endpoint: endpoint.0,
+                }),
+                _ => {}
+            }
+            let at = self.now.0 / 1000;
+            let line = trace_line(&action);
+            self.trace.push_str(&format!("{at}: {line}\n"));
+        }
+    }
+
+    /// Lets time pass until then, with the timer's firings on the way.
+    pub fn run_until(&mut self, at: i64) {
+        let end = Timestamp(0) + ms(at);
+        while let Some(timer) = self.timer.filter(|timer| *timer <= end) {
+            self.now = timer.max(self.now);
+            self.timer = None;
+            self.handle(Event::TimerFired);
+        }
+        self.now = end;
+    }
+
+    /// Lets this many milliseconds pass.
+    pub fn advance(&mut self, milliseconds: i64) {
+        self.run_until(self.now.0 / 1000 + milliseconds);
+    }
+
+    /// The platform states how the rollout stands.
+    pub fn update_rollout(
+        &mut self,
+        build: u32,
+        stage: usize,
+        phase: RolloutPhase,
+        exposure_limit: f64,
+    ) {
+        let update = rollout_update(build, stage, phase, exposure_limit);
+        self.handle(Event::RolloutUpdated(update));
+    }
+
+    /// The platform answers a vote on a canary.
+    pub fn answer_vote(&mut self, build: u32, stage: usize, status: PlatformStatus) {
+        let update = rollout_update(build, stage, RolloutPhase::Canary, 1.0);
+        self.handle(Event::RolloutUpdated(RolloutUpdate {
+            status,
+            answers_vote: true,
+            ..update
+        }));
+    }
+
+    /// A request comes in; its number is returned.
+    pub fn receive_request(&mut self, class: ClassId, key: Option<u64>) -> u64 {
+        self.last_request += 1;
+        self.handle(Event::RequestReceived {
+            id: RequestId(self.last_request),
+            class,
+            key: key.map(AffinityKey),
+            is_client_retry: self.is_client_retry,
+            time_left: ms(TIMEOUT_MS),
+        });
+        self.last_request
+    }
+
+    /// An attempt ends after this many milliseconds.
+    pub fn finish_attempt(
+        &mut self,
+        request: u64,
+        attempt: usize,
+        outcome: AttemptOutcome,
+        duration: i64,
+    ) {
+        let endpoint = self
+            .sent
+            .iter()
+            .filter(|sent| sent.request == request)
+            .nth(attempt)
+            .map_or(0, |sent| sent.endpoint);
+        self.handle(Event::AttemptFinished {
+            id: RequestId(request),
+            attempt,
+            endpoint: EndpointId(endpoint),
+            outcome,
+            duration: ms(duration),
+            request_finished: outcome == AttemptOutcome::Succeeded,
+        });
+    }
+
+    /// `count` requests a given time apart, whose first attempts end as `outcome_at` says of their endpoint; returns the endpoints
+    /// used.
+    pub fn run_traffic(
+        &mut self,
+        count: usize,
+        apart: i64,
+        outcome_at: impl Fn(usize) -> (AttemptOutcome, i64),
+    ) -> Vec<usize> {
+        let first = self.sent.len();
+        for _ in 0..count {
+            self.advance(apart);
+            let request = self.receive_request(NON_IDEMPOTENT, None);
+            if let Some(endpoint) = self.last_endpoint_of(request) {
+                let (outcome, duration) = outcome_at(endpoint);
+                self.finish_attempt(request, 0, outcome, duration);
+            }
+        }
+        self.endpoints_used_since(first)
+    }
+
+    /// The endpoint of the last attempt, if that is this request's.
+    pub fn last_endpoint_of(&self, request: u64) -> Option<usize> {
+        self.sent
+            .last()
+            .filter(|sent| sent.request == request)
+            .map(|sent| sent.endpoint)
+    }
+
+    /// The endpoint of the last attempt.
+    pub fn last_endpoint(&self) -> Option<usize> {
+        self.sent.last().map(|sent| sent.endpoint)
+    }
+
+    /// The endpoints of all attempts but the first so many.
+    pub fn endpoints_used_since(&self, first: usize) -> Vec<usize> {
+        self.sent[first..]
+            .iter()
+            .map(|sent| sent.endpoint)
+            .collect()
+    }
+
+    /// The trace without the attempts and failures of bulk traffic.
+    pub fn decisions(&self) -> String {
+        self.trace
+            .lines()
+            .filter(|line| !line.contains("attempt #") && !line.contains("fail #"))
+            .map(|line| format!("{line}\n"))
+            .collect()
+    }
+
+    /// The first line of the decisions, or `otherwise` if there is none.
+    pub fn first_decision(&self, otherwise: &str) -> String {
+        self.decisions()
+            .lines()
+            .next()
+            .unwrap_or(otherwise)
+            .to_string()
+    }
+}
+
+fn trace_line(action: &Action) -> String {
+    match action {
+        Action::StartAttempt { id, endpoint, .. } => format!("attempt #{id} to {endpoint}"),
+        Action::CancelAttempt { id, attempt } => format!("cancel #{id} attempt {attempt}"),
+        Action::Reject { id, retry_after } => {
+            let retry_after_ms = retry_after.map_or(0, |after| after.0 / 1000);
+            format!("reject #{id}, retry after {retry_after_ms} ms")
+        }
+        Action::Fail { id } => format!("fail #{id}"),
+        Action::Vote {
+            build,
+            stage,
+            decision,
+        } => format!("vote {decision:?} on {build} stage {stage}"),
+        Action::SendGossip { to: None, message } => {
+            format!("gossip {}", gossip::encode(message))
+        }
+        Action::SendGossip {
+            to: Some(to),
+            message,
+        } => format!("gossip {to} {}", gossip::encode(message)),
+        Action::WatchEndpoints | Action::SetTimer { .. } => format!("{action:?}"),
+    }
+}
+
+/// How many of the endpoints used are this one.
+pub fn share(used: &[usize], endpoint: usize) -> String {
+    let count = used.iter().filter(|used| **used == endpoint).count();
+    format!("{count} of {}", used.len())
+}
+
+/// One gateway of a fleet, while build 2 is on one of five endpoints.
+pub fn group_member(gateway_count: usize, local_peer: usize) -> ScriptedGateway {
+    let mut parameters = default_parameters();
+    parameters.gateway_count = gateway_count;
+    parameters.local_peer = PeerId(local_peer);
+    ScriptedGateway::with_endpoints(parameters, &[1, 1, 1, 1, 2], RolloutPhase::Canary)
+}
+
+/// A canary on one of four endpoints, until it has had this many outcomes; `fails` says of each, by its number, whether it failed.
+pub fn canary_trial(
+    gateway_count: usize,
+    control: StageControl,
+    outcomes: usize,
+    fails: impl Fn(usize) -> bool,
+) -> ScriptedGateway {
+    let mut parameters = default_parameters();
+    parameters.gateway_count = gateway_count;
+    parameters.rollout.stage_control = control;
+    parameters.rollout.exposure_allowance = 1000.0;
+    let mut gateway =
+        ScriptedGateway::with_endpoints(parameters, &[1, 1, 1, 2], RolloutPhase::Canary);
+    let seen = Cell::new(0);
+    while seen.get() < outcomes {
+        gateway.run_traffic(1, 10, |endpoint| {
+            let is_canary = endpoint == 3;
+            seen.set(seen.get() + usize::from(is_canary));
+            if is_canary && fails(seen.get()) {
+                (AttemptOutcome::ServerError, ERROR_LATENCY_MS)
+            } else {
+                (AttemptOutcome::Succeeded, USUAL_LATENCY_MS)
+            }
+        });
+    }
+    gateway
+}
