--- a/crates/admission/tests/properties.rs
+++ b/crates/admission/tests/properties.rs
@@ -437,3 +437,37 @@
         }
     }
 }
+
+/// The input that the property above was found to fail with: a peer reports a view far out of bounds.
+#[test]
+fn a_view_heard_from_a_peer_is_bounded() {
+    let mut admission = Admission::new(place(0, 1.0));
+    let now = Timestamp(1 << 40);
+    let peer = PeerId(360);
+    admission.take(
+        now,
+        Event::Member {
+            peer,
+            incarnation: Some(1),
+        },
+    );
+    let news = News {
+        incarnation: 1,
+        number: 0,
+        view: Some(117.30824),
+        offered: vec![0.0; 3],
+        tenants: vec![0.0; 3],
+        open: vec![0.0; 2],
+        answered: vec![27.19393, 600_000.0],
+        sketches: Vec::new(),
+    };
+    admission.take(now, Event::Heard { from: peer, news });
+    admission.take(now + TimeDelta(53_528), Event::Wake);
+    let gates = admission.gates();
+    let view = gates.view();
+    assert!(
+        view.is_none_or(|v| v > 0.0 && v <= 4.0) && gates.pace.is_finite(),
+        "view {view:?}, pace {}",
+        gates.pace
+    );
+}
