--- a/crates/fault-injection/src/duties/world.rs
+++ b/crates/fault-injection/src/duties/world.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
 use harrierdock_lease::{
-    form, Action, Body, Duty, Epoch, Event, Fleet, Guard, NodeIx, Terms, Told,
+    codec, Action, Body, Duty, Epoch, Event, Fleet, Guard, NodeIx, Terms, Told,
 };
 use harrierdock_types::{TimeDelta, Timestamp};
 use nanorand::{Rng, WyRand};
@@ -286,7 +286,7 @@
             match action {
                 Action::Tell { to, message } => {
                     let lease = !matches!(message.body, Body::KnownLeases { .. });
-                    self.post(node, to, form::write(&message), lease);
+                    self.post(node, to, codec::write(&message), lease);
                 }
                 Action::Holds { duty, epoch } => {
                     self.believers.entry(duty).or_default().insert(node, epoch);
@@ -459,7 +459,7 @@
                         self.give(node, Event::Wake);
                     }
                 }
-                Happening::Mail { from, to, bytes } => match form::read(&bytes) {
+                Happening::Mail { from, to, bytes } => match codec::read(&bytes) {
                     Ok(message) => self.give(to, Event::Heard { from, message }),
                     Err(_) => self.unread += 1,
                 },
--- a/crates/gateway/src/config/lease.rs
+++ b/crates/gateway/src/config/lease.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use harrierdock_lease::{form, Duty, Electorate, Misfit, Terms};
+use harrierdock_lease::{codec, Duty, Electorate, Misfit, Terms};
 use harrierdock_types::TimeDelta;
 use schemars::JsonSchema;
 use serde::Deserialize;
@@ -90,7 +90,7 @@
 }
 
 fn form_now() -> u8 {
-    form::FORM
+    codec::FORM
 }
 
 fn right() -> f64 {
--- a/crates/gateway/src/lease/participant.rs
+++ b/crates/gateway/src/lease/participant.rs
@@ -1,7 +1,7 @@
 //! This gateway's part in a fleet: messages on the peers' road to `crates/lease` and back, the times it asks for,
 //! and the lines that say who holds what. Knows no socket: it takes bytes and points, and gives back what to do.
 
-use harrierdock_lease::{form, Action, Duty, Epoch, Event, Fleet, Terms, Unread, Why};
+use harrierdock_lease::{codec, Action, Duty, Epoch, Event, Fleet, Terms, Unread, Why};
 use harrierdock_types::PeerId;
 use harrierdock_types::{TimeDelta, Timestamp};
 
@@ -68,7 +68,7 @@
         seed: u64,
     ) -> (Duties, Vec<Asked>) {
         let rehearsal = told.rehearsal.as_ref();
-        let (rate, form) = rehearsal.map_or((1.0, form::FORM), |r| (r.clock_rate, r.form));
+        let (rate, form) = rehearsal.map_or((1.0, codec::FORM), |r| (r.clock_rate, r.form));
         let pace = Pace { start: now, rate };
         let (own, wanted) = (terms.own, terms.duties.clone());
         let elector = terms.electorate.electors.contains(&own);
@@ -114,9 +114,9 @@
     /// A rehearsal's other version of messages writes another form, and reads that one alone: the second byte of a
     /// message, whichever way it goes.
     pub fn reform(&self, bytes: &mut [u8]) {
-        if let Some(form) = bytes.get_mut(1).filter(|_| self.form != form::FORM) {
+        if let Some(form) = bytes.get_mut(1).filter(|_| self.form != codec::FORM) {
             *form = if *form == self.form {
-                form::FORM
+                codec::FORM
             } else {
                 self.form
             };
@@ -133,7 +133,7 @@
         from: PeerId,
         bytes: &[u8],
     ) -> Result<Vec<Asked>, Unread> {
-        match form::read(bytes) {
+        match codec::read(bytes) {
             Ok(message) => Ok(self.take(
                 now,
                 Event::Heard {
@@ -170,7 +170,7 @@
         match action {
             Action::Tell { to, message } => Asked::Send {
                 to: PeerId(to),
-                bytes: form::write(&message),
+                bytes: codec::write(&message),
             },
             Action::Holds { duty, epoch } => {
                 tracing::info!("fleet: holds {duty}, epoch {epoch}");
--- a/crates/lease/src/seek.rs
+++ b/crates/lease/src/candidate.rs
@@ -6,7 +6,7 @@
 use nanorand::Rng;
 
 use crate::elector::{Lasts, NEAR, WAITING};
-use crate::seat::State;
+use crate::lease_state::State;
 use crate::{Action, Body, Duty, Epoch, Fleet, NodeIx, Why};
 
 /// Heartbeats for which answers are waited for.
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -6,13 +6,13 @@
 //! it gets; whoever is acted on asks a `Guard`.
 
 pub mod elector;
-pub mod form;
-mod guard;
-mod hear;
-mod seat;
-mod seek;
-mod terms;
-mod voters;
+pub mod codec;
+mod fencing;
+mod message_handling;
+mod lease_state;
+mod candidate;
+mod configuration;
+mod quorum;
 
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt;
@@ -22,12 +22,12 @@
 use serde::{Deserialize, Serialize};
 
 use elector::Elector;
-use seat::Seat;
-use voters::Voters;
+use lease_state::Seat;
+use quorum::Voters;
 
-pub use form::{Ballot, Body, Holding, Message, Unread};
-pub use guard::{Guard, Stale};
-pub use terms::{id_of, Duty, Electorate, Misfit, NodeIx, Terms, Told};
+pub use codec::{Ballot, Body, Holding, Message, Unread};
+pub use fencing::{Guard, Stale};
+pub use configuration::{id_of, Duty, Electorate, Misfit, NodeIx, Terms, Told};
 
 /// The shortest wait asked for. Guards against a driver that wakes this without end.
 const SHORTEST: TimeDelta = TimeDelta(1_000);
@@ -46,7 +46,7 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// A message has come, read by `form::read`; `from` is by the road it came on.
+    /// A message has come, read by `codec::read`; `from` is by the road it came on.
     Heard { from: NodeIx, message: Message },
     /// The time asked for by `Action::Wake` has come; one too early or too late does no harm.
     Wake,
@@ -145,7 +145,7 @@
         let floor = Epoch(incarnation.saturating_add((terms.silence.0 / 1000).max(0) as u64));
         let elector = Elector::new(&terms.duties, now + terms.silence, floor, longest);
         let voters = Voters::new(terms.electorate.clone(), nodes, terms.own, terms.silence);
-        let digest = voters::digest(&terms.electorate.electors, &terms.ids);
+        let digest = quorum::digest(&terms.electorate.electors, &terms.ids);
         let mut chance = WyRand::new_seed(seed);
         let next_hearsay = now + terms.heartbeat * chance.generate::<f64>();
         let mut fleet = Fleet {
@@ -193,7 +193,7 @@
             }
             Event::Electorate(next) => {
                 self.voters.follow(next);
-                self.digest = voters::digest(&self.voters.told().electors, &self.terms.ids);
+                self.digest = quorum::digest(&self.voters.told().electors, &self.terms.ids);
             }
         }
         self.voters.judge(now);
--- a/crates/lease/src/hear.rs
+++ b/crates/lease/src/message_handling.rs
@@ -7,8 +7,8 @@
 use nanorand::Rng;
 
 use crate::elector::{Answer, Asker};
-use crate::form::HEARSAY;
-use crate::seat::{Round, State};
+use crate::codec::HEARSAY;
+use crate::lease_state::{Round, State};
 use crate::{Action, Ballot, Body, Duty, Epoch, Fleet, Holding, Known, Message, NodeIx};
 
 /// How far ahead an epoch or a start may be, in milliseconds: a year. Guards against one garbled or insane
@@ -244,7 +244,7 @@
                 open.insert(from);
                 if self.voters.most(open) {
                     let epoch = *epoch;
-                    let until = now + self.terms.heartbeat * crate::seek::PATIENCE;
+                    let until = now + self.terms.heartbeat * crate::candidate::PATIENCE;
                     let round = Round {
                         no: 1,
                         sent: now,
