--- a/crates/fault-injection/src/duties/mod.rs
+++ b/crates/fault-injection/src/duties/mod.rs
@@ -4,12 +4,11 @@
 
 use std::collections::BTreeSet;
 
-use harrierdock_lease::NodeIx;
 use harrierdock_types::{TimeDelta, Timestamp};
 use hdrhistogram::Histogram;
 use nanorand::{Rng, WyRand};
 use serde::Serialize;
-use world::{Roads, Turn, World, DUTIES};
+use world::{NodeIx, Roads, Turn, World, DUTIES};
 
 /// Seconds of a day of faults: none before, then trouble, then quiet in which all duties must be held again.
 const CALM: f64 = 4.0;
--- a/crates/gateway/src/config/lease.rs
+++ b/crates/gateway/src/config/lease.rs
@@ -2,7 +2,9 @@
 
 use std::net::SocketAddr;
 
-use harrierdock_lease::{codec, Duty, Electorate, Misfit, Terms};
+use harrierdock_lease::{
+    codec, ConfigurationError, Electorate, LeaseName, LeaseParameters, LeaseSettings,
+};
 use harrierdock_types::TimeDelta;
 use schemars::JsonSchema;
 use serde::Deserialize;
@@ -90,7 +92,7 @@
 }
 
 fn form_now() -> u8 {
-    codec::FORM
+    codec::FORMAT_VERSION
 }
 
 fn right() -> f64 {
@@ -104,7 +106,10 @@
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum FleetMisfit {
     #[error("fleet.{field}: {misfit}")]
-    Terms { field: &'static str, misfit: Misfit },
+    Terms {
+        field: &'static str,
+        misfit: ConfigurationError,
+    },
     #[error(
         "fleet.gateways: {names} names for {peers} of the configuration's `peers`: name each, in that order"
     )]
@@ -139,30 +144,32 @@
     Rate { rate: f64 },
 }
 
-fn field(misfit: &Misfit) -> &'static str {
+fn field(misfit: &ConfigurationError) -> &'static str {
     match misfit {
-        Misfit::OwnUnknown { .. } | Misfit::NameTwice { .. } | Misfit::NamesAlike { .. } => {
-            "gateways"
-        }
-        Misfit::TooFewElectors { .. }
-        | Misfit::TooManyElectors { .. }
-        | Misfit::ElectorUnknown { .. }
-        | Misfit::ElectorTwice { .. } => "electorate",
-        Misfit::LeaseTooShort { .. } | Misfit::LeaseOutOfRange { .. } => "lease_ms",
-        Misfit::HeartbeatOutOfRange { .. } => "heartbeat_ms",
-        Misfit::DriftOutOfRange { .. } => "drift",
-        Misfit::LongestTooShort { .. } => "longest_lease_ms",
-        Misfit::UnknownDuty { .. } | Misfit::DutyTwice { .. } | Misfit::TooManyDuties { .. } => {
-            "duties"
-        }
-        Misfit::NotTheNext { .. } | Misfit::NotByOne { .. } | Misfit::TooSoon { .. } => {
-            "electorate_number"
+        ConfigurationError::UnknownOwnName { .. }
+        | ConfigurationError::DuplicateName { .. }
+        | ConfigurationError::NameHashCollision { .. } => "gateways",
+        ConfigurationError::TooFewElectors { .. }
+        | ConfigurationError::TooManyElectors { .. }
+        | ConfigurationError::UnknownElector { .. }
+        | ConfigurationError::DuplicateElector { .. } => "electorate",
+        ConfigurationError::LeaseTooShort { .. } | ConfigurationError::LeaseOutOfRange { .. } => {
+            "lease_ms"
         }
+        ConfigurationError::HeartbeatOutOfRange { .. } => "heartbeat_ms",
+        ConfigurationError::ClockDriftOutOfRange { .. } => "drift",
+        ConfigurationError::LongestLeaseTooShort { .. } => "longest_lease_ms",
+        ConfigurationError::UnknownLease { .. }
+        | ConfigurationError::DuplicateLease { .. }
+        | ConfigurationError::TooManyLeases { .. } => "duties",
+        ConfigurationError::ElectorateNumberNotNext { .. }
+        | ConfigurationError::ElectorateChangeNotByOne { .. }
+        | ConfigurationError::ElectorateNotInForce { .. } => "electorate_number",
     }
 }
 
 impl FleetMisfit {
-    pub fn of(misfit: Misfit) -> FleetMisfit {
+    pub fn of(misfit: ConfigurationError) -> FleetMisfit {
         FleetMisfit::Terms {
             field: field(&misfit),
             misfit,
@@ -183,17 +190,17 @@
 }
 
 impl FleetTold {
-    fn told(&self, name: &str) -> harrierdock_lease::Told {
-        harrierdock_lease::Told {
-            own: name.into(),
-            names: self.gateways.clone(),
+    fn told(&self, name: &str) -> LeaseSettings {
+        LeaseSettings {
+            own_name: name.into(),
+            peer_names: self.gateways.clone(),
             electorate: self.electorate.clone(),
             electorate_number: self.electorate_number,
-            lease: ms(self.lease_ms),
-            heartbeat: ms(self.heartbeat_ms),
-            longest_lease: self.longest_lease_ms.map(ms),
-            drift: self.drift,
-            duties: self.duties.clone(),
+            lease_duration: ms(self.lease_ms),
+            heartbeat_interval: ms(self.heartbeat_ms),
+            longest_lease_duration: self.longest_lease_ms.map(ms),
+            clock_drift_ratio: self.drift,
+            lease_names: self.duties.clone(),
         }
     }
 
@@ -201,8 +208,11 @@
     ///
     /// # Errors
     /// What does not fit, by field.
-    pub fn terms(&self, beside: &Beside) -> Result<Terms, FleetMisfit> {
-        let terms = self.told(beside.name).terms().map_err(FleetMisfit::of)?;
+    pub fn terms(&self, beside: &Beside) -> Result<LeaseParameters, FleetMisfit> {
+        let terms = self
+            .told(beside.name)
+            .parameters()
+            .map_err(FleetMisfit::of)?;
         if !beside.hears {
             return Err(FleetMisfit::NoRoad);
         }
@@ -212,15 +222,18 @@
                 peers: beside.peers,
             });
         }
-        if terms.own != beside.ordinal {
-            let (own, place, ordinal) = (beside.name.to_string(), terms.own, beside.ordinal);
+        if terms.own.0 != beside.ordinal {
+            let (own, place, ordinal) = (beside.name.to_string(), terms.own.0, beside.ordinal);
             return Err(FleetMisfit::Place {
                 own,
                 place,
                 ordinal,
             });
         }
-        match (&self.steward, terms.duties.contains(&Duty::Steward)) {
+        match (
+            &self.steward,
+            terms.leases.contains(&LeaseName::RolloutController),
+        ) {
             (None, true) => return Err(FleetMisfit::NoInstallation),
             (Some(_), false) => return Err(FleetMisfit::NoDuty),
             _ => {}
--- a/crates/gateway/src/lease/handlers.rs
+++ b/crates/gateway/src/lease/handlers.rs
@@ -2,7 +2,7 @@
 
 use calloop::Readiness;
 use harrierdock_event_loop::ConnectionId;
-use harrierdock_lease::{Duty, Event};
+use harrierdock_lease::{Event, LeaseName};
 use harrierdock_rollout_controller::{self as ballots, Action, Answer, Event as StewardEvent};
 use harrierdock_types::{
     BuildId, Event as ModuleEvent, PeerId, PlatformStatus, RolloutDecision, RolloutPhase,
@@ -26,7 +26,7 @@
             return Ok(());
         };
         let terms = shared.terms(&told.beside()?).map_err(|e| e.to_string())?;
-        let (now, own) = (self.room.now(), (terms.own, terms.ids.len()));
+        let (now, own) = (self.room.now(), (terms.own.0, terms.name_hashes.len()));
         if let Some(steward) = &shared.steward {
             self.stewarding = Some(Box::new(Stewarding::new(
                 now, steward, &told.name, own, spans,
@@ -48,7 +48,7 @@
 
     pub fn fleet_due(&mut self) {
         self.fleet_armed = None;
-        self.fleet(Event::Wake);
+        self.fleet(Event::TimerFired);
     }
 
     fn obey_fleet(&mut self, asked: Vec<Asked>) {
@@ -56,13 +56,13 @@
             match asked {
                 Asked::Send { to, bytes } => self.send_to(to, bytes),
                 Asked::Holds {
-                    duty: Duty::Steward,
+                    duty: LeaseName::RolloutController,
                     epoch,
                 } => {
                     self.steward(StewardEvent::Holds { epoch: epoch.0 });
                 }
                 Asked::Ended {
-                    duty: Duty::Steward,
+                    duty: LeaseName::RolloutController,
                 } => self.steward(StewardEvent::Lost),
                 Asked::Holds { .. } | Asked::Ended { .. } => {}
                 Asked::WakeAt(at) => {
@@ -213,7 +213,11 @@
             room,
             ..
         } = self;
-        let may_act = |now| duties.as_ref().and_then(|d| d.may_act(now, Duty::Steward));
+        let may_act = |now| {
+            duties
+                .as_ref()
+                .and_then(|d| d.may_act(now, LeaseName::RolloutController))
+        };
         let ended = stewarding
             .as_mut()
             .and_then(|s| s.serve(&mut room.net, no, readiness, may_act));
@@ -242,8 +246,8 @@
         self.room.dues.cancel(due, Due::Call(no));
         self.steward(StewardEvent::Answered { ballot, answer });
         if let Some(newest) = newest {
-            self.fleet(Event::Refused {
-                duty: Duty::Steward,
+            self.fleet(Event::EpochRejected {
+                lease: LeaseName::RolloutController,
                 newest,
             });
         }
--- a/crates/gateway/src/lease/participant.rs
+++ b/crates/gateway/src/lease/participant.rs
@@ -1,7 +1,9 @@
 //! This gateway's part in a fleet: messages on the peers' road to `crates/lease` and back, the times it asks for,
 //! and the lines that say who holds what. Knows no socket: it takes bytes and points, and gives back what to do.
 
-use harrierdock_lease::{codec, Action, Duty, Epoch, Event, Fleet, Terms, Unread, Why};
+use harrierdock_lease::{
+    codec, Action, DecodeError, Epoch, Event, LeaseManager, LeaseName, LeaseParameters, LossReason,
+};
 use harrierdock_types::PeerId;
 use harrierdock_types::{TimeDelta, Timestamp};
 
@@ -21,11 +23,11 @@
     },
     /// A duty is this gateway's from now on.
     Holds {
-        duty: Duty,
+        duty: LeaseName,
         epoch: Epoch,
     },
     Ended {
-        duty: Duty,
+        duty: LeaseName,
     },
     /// To be woken then, and at no earlier point asked for before.
     WakeAt(Timestamp),
@@ -48,7 +50,7 @@
 }
 
 pub struct Duties {
-    fleet: Fleet,
+    fleet: LeaseManager,
     told: FleetTold,
     name: String,
     own: PeerId,
@@ -63,31 +65,38 @@
     pub fn new(
         now: Timestamp,
         told: FleetTold,
-        terms: Terms,
+        terms: LeaseParameters,
         name: &str,
         seed: u64,
     ) -> (Duties, Vec<Asked>) {
         let rehearsal = told.rehearsal.as_ref();
-        let (rate, form) = rehearsal.map_or((1.0, codec::FORM), |r| (r.clock_rate, r.form));
+        let (rate, form) =
+            rehearsal.map_or((1.0, codec::FORMAT_VERSION), |r| (r.clock_rate, r.form));
         let pace = Pace { start: now, rate };
-        let (own, wanted) = (terms.own, terms.duties.clone());
+        let (own, wanted) = (terms.own, terms.leases.clone());
         let elector = terms.electorate.electors.contains(&own);
         // Unix time in milliseconds, as points begin with it.
         let incarnation = (now.0 / 1000) as u64;
-        let fleet = Fleet::new(terms, incarnation, seed ^ incarnation, now);
+        let fleet = LeaseManager::new(terms, incarnation, seed ^ incarnation, now);
         let mut duties = Duties {
             fleet,
             told,
             name: name.into(),
-            own: PeerId(own),
+            own,
             pace,
             form,
             unread: 0,
             unread_told: None,
         };
-        let mut asked = duties.take(now, Event::Wake);
+        let mut asked = duties.take(now, Event::TimerFired);
         for duty in wanted.into_iter().filter(|_| elector) {
-            asked.extend(duties.take(now, Event::Wants { duty, wants: true }));
+            asked.extend(duties.take(
+                now,
+                Event::CandidacyChanged {
+                    lease: duty,
+                    wanted: true,
+                },
+            ));
         }
         (duties, asked)
     }
@@ -96,27 +105,29 @@
     pub fn electors(&self) -> Vec<PeerId> {
         self.fleet
             .electorate()
-            .0
+            .electorate
             .electors
             .iter()
             .copied()
-            .map(PeerId)
             .filter(|e| *e != self.own)
             .collect()
     }
 
     /// Whether this gateway may act in this duty right now. To be asked immediately before the bytes of each act go
     /// out. Guards against acts of one that was stalled, cut off or late: no other place knows the time of the act.
-    pub fn may_act(&self, now: Timestamp, duty: Duty) -> Option<Epoch> {
+    pub fn may_act(&self, now: Timestamp, duty: LeaseName) -> Option<Epoch> {
         self.fleet.may_act(self.pace.told(now), duty)
     }
 
     /// A rehearsal's other version of messages writes another form, and reads that one alone: the second byte of a
     /// message, whichever way it goes.
     pub fn reform(&self, bytes: &mut [u8]) {
-        if let Some(form) = bytes.get_mut(1).filter(|_| self.form != codec::FORM) {
+        if let Some(form) = bytes
+            .get_mut(1)
+            .filter(|_| self.form != codec::FORMAT_VERSION)
+        {
             *form = if *form == self.form {
-                codec::FORM
+                codec::FORMAT_VERSION
             } else {
                 self.form
             };
@@ -132,15 +143,9 @@
         now: Timestamp,
         from: PeerId,
         bytes: &[u8],
-    ) -> Result<Vec<Asked>, Unread> {
-        match codec::read(bytes) {
-            Ok(message) => Ok(self.take(
-                now,
-                Event::Heard {
-                    from: from.0,
-                    message,
-                },
-            )),
+    ) -> Result<Vec<Asked>, DecodeError> {
+        match codec::decode(bytes) {
+            Ok(message) => Ok(self.take(now, Event::MessageReceived { from, message })),
             Err(e) => {
                 self.unread += 1;
                 // Guards against a log full of one garbled road or an old build: a line in a while says how many.
@@ -159,7 +164,7 @@
 
     /// Tells `crates/lease`, says what has changed, and gives back what is to be done.
     pub fn take(&mut self, now: Timestamp, event: Event) -> Vec<Asked> {
-        let actions = self.fleet.take(self.pace.told(now), event);
+        let actions = self.fleet.handle(self.pace.told(now), event);
         actions
             .into_iter()
             .map(|action| self.asked(now, action))
@@ -168,30 +173,34 @@
 
     fn asked(&self, now: Timestamp, action: Action) -> Asked {
         match action {
-            Action::Tell { to, message } => Asked::Send {
-                to: PeerId(to),
-                bytes: codec::write(&message),
+            Action::Send { to, message } => Asked::Send {
+                to,
+                bytes: codec::encode(&message),
             },
-            Action::Holds { duty, epoch } => {
+            Action::Acquired { lease: duty, epoch } => {
                 tracing::info!("fleet: holds {duty}, epoch {epoch}");
                 Asked::Holds { duty, epoch }
             }
-            Action::Ended { duty, epoch, why } => {
-                match why {
-                    Why::HandedOn => {
+            Action::Lost {
+                lease: duty,
+                epoch,
+                reason,
+            } => {
+                match reason {
+                    LossReason::Transferred => {
                         tracing::info!("fleet: {duty} ended, epoch {epoch}: handed on")
                     }
-                    Why::Lapsed => {
+                    LossReason::Expired => {
                         tracing::warn!("fleet: {duty} ended, epoch {epoch}: not renewed in time")
                     }
-                    Why::Refused => {
+                    LossReason::Superseded => {
                         tracing::warn!("fleet: {duty} ended, epoch {epoch}: a later one is known")
                     }
                 }
                 Asked::Ended { duty }
             }
             // What is a span by a clock that runs fast is a shorter one by the loop's.
-            Action::Wake { after } => Asked::WakeAt(now + after / self.pace.rate),
+            Action::SetTimer { after } => Asked::WakeAt(now + after / self.pace.rate),
         }
     }
 
@@ -210,7 +219,9 @@
             return Ok(Vec::new());
         }
         let next = told.electorate(&self.name)?;
-        self.fleet.may_change(&next).map_err(FleetMisfit::of)?;
+        self.fleet
+            .check_electorate_change(&next)
+            .map_err(FleetMisfit::of)?;
         tracing::info!(
             "fleet: electorate {} begins: {}",
             next.number,
@@ -218,12 +229,23 @@
         );
         self.told.electorate = told.electorate.clone();
         self.told.electorate_number = told.electorate_number;
-        let before = self.fleet.electorate().0.electors.contains(&self.own.0);
-        let after = next.electors.contains(&self.own.0);
-        let mut asked = self.take(now, Event::Electorate(next));
+        let before = self
+            .fleet
+            .electorate()
+            .electorate
+            .electors
+            .contains(&self.own);
+        let after = next.electors.contains(&self.own);
+        let mut asked = self.take(now, Event::ElectorateChanged(next));
         if before != after {
             for duty in told.duties.iter().filter_map(|d| d.parse().ok()) {
-                asked.extend(self.take(now, Event::Wants { duty, wants: after }));
+                asked.extend(self.take(
+                    now,
+                    Event::CandidacyChanged {
+                        lease: duty,
+                        wanted: after,
+                    },
+                ));
             }
         }
         Ok(asked)
@@ -231,10 +253,10 @@
 
     /// For the counters' line: what was counted, and who holds what as far as is known here.
     pub fn counts(&self, now: Timestamp) -> String {
-        let counts = self.fleet.counts();
+        let counts = self.fleet.counters();
         let holder = |duty: &str| -> Option<&str> {
             let known = self.fleet.holder(self.pace.told(now), duty.parse().ok()?)?;
-            self.told.gateways.get(known.holder).map(String::as_str)
+            self.told.gateways.get(known.holder.0).map(String::as_str)
         };
         let told = self.told.duties.iter();
         let holders: String = told
@@ -242,12 +264,12 @@
             .collect();
         format!(
             "fleet: taken={} handed-on={} lapsed={} outdated={} unlike={} absurd={}{holders}",
-            counts.taken,
-            counts.handed_on,
-            counts.lapsed,
-            counts.outdated,
-            counts.unlike,
-            counts.absurd
+            counts.acquired,
+            counts.transferred,
+            counts.expired,
+            counts.outdated_messages,
+            counts.incompatible_messages,
+            counts.implausible_messages
         )
     }
 }
--- a/crates/gateway/src/runtime/gateway.rs
+++ b/crates/gateway/src/runtime/gateway.rs
@@ -387,7 +387,7 @@
         }
         tracing::info!("told to end");
         // Before clients are parted with, so that another has taken over while they still are.
-        self.fleet(harrierdock_lease::Event::Ending);
+        self.fleet(harrierdock_lease::Event::ShutdownStarted);
         self.shutdown_since = Some(self.room.now());
         self.room.due_in(SHUTDOWN_GRACE, Due::Shutdown);
         self.clients.turn(Serving::ShuttingDown);
--- a/crates/lease/src/candidate.rs
+++ b/crates/lease/src/candidate.rs
@@ -1,402 +1,338 @@
-//! How a gateway that would hold a duty comes by it, keeps it, and gives it up.
+//! How a candidate comes by a lease, keeps it, and gives it up.
 
 use std::collections::BTreeSet;
 
-use harrierdock_types::{TimeDelta, Timestamp};
+use harrierdock_types::{PeerId, TimeDelta, Timestamp};
 use nanorand::Rng;
 
-use crate::elector::{Lasts, NEAR, WAITING};
-use crate::lease_state::State;
-use crate::{Action, Body, Duty, Epoch, Fleet, NodeIx, Why};
+use crate::elector::NEXT_CANDIDATES;
+use crate::lease_state::{LeaseState, Phase, RepeatedRelease};
+use crate::message_handling::duration_to_ms;
+use crate::retry_delay::CANDIDATE_SPACING;
+use crate::{Action, Epoch, LeaseManager, LeaseName, LossReason, MessageBody};
 
-/// Heartbeats for which answers are waited for.
-pub const PATIENCE: f64 = 0.5;
-/// Heartbeats between the tries of two that wait. Guards against two that take the votes from each other: it
-/// is longer than a round on the roads of one site. It harms a take-over by its length for each that is gone.
-const APART: f64 = 1.0 / 16.0;
-/// Leases between the looks of those that wait behind the first.
-const LATER: f64 = 12.0;
-/// One look in so many goes to the first elector again, after it said nothing.
-const BACK: u32 = 8;
-/// Doublings of the wait after tries that came to nothing.
-const DOUBLINGS: u32 = 4;
-/// Heartbeats after which what was given up is told once more.
-const AGAIN: f64 = 1.0 / 8.0;
+/// Heartbeats for which replies are waited for.
+const REPLY_TIMEOUT_HEARTBEATS: f64 = 0.5;
+/// One probe in so many goes to the first elector again, after it did not reply.
+const FIRST_ELECTOR_INTERVAL: u32 = 8;
+/// Heartbeats after which a release is sent once more.
+const REPEATED_RELEASE_HEARTBEATS: f64 = 1.0 / 8.0;
 
-impl Fleet {
-    /// A number by which this elector, and any other, ranks a gateway that waits: another order for each
-    /// duty.
-    pub(crate) fn rank(&self, duty: Duty, node: NodeIx) -> u64 {
-        let id = self.terms.ids.get(node).copied().unwrap_or(0);
-        let kind = match duty {
-            Duty::Steward => 1 << 16,
-            Duty::Heir => 1 << 17,
-            Duty::Speaker(circle) => u64::from(circle),
-        };
-        let mixed = (u64::from(id) << 20 ^ kind).wrapping_mul(0x9e37_79b9_7f4a_7c15);
-        (mixed ^ (mixed >> 29)).wrapping_mul(0xbf58_476d_1ce4_e5b9)
-    }
-
-    pub(crate) fn waiting_lasts(&self) -> Lasts {
-        Lasts {
-            near: self.terms.lease * 4.0,
-            later: self.terms.lease * (2.0 * LATER),
-        }
-    }
-
-    pub(crate) fn tell_all(&mut self, body: Body) {
-        for to in self.voters.all() {
-            self.tell(to, body.clone());
-        }
+impl LeaseManager {
+    pub(crate) fn reply_deadline(&self, now: Timestamp) -> Timestamp {
+        now + self.parameters.heartbeat_interval * REPLY_TIMEOUT_HEARTBEATS
     }
 
-    /// What has run out by this gateway's own clock has ended.
-    pub(crate) fn lapse(&mut self, now: Timestamp) {
-        for duty in self.terms.duties.clone() {
-            let held = self.seats.get(&duty).and_then(|s| s.held());
-            if let Some((epoch, _)) = held.filter(|(_, until)| now >= *until) {
-                self.counts.lapsed += 1;
-                self.give_up(now, duty, epoch, Why::Lapsed);
+    /// Ends what has expired by this gateway's own clock.
+    pub(crate) fn expire_leases(&mut self, now: Timestamp) {
+        for lease in self.parameters.leases.clone() {
+            let held = self.states.get(&lease).and_then(LeaseState::held);
+            if let Some(epoch) = held.filter(|h| now >= h.expires_at).map(|h| h.epoch) {
+                self.counters.expired += 1;
+                self.lose(now, lease, epoch, LossReason::Expired);
             }
         }
     }
 
-    fn give_up(&mut self, now: Timestamp, duty: Duty, epoch: Epoch, why: Why) {
-        self.actions.push(Action::Ended { duty, epoch, why });
-        let heir = match why {
-            Why::HandedOn => self.heir(duty),
-            Why::Lapsed | Why::Refused => None,
+    fn lose(&mut self, now: Timestamp, lease: LeaseName, epoch: Epoch, reason: LossReason) {
+        self.actions.push(Action::Lost {
+            lease,
+            epoch,
+            reason,
+        });
+        let successor = match reason {
+            LossReason::Transferred => self.successor(lease),
+            LossReason::Expired | LossReason::Superseded => None,
         };
-        self.tell_all(Body::Release { duty, epoch });
-        if let Some(heir) = heir {
-            self.tell(heir, Body::Pass { duty, epoch });
-        }
-        let again = now + self.terms.heartbeat * AGAIN;
-        self.wait(now, duty, TimeDelta::ZERO);
-        if let Some(seat) = self.seats.get_mut(&duty) {
-            seat.again = Some((again, epoch, heir));
+        self.send_release(lease, epoch, successor);
+        let at = now + self.parameters.heartbeat_interval * REPEATED_RELEASE_HEARTBEATS;
+        self.wait(now, lease, TimeDelta::ZERO);
+        if let Some(state) = self.states.get_mut(&lease) {
+            state.repeated_release = Some(RepeatedRelease {
+                at,
+                epoch,
+                successor,
+            });
         }
-        if let Some(known) = self.known.get_mut(&duty).filter(|k| k.epoch == epoch) {
-            known.until = known.until.min(now);
+        self.known_leases.end(now, lease, epoch);
+    }
+
+    fn send_release(&mut self, lease: LeaseName, epoch: Epoch, successor: Option<PeerId>) {
+        self.send_to_electors(&MessageBody::Release { lease, epoch });
+        if let Some(successor) = successor {
+            self.send(successor, MessageBody::Transfer { lease, epoch });
         }
     }
 
-    /// Who is to have it next: an elector that waits, or the first of those that electors know to wait.
-    fn heir(&self, duty: Duty) -> Option<NodeIx> {
-        let heirs = self
-            .seats
-            .get(&duty)?
-            .heirs
+    /// The next holder: an elector that waits, or the first of those that electors know to wait.
+    fn successor(&self, lease: LeaseName) -> Option<PeerId> {
+        let successors = &self.states.get(&lease)?.successors;
+        successors
             .iter()
-            .filter(|h| **h != self.terms.own);
-        heirs
-            .min_by_key(|h| (!self.voters.votes(**h), self.rank(duty, **h)))
             .copied()
+            .filter(|peer| *peer != self.parameters.own)
+            .min_by_key(|peer| {
+                (
+                    !self.quorum.is_elector(*peer),
+                    self.candidate_rank(lease, *peer),
+                )
+            })
     }
 
-    pub(crate) fn want(&mut self, now: Timestamp, duty: Duty, wants: bool) {
-        let wants = wants && !self.ending;
-        let first = self.elector.silent_until();
-        let votes = self.voters.votes(self.terms.own);
-        let Some(seat) = self.seats.get_mut(&duty) else {
+    /// Makes this gateway a candidate for a lease, or gives the lease up.
+    pub(crate) fn set_candidacy(&mut self, now: Timestamp, lease: LeaseName, wanted: bool) {
+        let is_wanted = wanted && !self.is_shutting_down;
+        let Some(state) = self.states.get_mut(&lease) else {
             return;
         };
-        if std::mem::replace(&mut seat.wants, wants) == wants {
-            return;
-        }
-        if wants {
-            // Guards against a whole fleet that asks at once after a start: electors are near, others by
-            // chance.
-            let near = votes || seat.place < NEAR;
-            let next = first.max(now)
-                + if near {
-                    self.spread(duty)
-                } else {
-                    self.early()
-                };
-            if let Some(seat) = self.seats.get_mut(&duty) {
-                seat.state = State::Waits { next };
-            }
+        if state.is_wanted == is_wanted {
             return;
         }
-        match seat.state {
-            State::Holds { epoch, .. } => {
-                self.counts.handed_on += 1;
-                self.give_up(now, duty, epoch, Why::HandedOn);
-            }
-            State::Takes { epoch, .. } => {
-                self.tell_all(Body::Release { duty, epoch });
-                self.wait(now, duty, TimeDelta::ZERO);
-            }
-            _ => self.wait(now, duty, TimeDelta::ZERO),
+        state.is_wanted = is_wanted;
+        if is_wanted {
+            self.begin_candidacy(now, lease);
+        } else {
+            self.end_candidacy(now, lease);
         }
     }
 
-    pub(crate) fn refused(&mut self, now: Timestamp, duty: Duty, newest: Epoch) {
-        self.elector.learn(duty, newest);
-        let held = self.seats.get(&duty).and_then(|s| s.held());
-        if let Some((epoch, _)) = held.filter(|(epoch, _)| *epoch < newest) {
-            self.give_up(now, duty, epoch, Why::Refused);
+    /// Sets the first try: electors soon, others at random, so that a whole fleet does not ask at once after a start.
+    fn begin_candidacy(&mut self, now: Timestamp, lease: LeaseName) {
+        let earliest = self.elector.silent_until().max(now);
+        let is_elector = self.quorum.is_elector(self.parameters.own);
+        let candidates_before = self.states.get(&lease).map_or(0, |s| s.candidates_before);
+        let delay = if is_elector || candidates_before < NEXT_CANDIDATES {
+            self.draw_spacing(lease)
+        } else {
+            self.draw_first_delay()
+        };
+        if let Some(state) = self.states.get_mut(&lease) {
+            state.phase = Phase::Waiting {
+                next_try: earliest + delay,
+            };
         }
     }
 
-    /// An elector's vote has become free in order: it tries soon if it waits itself, should the heir not.
-    pub(crate) fn gave_up(&mut self, now: Timestamp, duty: Duty, epoch: Epoch) {
-        if let Some(known) = self.known.get_mut(&duty).filter(|k| k.epoch == epoch) {
-            known.until = known.until.min(now);
-        }
-        let soon = now + self.terms.heartbeat * APART + self.spread(duty);
-        if let Some(seat) = self.seats.get_mut(&duty).filter(|s| s.wants) {
-            if let State::Waits { next } = &mut seat.state {
-                *next = soon.min(*next);
+    fn end_candidacy(&mut self, now: Timestamp, lease: LeaseName) {
+        match self.states.get(&lease).map(|state| &state.phase) {
+            Some(Phase::Held(held)) => {
+                let epoch = held.epoch;
+                self.counters.transferred += 1;
+                self.lose(now, lease, epoch, LossReason::Transferred);
             }
+            Some(Phase::Acquiring { epoch, .. }) => {
+                let epoch = *epoch;
+                self.abandon_acquisition(now, lease, epoch, TimeDelta::ZERO);
+            }
+            _ => self.wait(now, lease, TimeDelta::ZERO),
         }
     }
 
-    /// The holder has passed it to this gateway.
-    pub(crate) fn passed(&mut self, now: Timestamp, duty: Duty, after: Epoch) {
-        let Some(seat) = self.seats.get(&duty).filter(|s| s.wants) else {
-            return;
-        };
-        let waits = match seat.state {
-            State::Waits { .. } | State::Looks { .. } => true,
-            // It had asked before it was passed on, or the message has come twice.
-            State::Asks { after: known, .. } => known != Some(after),
-            State::Takes { .. } | State::Holds { .. } => false,
-        };
-        // Guards against an old copy: whoever passed on an epoch that others have left behind has passed
-        // nothing.
-        let newer = self
-            .known
-            .get(&duty)
-            .is_some_and(|known| known.epoch > after);
-        if waits && !newer {
-            self.elector.learn(duty, after);
-            self.ask_all(now, duty, Some(after));
-        }
-    }
-
-    /// How long this one waits more than others that would hold the duty.
-    fn spread(&mut self, duty: Duty) -> TimeDelta {
-        let own = self.terms.own;
-        let electors = self.voters.all();
-        let rank = self.rank(duty, own);
-        let before = if self.voters.votes(own) {
-            electors
-                .iter()
-                .filter(|e| self.rank(duty, **e) < rank)
-                .count()
-        } else {
-            electors.len() + self.seats.get(&duty).map_or(0, |s| s.place)
-        };
-        self.terms.heartbeat * (APART * (before as f64 + 0.5 * self.chance.generate::<f64>()))
+    /// Releases the grants that have come, and tries again later.
+    pub(crate) fn abandon_acquisition(
+        &mut self,
+        now: Timestamp,
+        lease: LeaseName,
+        epoch: Epoch,
+        remaining: TimeDelta,
+    ) {
+        self.send_to_electors(&MessageBody::Release { lease, epoch });
+        self.wait(now, lease, remaining);
     }
 
-    /// How long one waits that is not among the first: all such together look about once a lease.
-    fn seldom(&mut self) -> TimeDelta {
-        self.terms.lease
-            * (2.0 * self.terms.ids.len() as f64 * self.chance.generate::<f64>()).max(0.5)
+    /// Whoever was acted on knows a newer epoch.
+    pub(crate) fn handle_newer_epoch(&mut self, now: Timestamp, lease: LeaseName, newest: Epoch) {
+        self.elector.learn_epoch(lease, newest);
+        let held = self.states.get(&lease).and_then(LeaseState::held);
+        if let Some(epoch) = held.map(|held| held.epoch).filter(|epoch| *epoch < newest) {
+            self.lose(now, lease, epoch, LossReason::Superseded);
+        }
     }
 
-    /// How long one waits that no elector has told its place. If all of a large fleet would hold the duty,
-    /// they look 64 times a lease in sum, each once: nobody knows yet how many they are, and few must not
-    /// wait long.
-    fn early(&mut self) -> TimeDelta {
-        self.terms.lease
-            * ((self.terms.ids.len() as f64 / 64.0).max(1.0) * self.chance.generate::<f64>())
+    /// A holder has released this elector's grant: a candidate here tries soon, should the successor not.
+    pub(crate) fn handle_release(&mut self, now: Timestamp, lease: LeaseName, epoch: Epoch) {
+        self.known_leases.end(now, lease, epoch);
+        let spacing = self.parameters.heartbeat_interval * CANDIDATE_SPACING;
+        let soon = now + spacing + self.draw_spacing(lease);
+        if let Some(state) = self.states.get_mut(&lease).filter(|s| s.is_wanted) {
+            if let Phase::Waiting { next_try } = &mut state.phase {
+                *next_try = soon.min(*next_try);
+            }
+        }
     }
 
-    /// Nothing is under way any more; `left` is how long another holds it yet.
-    fn wait(&mut self, now: Timestamp, duty: Duty, left: TimeDelta) {
-        let own = self.terms.own;
-        let (spread, seldom) = (self.spread(duty), self.seldom());
-        let chance = self.chance.generate::<f64>();
-        let votes = self.voters.votes(own);
-        let Some(seat) = self.seats.get_mut(&duty) else {
+    /// The holder has transferred the lease to this gateway.
+    pub(crate) fn handle_transfer(&mut self, now: Timestamp, lease: LeaseName, after: Epoch) {
+        let Some(state) = self.states.get(&lease).filter(|s| s.is_wanted) else {
             return;
         };
-        let apart = self.terms.heartbeat * APART;
-        let next = if left > TimeDelta::ZERO {
-            seat.fails = 0;
-            match seat.place {
-                place if votes || place == 0 => now + left + spread,
-                place if place < NEAR => now + left + self.terms.lease * place as f64 + spread,
-                place if place < WAITING => {
-                    now + left + self.terms.lease * (LATER * (0.5 + chance))
-                }
-                _ => now + left + seldom,
-            }
-        } else {
-            seat.fails = (seat.fails + 1).min(DOUBLINGS);
-            now + spread + apart * (chance * f64::from(1u32 << seat.fails))
+        let can_prepare = match state.phase {
+            Phase::Waiting { .. } | Phase::Probing { .. } => true,
+            // It had asked before the transfer, or the message has come twice.
+            Phase::Preparing { after: known, .. } => known != Some(after),
+            Phase::Acquiring { .. } | Phase::Held(_) => false,
         };
-        seat.state = State::Waits { next };
+        // An old copy: an epoch that others have left behind transfers nothing.
+        let is_outdated = self
+            .known_leases
+            .holder(lease)
+            .is_some_and(|known| known.epoch > after);
+        if can_prepare && !is_outdated {
+            self.elector.learn_epoch(lease, after);
+            self.prepare(now, lease, Some(after));
+        }
     }
 
-    /// Above all that this gateway knows of, and above its own start.
-    /// Guards against a try that counts votes of an earlier one: no number is used twice by a process.
-    fn next_epoch(&mut self, duty: Duty) -> Epoch {
-        let newest = self.elector.newest(duty).max(Epoch(self.incarnation));
-        let Some(seat) = self.seats.get_mut(&duty) else {
+    /// An epoch above all that this gateway knows of, and above its own start. No process uses one twice, so that no try counts grants of
+    /// an earlier one.
+    fn next_epoch(&mut self, lease: LeaseName) -> Epoch {
+        let newest = self
+            .elector
+            .newest_epoch(lease)
+            .max(Epoch(self.incarnation));
+        let Some(state) = self.states.get_mut(&lease) else {
             return newest;
         };
-        seat.above = Epoch(newest.max(seat.above).0.saturating_add(1));
-        seat.above
+        state.epoch_floor = Epoch(newest.max(state.epoch_floor).0.saturating_add(1));
+        state.epoch_floor
     }
 
-    /// Asks all electors whether this gateway may begin a holding.
-    pub(crate) fn ask_all(&mut self, now: Timestamp, duty: Duty, after: Option<Epoch>) {
-        let epoch = self.next_epoch(duty);
-        let until = now + self.terms.heartbeat * PATIENCE;
-        let Some(seat) = self.seats.get_mut(&duty) else {
+    /// Asks all electors for a promise.
+    pub(crate) fn prepare(&mut self, now: Timestamp, lease: LeaseName, after: Option<Epoch>) {
+        let epoch = self.next_epoch(lease);
+        let deadline = self.reply_deadline(now);
+        let Some(state) = self.states.get_mut(&lease) else {
             return;
         };
-        seat.left = TimeDelta::ZERO;
-        seat.state = State::Asks {
+        state.remaining = TimeDelta::ZERO;
+        state.phase = Phase::Preparing {
             epoch,
             after,
-            until,
-            open: BTreeSet::new(),
-            no: BTreeSet::new(),
+            deadline,
+            promises: BTreeSet::new(),
+            rejections: BTreeSet::new(),
         };
-        self.tell_all(Body::Ask { duty, epoch, after });
+        self.send_to_electors(&MessageBody::Prepare {
+            lease,
+            epoch,
+            after,
+        });
     }
 
-    /// An elector has said no.
-    pub(crate) fn refused_by(
-        &mut self,
-        now: Timestamp,
-        from: NodeIx,
-        duty: Duty,
-        to: Epoch,
-        left: TimeDelta,
-        place: u8,
-    ) {
-        if !self.voters.votes(from) {
-            return;
-        }
-        let all = self.voters.all().len();
-        let Some(seat) = self.seats.get_mut(&duty) else {
+    /// Does what the time has come for with a lease.
+    pub(crate) fn handle_deadlines(&mut self, now: Timestamp, lease: LeaseName) {
+        self.repeat_release(now, lease);
+        let Some(state) = self.states.get(&lease) else {
             return;
         };
-        seat.place = usize::from(place).min(WAITING);
-        match &mut seat.state {
-            State::Looks { epoch, at, .. } if *epoch == to && *at == from => match left {
-                TimeDelta::ZERO => self.ask_all(now, duty, None),
-                left => self.wait(now, duty, left),
-            },
-            State::Asks {
-                epoch, open, no, ..
-            } if *epoch == to => {
-                no.insert(from);
-                seat.left = seat.left.max(left);
-                if no.len() + open.len() >= all {
-                    let left = seat.left;
-                    self.wait(now, duty, left);
-                }
+        let remaining = state.remaining;
+        match &state.phase {
+            Phase::Waiting { next_try } if state.is_wanted && *next_try <= now => {
+                self.probe(now, lease);
+            }
+            Phase::Probing { deadline, .. } if *deadline <= now => {
+                self.handle_silent_elector(now, lease);
+            }
+            Phase::Preparing { deadline, .. } if *deadline <= now => {
+                self.wait(now, lease, remaining);
             }
-            State::Takes {
-                epoch, round, no, ..
-            } if *epoch == to => {
-                no.insert(from);
-                seat.left = seat.left.max(left);
-                if no.len() + round.votes.len() >= all {
-                    let (epoch, left) = (*epoch, seat.left);
-                    self.tell_all(Body::Release { duty, epoch });
-                    self.wait(now, duty, left);
-                }
+            Phase::Acquiring {
+                epoch, deadline, ..
+            } if *deadline <= now => {
+                let epoch = *epoch;
+                self.abandon_acquisition(now, lease, epoch, remaining);
             }
+            Phase::Held(held) if held.renew_at <= now => self.renew(now, lease),
             _ => {}
         }
     }
 
-    /// Does what is due for a duty.
-    pub(crate) fn seek(&mut self, now: Timestamp, duty: Duty) {
-        let Some(seat) = self.seats.get_mut(&duty) else {
-            return;
-        };
-        if let Some((_, epoch, heir)) = seat.again.take_if(|(at, ..)| *at <= now) {
-            self.tell_all(Body::Release { duty, epoch });
-            if let Some(heir) = heir {
-                self.tell(heir, Body::Pass { duty, epoch });
-            }
+    fn repeat_release(&mut self, now: Timestamp, lease: LeaseName) {
+        let state = self.states.get_mut(&lease);
+        let release = state.and_then(|s| s.repeated_release.take_if(|release| release.at <= now));
+        if let Some(release) = release {
+            self.send_release(lease, release.epoch, release.successor);
         }
-        let Some(seat) = self.seats.get_mut(&duty) else {
+    }
+
+    fn renew(&mut self, now: Timestamp, lease: LeaseName) {
+        let heartbeat_interval = self.parameters.heartbeat_interval;
+        let state = self.states.get_mut(&lease);
+        if let Some((epoch, round)) = state.and_then(|s| s.begin_renewal(now, heartbeat_interval)) {
+            self.send_acquire(lease, epoch, round);
+        }
+    }
+
+    /// Asks all electors for a grant, or for its renewal.
+    pub(crate) fn send_acquire(&mut self, lease: LeaseName, epoch: Epoch, round: u16) {
+        self.send_to_electors(&MessageBody::Acquire {
+            lease,
+            epoch,
+            round,
+            lease_ms: duration_to_ms(self.parameters.lease_duration),
+        });
+    }
+
+    /// The probed elector has not replied: one of the first in line asks all electors, others the next one.
+    fn handle_silent_elector(&mut self, now: Timestamp, lease: LeaseName) {
+        let next_try = now + self.draw_first_delay();
+        let Some(state) = self.states.get_mut(&lease) else {
             return;
         };
-        let wants = seat.wants;
-        match &seat.state {
-            State::Waits { next } if wants && *next <= now => self.look(now, duty),
-            State::Looks { until, .. } if *until <= now => {
-                // An elector that is gone says nothing: one of the first asks them all, others the next.
-                seat.turn = seat.turn.wrapping_add(1);
-                let near = seat.place < NEAR;
-                let next = now + self.early();
-                match self.seats.get_mut(&duty) {
-                    Some(seat) if !near => seat.state = State::Waits { next },
-                    _ => self.ask_all(now, duty, None),
-                }
-            }
-            State::Asks { until, .. } if *until <= now => {
-                let left = seat.left;
-                self.wait(now, duty, left);
-            }
-            State::Takes { epoch, until, .. } if *until <= now => {
-                let (epoch, left) = (*epoch, seat.left);
-                self.tell_all(Body::Release { duty, epoch });
-                self.wait(now, duty, left);
-            }
-            State::Holds { renew, .. } if *renew <= now => {
-                let heartbeat = self.terms.heartbeat;
-                if let Some((epoch, round)) = seat.renew(now, heartbeat) {
-                    let lease_ms = (self.terms.lease.0 / 1000) as u16;
-                    self.tell_all(Body::Take {
-                        duty,
-                        epoch,
-                        round,
-                        lease_ms,
-                    });
-                }
-            }
-            _ => {}
+        state.silent_electors = state.silent_electors.wrapping_add(1);
+        if state.candidates_before < NEXT_CANDIDATES {
+            self.prepare(now, lease, None);
+        } else {
+            state.phase = Phase::Waiting { next_try };
         }
     }
 
-    /// Looks whether the duty is free: an elector by its own vote, which costs nothing, others at one
-    /// elector.
-    fn look(&mut self, now: Timestamp, duty: Duty) {
-        let own = self.terms.own;
-        if self.voters.votes(own) {
-            return match self.elector.granted(now, duty).filter(|(to, _)| *to != own) {
-                Some((_, until)) => self.wait(now, duty, until - now),
-                None if now < self.elector.silent_until() => {
-                    let left = self.elector.silent_until() - now;
-                    self.wait(now, duty, left);
-                }
-                None => self.ask_all(now, duty, None),
-            };
+    /// Looks whether the lease is free: an elector at its own grant, which costs nothing, others at one elector.
+    fn probe(&mut self, now: Timestamp, lease: LeaseName) {
+        if self.quorum.is_elector(self.parameters.own) {
+            self.probe_own_grant(now, lease);
+        } else {
+            self.probe_elector(now, lease);
+        }
+    }
+
+    fn probe_own_grant(&mut self, now: Timestamp, lease: LeaseName) {
+        let own = self.parameters.own;
+        let grant = self.elector.grant_in_force(now, lease);
+        let silent_until = self.elector.silent_until();
+        match grant.filter(|grant| grant.holder != own) {
+            Some(grant) => self.wait(now, lease, grant.expires_at - now),
+            None if now < silent_until => self.wait(now, lease, silent_until - now),
+            None => self.prepare(now, lease, None),
         }
-        // All look at one, the same for all, so that it knows who waits before whom; another duty has
-        // another.
-        let mut electors = self.voters.told().electors.clone();
-        electors.sort_by_key(|e| self.rank(duty, *e));
-        let back = self.chance.generate_range(0..BACK) == 0;
-        let epoch = self.next_epoch(duty);
-        let until = now + self.terms.heartbeat * PATIENCE;
-        let Some(seat) = self.seats.get_mut(&duty) else {
+    }
+
+    /// All candidates ask the same elector, so that it knows who is in line before whom; for another lease it is another one.
+    fn probe_elector(&mut self, now: Timestamp, lease: LeaseName) {
+        let mut electors = self.quorum.electorate().electors.clone();
+        electors.sort_by_key(|elector| self.candidate_rank(lease, *elector));
+        let returns_to_first = self.rng.generate_range(0..FIRST_ELECTOR_INTERVAL) == 0;
+        let epoch = self.next_epoch(lease);
+        let deadline = self.reply_deadline(now);
+        let Some(state) = self.states.get_mut(&lease) else {
             return;
         };
-        if back {
-            seat.turn = 0;
+        if returns_to_first {
+            state.silent_electors = 0;
         }
-        let Some(at) = electors.get(seat.turn % electors.len().max(1)).copied() else {
+        let position = state.silent_electors % electors.len().max(1);
+        let Some(elector) = electors.get(position).copied() else {
             return;
         };
-        seat.state = State::Looks { epoch, at, until };
-        self.tell(
-            at,
-            Body::Ask {
-                duty,
+        state.phase = Phase::Probing {
+            epoch,
+            elector,
+            deadline,
+        };
+        self.send(
+            elector,
+            MessageBody::Prepare {
+                lease,
                 epoch,
                 after: None,
             },
--- a/crates/lease/src/codec.rs
+++ b/crates/lease/src/codec.rs
@@ -1,154 +1,99 @@
-//! Messages of a fleet, and their form: a first byte that no text in UTF-8 has, the form's number, the
-//! message by postcard, and a sum of all that. None is longer than 256 bytes. Nothing here decides.
+//! The encoding of lease messages: a first byte that no text in UTF-8 has, the format's version, the message by postcard, and a
+//! checksum of all that.
 
-use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-use crate::{Duty, Epoch};
+use crate::{Message, MessageBody};
 
-/// The longest message, in bytes: what goes into a datagram of the told roads.
-pub const MOST: usize = 256;
-/// The first byte. Text in UTF-8 has none from 0xF5 on, so a build that expects text refuses it plainly.
-pub const FIRST: u8 = 0xF7;
-/// The number of this form. It is raised when the meaning of a field changes.
-pub const FORM: u8 = 1;
-/// Holdings told in one piece of hearsay at the most.
-pub const HEARSAY: usize = 8;
-const SUM: usize = 4;
-
-/// A vote asked for or given, or hearsay.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Message {
-    /// Of the sender's process: Unix time in milliseconds at its start.
-    pub incarnation: u64,
-    /// The number of the sender's electorate.
-    pub electorate: u32,
-    /// A sum of its members, so that two told unlike lists under one number count no votes of each other.
-    pub digest: u8,
-    pub body: Body,
-}
-
-/// Which holding an answer is about: the asker's epoch, and which of the asker's processes asked.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ballot {
-    pub epoch: Epoch,
-    /// The asker's incarnation in few bits.
-    pub asker: u16,
-}
-
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Holding {
-    pub duty: Duty,
-    pub epoch: Epoch,
-    /// The holder by the number of its name; 0 if it gave the duty up.
-    pub holder: u32,
-    /// For how long the lease ran yet, in milliseconds, by whoever tells it.
-    pub left_ms: u16,
-}
-
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Body {
-    /// Would the elector let this gateway hold the duty? `after` is a holding whose holder has passed it on.
-    Ask {
-        duty: Duty,
-        epoch: Epoch,
-        after: Option<Epoch>,
-    },
-    /// It would: it lets no older one have it from now on.
-    Open { duty: Duty, ballot: Ballot },
-    /// Hold it for this long.
-    Take {
-        duty: Duty,
-        epoch: Epoch,
-        round: u16,
-        lease_ms: u16,
-    },
-    Granted {
-        duty: Duty,
-        ballot: Ballot,
-        round: u16,
-        waiting: Option<u32>,
-    },
-    /// Not now. `epoch` is the newest that the elector knows of; `left_ms` is how long another holds it yet;
-    /// `place` is how many that wait are heard before the asker.
-    Held {
-        duty: Duty,
-        ballot: Ballot,
-        epoch: Epoch,
-        left_ms: u16,
-        place: u8,
-        holder: u32,
-    },
-    /// The holder gives it up.
-    Release { duty: Duty, epoch: Epoch },
-    /// The holder gives it up, and whoever reads this may have it.
-    Pass { duty: Duty, epoch: Epoch },
-    /// Who holds what, as far as the sender has heard.
-    KnownLeases { holdings: Vec<Holding> },
-}
+/// The longest message in bytes; each goes into one datagram.
+pub const MAX_MESSAGE_BYTES: usize = 256;
+/// The first byte. Text in UTF-8 has none from 0xF5 on, so a build that expects text refuses the message plainly.
+pub const FIRST_BYTE: u8 = 0xF7;
+/// The format's version. It is raised when the meaning of a field changes.
+pub const FORMAT_VERSION: u8 = 1;
+/// The most records in one `MessageBody::KnownLeases`.
+pub const MAX_KNOWN_LEASES: usize = 8;
+const HEADER_BYTES: usize = 2;
+const CHECKSUM_BYTES: usize = 4;
 
 /// Why bytes are no message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum Unread {
+pub enum DecodeError {
+    /// Too few or too many bytes.
     #[error("{len} bytes are no message of a fleet: look for another program that sends here")]
-    Length { len: usize },
-    #[error(
-        "the first byte is {byte:#04x}: this is mail of another kind, or of a build without duties"
-    )]
-    Kind { byte: u8 },
-    #[error(
-        "form {form} is not known, {FORM} is: bring the older of the two builds up to the newer"
-    )]
-    Form { form: u8 },
+    Length {
+        /// How many.
+        len: usize,
+    },
+    /// Another kind of message.
+    #[error("the first byte is {byte:#04x}: this is a message of another kind, or of a build without leases")]
+    FirstByte {
+        /// The first byte.
+        byte: u8,
+    },
+    /// Another version of the format.
+    #[error("form {version} is not known, {FORMAT_VERSION} is: bring the older of the two builds up to the newer")]
+    Version {
+        /// The message's version.
+        version: u8,
+    },
+    /// The bytes were changed on their way.
     #[error(
-        "the sum does not match: the message was garbled on its way; look at the road if it happens often"
+        "the sum does not match: the message was garbled on its way; look at the path if it happens often"
     )]
-    Garbled,
+    Checksum,
+    /// The checksum matches, and yet the content is unknown.
     #[error("the message has a good sum but no known content: a newer build has sent it under this form")]
     Content,
 }
 
-/// FNV-1a with 32 bits. Any change within one byte changes the sum; others pass once in four billion.
-fn sum(bytes: &[u8]) -> [u8; SUM] {
-    let hash = bytes.iter().fold(0x811c_9dc5_u32, |h, b| {
-        (h ^ u32::from(*b)).wrapping_mul(0x0100_0193)
+/// FNV-1a with 32 bits. Any change within one byte changes the checksum; others pass once in four billion.
+fn checksum(bytes: &[u8]) -> [u8; CHECKSUM_BYTES] {
+    let hash = bytes.iter().fold(0x811c_9dc5_u32, |hash, byte| {
+        (hash ^ u32::from(*byte)).wrapping_mul(0x0100_0193)
     });
     hash.to_le_bytes()
 }
 
-pub fn write(message: &Message) -> Vec<u8> {
-    let mut bytes = vec![FIRST, FORM];
-    // Writing plain values to memory does not fail; an empty message would be refused by whoever reads it.
+/// Encodes a message.
+pub fn encode(message: &Message) -> Vec<u8> {
+    let mut bytes = vec![FIRST_BYTE, FORMAT_VERSION];
+    // Serializing plain values to memory does not fail; an empty message would be refused by the receiver.
     bytes.extend(postcard::to_stdvec(message).unwrap_or_default());
-    bytes.extend(sum(&bytes));
+    bytes.extend(checksum(&bytes));
     bytes
 }
 
-pub fn read(bytes: &[u8]) -> Result<Message, Unread> {
+/// Decodes a message.
+///
+/// # Errors
+/// The bytes are no message of this version.
+pub fn decode(bytes: &[u8]) -> Result<Message, DecodeError> {
     let len = bytes.len();
-    let first = *bytes.first().ok_or(Unread::Length { len })?;
-    if first != FIRST {
-        return Err(Unread::Kind { byte: first });
+    let first = *bytes.first().ok_or(DecodeError::Length { len })?;
+    if first != FIRST_BYTE {
+        return Err(DecodeError::FirstByte { byte: first });
     }
-    if !(2 + SUM..=MOST).contains(&len) {
-        return Err(Unread::Length { len });
+    if !(HEADER_BYTES + CHECKSUM_BYTES..=MAX_MESSAGE_BYTES).contains(&len) {
+        return Err(DecodeError::Length { len });
     }
-    if bytes[1] != FORM {
-        return Err(Unread::Form { form: bytes[1] });
+    if bytes[1] != FORMAT_VERSION {
+        return Err(DecodeError::Version { version: bytes[1] });
     }
-    let (text, told) = bytes.split_at(len - SUM);
-    // Guards against a vote made by noise: a garbled one could be for another duty, or of another epoch.
-    if sum(text) != told {
-        return Err(Unread::Garbled);
+    // A grant made of noise could be for another lease, or of another epoch.
+    let (content, received_checksum) = bytes.split_at(len - CHECKSUM_BYTES);
+    if checksum(content) != received_checksum {
+        return Err(DecodeError::Checksum);
     }
-    match postcard::take_from_bytes::<Message>(&text[2..]) {
-        Ok((message, [])) if message.bounded() => Ok(message),
-        _ => Err(Unread::Content),
+    match postcard::take_from_bytes::<Message>(&content[HEADER_BYTES..]) {
+        Ok((message, [])) if is_bounded(&message) => Ok(message),
+        _ => Err(DecodeError::Content),
     }
 }
 
-impl Message {
-    fn bounded(&self) -> bool {
-        !matches!(&self.body, Body::KnownLeases { holdings } if holdings.len() > HEARSAY)
+fn is_bounded(message: &Message) -> bool {
+    match &message.body {
+        MessageBody::KnownLeases { records } => records.len() <= MAX_KNOWN_LEASES,
+        _ => true,
     }
 }
--- a/crates/lease/src/configuration.rs
+++ b/crates/lease/src/configuration.rs
@@ -1,241 +1,132 @@
-//! The terms on which a fleet shares duties: who there is, who votes, for how long a vote counts. Told by the
-//! operator, the same to all; checked here, once, before anything starts.
+//! The settings of a fleet's leases: who is a member, who is an elector, and how long a grant lasts. The operator gives the same to all
+//! gateways; they are checked here, once, before anything starts.
 
-use std::fmt;
-use std::str::FromStr;
+use harrierdock_types::{PeerId, TimeDelta};
 
-use harrierdock_types::TimeDelta;
-use serde::{Deserialize, Serialize};
-use thiserror::Error;
+use crate::{ConfigurationError, LeaseName};
 
-/// A gateway's place among the told names.
-pub type NodeIx = usize;
+/// Of two electors none may fail.
+pub(crate) const MIN_ELECTORS: usize = 3;
+/// Each elector costs its bytes, and more than seven make a lease no safer in practice.
+pub(crate) const MAX_ELECTORS: usize = 7;
+/// Each lease costs the bytes of its renewals.
+pub(crate) const MAX_LEASES: usize = 64;
+/// With a larger error of a clock's rate, a lease would mostly be waiting.
+pub(crate) const MAX_CLOCK_DRIFT_RATIO: f64 = 0.2;
 
-/// Electors at the least: of two, none may fail.
-pub const FEWEST: usize = 3;
-/// Electors at the most: each costs its bytes, and beyond seven none is any safer in practice.
-pub const MOST: usize = 7;
-/// Duties at the most: each is a lease of its own, with its bytes.
-pub const MOST_DUTIES: usize = 64;
-/// The largest clock rate error that can be told: beyond, a lease would mostly be waiting.
-const DRIFT_MOST: f64 = 0.2;
-
-/// What one gateway of a fleet does at a time.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Duty {
-    /// Advances a release's wave by the votes that the module casts.
-    Steward,
-    /// Settles or voids what a dead gateway left open between sites.
-    Heir,
-    /// Speaks for the circle of this number.
-    Speaker(u16),
-}
-
-impl Duty {
-    /// What happens while nobody holds the duty: always what is safe, never what is fast.
-    pub fn safe_state(self) -> &'static str {
-        match self {
-            Duty::Steward => "the wave stays where it is: it is neither advanced nor sent back",
-            Duty::Heir => {
-                "what a dead gateway left stays open until it expires, and is voided by whoever owed it"
-            }
-            Duty::Speaker(_) => "the circle is mute: its gateways act and vote each on its own news",
-        }
-    }
-}
-
-impl fmt::Display for Duty {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        match self {
-            Duty::Steward => f.write_str("steward"),
-            Duty::Heir => f.write_str("heir"),
-            Duty::Speaker(circle) => write!(f, "speaker:{circle}"),
-        }
-    }
-}
-
-impl FromStr for Duty {
-    type Err = Misfit;
-
-    fn from_str(s: &str) -> Result<Duty, Misfit> {
-        let unknown = || Misfit::UnknownDuty {
-            duty: s.to_string(),
-        };
-        match s {
-            "steward" => Ok(Duty::Steward),
-            "heir" => Ok(Duty::Heir),
-            _ => {
-                let circle = s.strip_prefix("speaker:").ok_or_else(unknown)?;
-                circle.parse().map(Duty::Speaker).map_err(|_| unknown())
-            }
-        }
-    }
-}
-
-/// Who votes. A changed electorate has the next number and differs by one member.
+/// The gateways that grant leases. A changed electorate has the next number and differs by one member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Electorate {
+    /// Raised by one with each change.
     pub number: u32,
-    /// In order, each once.
-    pub electors: Vec<NodeIx>,
+    /// In ascending order, each once.
+    pub electors: Vec<PeerId>,
 }
 
-/// What the operator tells, by name.
+/// What the operator configures, by name.
 #[derive(Clone, Debug)]
-pub struct Told {
-    pub own: String,
-    /// All gateways of the fleet, this one among them; in any order.
-    pub names: Vec<String>,
+pub struct LeaseSettings {
+    /// This gateway's name.
+    pub own_name: String,
+    /// The names of all gateways of the fleet, this one among them. A gateway's `PeerId` is its position.
+    pub peer_names: Vec<String>,
+    /// The names of the electors.
     pub electorate: Vec<String>,
     /// Raised by one with each change of the electorate.
     pub electorate_number: u32,
-    pub lease: TimeDelta,
-    pub heartbeat: TimeDelta,
-    /// The longest lease that gateways still running may have been told; none where it never changed.
-    pub longest_lease: Option<TimeDelta>,
-    /// The largest error of a clock's rate, as a part: 0.02 for 2%.
-    pub drift: f64,
-    pub duties: Vec<String>,
+    /// For how long a grant lasts.
+    pub lease_duration: TimeDelta,
+    /// How often a holder renews.
+    pub heartbeat_interval: TimeDelta,
+    /// The longest lease that gateways still running may be configured with; none where it never changed.
+    pub longest_lease_duration: Option<TimeDelta>,
+    /// The largest error of a clock's rate: 0.02 for 2%.
+    pub clock_drift_ratio: f64,
+    /// The names of the leases.
+    pub lease_names: Vec<String>,
 }
 
-/// Told terms, checked, with names turned into places.
+/// Checked settings, with names resolved to peers.
 #[derive(Clone, Debug)]
-pub struct Terms {
-    pub own: NodeIx,
-    /// By place: a number made of the name, by which gateways name each other in messages. It stays when the
-    /// list of names grows, where places shift.
-    pub ids: Vec<u32>,
+pub struct LeaseParameters {
+    /// This gateway.
+    pub own: PeerId,
+    /// By peer: the number by which messages name it. It stays when the list of names grows, where positions shift.
+    pub name_hashes: Vec<u32>,
+    /// The gateways that grant leases.
     pub electorate: Electorate,
-    pub lease: TimeDelta,
+    /// For how long a grant lasts.
+    pub lease_duration: TimeDelta,
     /// How often a holder renews.
-    pub heartbeat: TimeDelta,
-    /// How long an elector keeps silent after its start.
-    pub silence: TimeDelta,
-    pub drift: f64,
-    pub duties: Vec<Duty>,
+    pub heartbeat_interval: TimeDelta,
+    /// For how long an elector grants nothing after its start.
+    pub startup_silence: TimeDelta,
+    /// The largest error of a clock's rate.
+    pub clock_drift_ratio: f64,
+    /// The leases, in the configured order.
+    pub leases: Vec<LeaseName>,
 }
 
-/// Why told terms cannot be taken, and what to do.
-#[derive(Clone, Debug, PartialEq, Error)]
-pub enum Misfit {
-    #[error(
-        "own name {own} is not among the names: add it to `names`, or start with another name"
-    )]
-    OwnUnknown { own: String },
-    #[error("name {name} is told twice: remove one from `names`")]
-    NameTwice { name: String },
-    #[error("names {one} and {other} cannot be told apart in messages: rename one of them")]
-    NamesAlike { one: String, other: String },
-    #[error("{n} electors: name at least {FEWEST} in `electorate`, so that one may fail")]
-    TooFewElectors { n: usize },
-    #[error("{n} electors: name at most {MOST} in `electorate`; more cost bytes and decide later")]
-    TooManyElectors { n: usize },
-    #[error(
-        "elector {name} is not among the names: add it to `names`, or remove it from `electorate`"
-    )]
-    ElectorUnknown { name: String },
-    #[error("elector {name} is told twice: remove one from `electorate`")]
-    ElectorTwice { name: String },
-    #[error(
-        "a lease of {lease_ms} ms is shorter than two heartbeats of {heartbeat_ms} ms: lengthen `lease` or \
-             shorten `heartbeat`, so that one lost message ends no holding"
-    )]
-    LeaseTooShort { lease_ms: i64, heartbeat_ms: i64 },
-    #[error("a lease of {lease_ms} ms is out of range: tell 100 ms to 60 s")]
-    LeaseOutOfRange { lease_ms: i64 },
-    #[error("a heartbeat of {heartbeat_ms} ms is out of range: tell at least 10 ms")]
-    HeartbeatOutOfRange { heartbeat_ms: i64 },
-    #[error(
-        "a drift of {drift} is out of range: tell a part from 0 to {DRIFT_MOST}, such as 0.02"
-    )]
-    DriftOutOfRange { drift: f64 },
-    #[error(
-        "a longest lease of {longest_ms} ms is shorter than the lease: tell the longest lease still in use"
-    )]
-    LongestTooShort { longest_ms: i64 },
-    #[error("duty {duty} is unknown: tell `steward`, `heir` or `speaker:NUMBER` in `duties`")]
-    UnknownDuty { duty: String },
-    #[error("duty {duty} is told twice: remove one from `duties`")]
-    DutyTwice { duty: String },
-    #[error("{n} duties: tell at most {MOST_DUTIES}; each costs a lease")]
-    TooManyDuties { n: usize },
-    #[error(
-        "electorate {told} follows {held}: raise `electorate_number` by exactly one at each change"
-    )]
-    NotTheNext { told: u32, held: u32 },
-    #[error("electorate {told} differs from {held} by more or less than one member: change one at a time")]
-    NotByOne { told: u32, held: u32 },
-    #[error(
-        "electorate {held} is not yet in force at most electors: wait until the status says so"
-    )]
-    TooSoon { held: u32 },
+/// The number by which messages name a gateway: FNV-1a over its name, with 32 bits.
+pub fn name_hash(name: &str) -> u32 {
+    name.bytes().fold(0x811c_9dc5, |hash, byte| {
+        (hash ^ u32::from(byte)).wrapping_mul(0x0100_0193)
+    })
 }
 
-/// FNV-1a over a name, with 32 bits.
-pub fn id_of(name: &str) -> u32 {
-    name.bytes().fold(0x811c_9dc5, |h, b| {
-        (h ^ u32::from(b)).wrapping_mul(0x0100_0193)
-    })
+fn as_ms(span: TimeDelta) -> i64 {
+    span.0 / 1000
 }
 
-impl Told {
-    pub fn terms(&self) -> Result<Terms, Misfit> {
-        let mut names: Vec<&str> = self.names.iter().map(String::as_str).collect();
-        names.sort_unstable();
-        if let Some(two) = names.windows(2).find(|two| two[0] == two[1]) {
-            return Err(Misfit::NameTwice {
-                name: two[0].to_string(),
-            });
-        }
-        let mut by_id: Vec<(u32, &str)> = names.iter().map(|name| (id_of(name), *name)).collect();
-        by_id.sort_unstable();
-        if let Some(two) = by_id.windows(2).find(|two| two[0].0 == two[1].0) {
-            return Err(Misfit::NamesAlike {
-                one: two[0].1.to_string(),
-                other: two[1].1.to_string(),
-            });
-        }
-        let own = self.names.iter().position(|name| *name == self.own);
-        let own = own.ok_or_else(|| Misfit::OwnUnknown {
-            own: self.own.clone(),
+impl LeaseSettings {
+    /// Checks the settings and resolves the names.
+    ///
+    /// # Errors
+    /// The first setting that does not fit.
+    pub fn parameters(&self) -> Result<LeaseParameters, ConfigurationError> {
+        self.check_names()?;
+        let own = self.peer(&self.own_name);
+        let own = own.ok_or_else(|| ConfigurationError::UnknownOwnName {
+            name: self.own_name.clone(),
         })?;
         let electorate = self.electorate()?;
-        self.spans()?;
-        let longest = self.longest_lease.unwrap_or(self.lease);
-        // A grant lapses by the elector's clock; the silence is by the next process' clock on the same
-        // machine.
-        let silence = longest * (1.0 + self.drift);
-        let ids = self.names.iter().map(|name| id_of(name)).collect();
-        let (lease, heartbeat, drift) = (self.lease, self.heartbeat, self.drift);
-        Ok(Terms {
+        self.check_durations()?;
+        let longest = self.longest_lease_duration.unwrap_or(self.lease_duration);
+        // A grant expires by the elector's clock; the silence is by the next process' clock on the same machine.
+        let startup_silence = longest * (1.0 + self.clock_drift_ratio);
+        Ok(LeaseParameters {
             own,
-            ids,
+            name_hashes: self.peer_names.iter().map(|name| name_hash(name)).collect(),
             electorate,
-            lease,
-            heartbeat,
-            silence,
-            drift,
-            duties: self.duties()?,
+            lease_duration: self.lease_duration,
+            heartbeat_interval: self.heartbeat_interval,
+            startup_silence,
+            clock_drift_ratio: self.clock_drift_ratio,
+            leases: self.leases()?,
         })
     }
 
-    /// The electorate by places; also for a change while running.
-    pub fn electorate(&self) -> Result<Electorate, Misfit> {
-        let n = self.electorate.len();
-        if n < FEWEST {
-            return Err(Misfit::TooFewElectors { n });
+    /// The electorate with its names resolved; also for a change while running.
+    ///
+    /// # Errors
+    /// Too few or too many electors, or one that is unknown or listed twice.
+    pub fn electorate(&self) -> Result<Electorate, ConfigurationError> {
+        let count = self.electorate.len();
+        if count < MIN_ELECTORS {
+            return Err(ConfigurationError::TooFewElectors { count });
         }
-        if n > MOST {
-            return Err(Misfit::TooManyElectors { n });
+        if count > MAX_ELECTORS {
+            return Err(ConfigurationError::TooManyElectors { count });
         }
-        let mut electors: Vec<NodeIx> = Vec::with_capacity(n);
+        let mut electors: Vec<PeerId> = Vec::with_capacity(count);
         for name in &self.electorate {
-            let at = self.names.iter().position(|known| known == name);
-            let at = at.ok_or_else(|| Misfit::ElectorUnknown { name: name.clone() })?;
-            if electors.contains(&at) {
-                return Err(Misfit::ElectorTwice { name: name.clone() });
+            let elector = self
+                .peer(name)
+                .ok_or_else(|| ConfigurationError::UnknownElector { name: name.clone() })?;
+            if electors.contains(&elector) {
+                return Err(ConfigurationError::DuplicateElector { name: name.clone() });
             }
-            electors.push(at);
+            electors.push(elector);
         }
         electors.sort_unstable();
         Ok(Electorate {
@@ -244,59 +135,100 @@
         })
     }
 
-    fn spans(&self) -> Result<(), Misfit> {
-        let ms = |span: TimeDelta| span.0 / 1000;
-        let (lease_ms, heartbeat_ms) = (ms(self.lease), ms(self.heartbeat));
+    fn peer(&self, name: &str) -> Option<PeerId> {
+        self.peer_names
+            .iter()
+            .position(|listed| listed == name)
+            .map(PeerId)
+    }
+
+    /// Names are listed once, and so are their numbers in messages.
+    fn check_names(&self) -> Result<(), ConfigurationError> {
+        let mut names: Vec<&str> = self.peer_names.iter().map(String::as_str).collect();
+        names.sort_unstable();
+        if let Some(pair) = names.windows(2).find(|pair| pair[0] == pair[1]) {
+            return Err(ConfigurationError::DuplicateName {
+                name: pair[0].to_string(),
+            });
+        }
+        names.sort_by_key(|name| name_hash(name));
+        let collision = names
+            .windows(2)
+            .find(|pair| name_hash(pair[0]) == name_hash(pair[1]));
+        match collision {
+            Some(pair) => Err(ConfigurationError::NameHashCollision {
+                one: pair[0].to_string(),
+                other: pair[1].to_string(),
+            }),
+            None => Ok(()),
+        }
+    }
+
+    fn check_durations(&self) -> Result<(), ConfigurationError> {
+        let lease_ms = as_ms(self.lease_duration);
+        let heartbeat_ms = as_ms(self.heartbeat_interval);
         if !(100..=60_000).contains(&lease_ms) {
-            return Err(Misfit::LeaseOutOfRange { lease_ms });
+            return Err(ConfigurationError::LeaseOutOfRange { lease_ms });
         }
         if heartbeat_ms < 10 {
-            return Err(Misfit::HeartbeatOutOfRange { heartbeat_ms });
+            return Err(ConfigurationError::HeartbeatOutOfRange { heartbeat_ms });
         }
-        if self.lease < self.heartbeat + self.heartbeat {
-            return Err(Misfit::LeaseTooShort {
+        if self.lease_duration < self.heartbeat_interval + self.heartbeat_interval {
+            return Err(ConfigurationError::LeaseTooShort {
                 lease_ms,
                 heartbeat_ms,
             });
         }
         // A comparison that NaN fails as well.
-        if !(0.0..=DRIFT_MOST).contains(&self.drift) {
-            return Err(Misfit::DriftOutOfRange { drift: self.drift });
+        if !(0.0..=MAX_CLOCK_DRIFT_RATIO).contains(&self.clock_drift_ratio) {
+            return Err(ConfigurationError::ClockDriftOutOfRange {
+                ratio: self.clock_drift_ratio,
+            });
         }
-        match self.longest_lease {
-            Some(longest) if longest < self.lease => Err(Misfit::LongestTooShort {
-                longest_ms: ms(longest),
-            }),
+        match self.longest_lease_duration {
+            Some(longest) if longest < self.lease_duration => {
+                Err(ConfigurationError::LongestLeaseTooShort {
+                    longest_ms: as_ms(longest),
+                })
+            }
             _ => Ok(()),
         }
     }
 
-    fn duties(&self) -> Result<Vec<Duty>, Misfit> {
-        if self.duties.len() > MOST_DUTIES {
-            return Err(Misfit::TooManyDuties {
-                n: self.duties.len(),
-            });
+    fn leases(&self) -> Result<Vec<LeaseName>, ConfigurationError> {
+        let count = self.lease_names.len();
+        if count > MAX_LEASES {
+            return Err(ConfigurationError::TooManyLeases { count });
         }
-        let mut duties = Vec::with_capacity(self.duties.len());
-        for name in &self.duties {
-            let duty: Duty = name.parse()?;
-            if duties.contains(&duty) {
-                return Err(Misfit::DutyTwice { duty: name.clone() });
+        let mut leases = Vec::with_capacity(count);
+        for name in &self.lease_names {
+            let lease: LeaseName = name.parse()?;
+            if leases.contains(&lease) {
+                return Err(ConfigurationError::DuplicateLease { name: name.clone() });
             }
-            duties.push(duty);
+            leases.push(lease);
         }
-        Ok(duties)
+        Ok(leases)
     }
 }
 
-impl Terms {
-    /// How long a holder may act on a majority's votes, from before it asked for them. By the holder's clock
-    /// it is shorter than the lease by as much as that clock may be slow and the electors' may be fast.
-    pub fn own_lease(&self) -> TimeDelta {
-        self.lease * ((1.0 - self.drift) / (1.0 + self.drift))
+impl LeaseParameters {
+    /// How long a holder may act on a majority's grants, from before it asked for them. By the holder's clock it is shorter than the
+    /// lease by as much as that clock may be slow and the electors' may be fast.
+    pub fn holder_lease_duration(&self) -> TimeDelta {
+        self.lease_duration * ((1.0 - self.clock_drift_ratio) / (1.0 + self.clock_drift_ratio))
+    }
+
+    /// The peer that messages name by this number.
+    pub(crate) fn peer_by_name_hash(&self, hash: u32) -> Option<PeerId> {
+        self.name_hashes
+            .iter()
+            .position(|known| *known == hash)
+            .map(PeerId)
     }
 
-    pub fn place(&self, id: u32) -> Option<NodeIx> {
-        self.ids.iter().position(|known| *known == id)
+    /// The number by which messages name this peer; none if it is not configured.
+    pub(crate) fn name_hash(&self, peer: PeerId) -> Option<u32> {
+        self.name_hashes.get(peer.0).copied()
     }
 }
--- a/crates/lease/src/elector.rs
+++ b/crates/lease/src/elector.rs
@@ -1,275 +1,359 @@
-//! An elector: lets one gateway at a time have a duty, for so long, and forgets it only by its own clock. All
-//! is kept in memory: so one that has started anew keeps silent until whatever it gave before has lapsed.
+//! An elector: grants each lease to one gateway at a time, for a limited time, and forgets the grant only by its own clock. All is kept
+//! in memory, so an elector that has started anew grants nothing until whatever it granted before has expired.
 
 use std::collections::{BTreeMap, VecDeque};
 
-use harrierdock_types::{TimeDelta, Timestamp};
+use harrierdock_types::{PeerId, TimeDelta, Timestamp};
 
-use crate::{Duty, Epoch, NodeIx};
+use crate::{Epoch, LeaseName};
 
-/// Waiting gateways that an elector knows by duty, best ranks first. Guards against growing with the fleet.
-pub const WAITING: usize = 8;
-/// Those of them that look as soon as the lease they know of runs out; later ones in turn look seldom.
-pub const NEAR: usize = 2;
-/// Holdings given up that an elector remembers by duty: more than can be under way on a slow road at once.
-const CLOSED: usize = 8;
+/// Candidates that an elector remembers for each lease, the first in line. Bounds its memory whatever the size of the fleet.
+pub(crate) const MAX_CANDIDATES: usize = 8;
+/// Candidates that look as soon as the lease they know of expires; those behind look seldom.
+pub(crate) const NEXT_CANDIDATES: usize = 2;
+/// Released epochs that an elector remembers for each lease: more than can be under way on a slow path at once.
+const MAX_RELEASED_EPOCHS: usize = 8;
 
-/// A process of a gateway.
+/// One process of a gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Asker {
-    pub node: NodeIx,
+pub struct Requester {
+    /// The gateway.
+    pub peer: PeerId,
+    /// Its process.
     pub incarnation: u64,
 }
 
-/// For how long one that waits is remembered without being heard: the first look often, later ones seldom.
+/// A request for a grant, or for its renewal.
 #[derive(Clone, Copy, Debug)]
-pub struct Lasts {
-    pub near: TimeDelta,
-    pub later: TimeDelta,
+pub struct AcquireRequest {
+    /// Who asks.
+    pub requester: Requester,
+    /// The epoch.
+    pub epoch: Epoch,
+    /// For how long.
+    pub lease_duration: TimeDelta,
+    /// Whether the requester holds the lease already, by a majority's grants.
+    pub is_renewal: bool,
+}
+
+/// An elector's reply.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ElectorReply {
+    /// None: the elector has started lately, or does not know the lease.
+    Silent,
+    /// Promised or granted.
+    Accepted,
+    /// Not now.
+    Rejected(Rejection),
+}
+
+/// Why an elector grants nothing now.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Rejection {
+    /// The newest epoch that the elector knows of.
+    pub newest: Epoch,
+    /// For how long another gateway holds the lease.
+    pub remaining: TimeDelta,
+    /// That gateway.
+    pub holder: Option<PeerId>,
+}
+
+/// For how long a candidate is remembered without being heard: the next ones look often, later ones seldom.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct CandidateTimeouts {
+    pub(crate) next: TimeDelta,
+    pub(crate) later: TimeDelta,
+}
+
+/// A candidate and its rank.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct CandidateRank {
+    pub(crate) rank: u64,
+    pub(crate) peer: PeerId,
+}
+
+/// A grant in force until it expires.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct GrantInForce {
+    pub(crate) holder: PeerId,
+    pub(crate) expires_at: Timestamp,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Grant {
-    to: Asker,
+    to: Requester,
     epoch: Epoch,
-    until: Timestamp,
+    expires_at: Timestamp,
+}
+
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+struct Candidate {
+    peer: PeerId,
+    heard_at: Timestamp,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-struct Vote {
-    /// No older epoch is let begin.
+struct LeaseVote {
+    /// No older epoch may begin.
     newest: Epoch,
-    /// Who may begin the newest.
-    open_to: Option<Asker>,
+    /// Who may begin the newest epoch.
+    promised_to: Option<Requester>,
     grant: Option<Grant>,
-    /// The last that holders gave up: guards against a late copy of a renewal, which would hold the next one
-    /// up.
-    closed: VecDeque<Epoch>,
-    /// By rank, when it was heard last.
-    waiting: BTreeMap<u64, (NodeIx, Timestamp)>,
-}
-
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Answer {
-    Silent,
-    Yes,
-    /// Not now: for how long another has it yet, and who.
-    No {
-        newest: Epoch,
-        left: TimeDelta,
-        holder: Option<NodeIx>,
-    },
+    /// The last that holders released: a late copy of a renewal would hold the next holder up.
+    released: VecDeque<Epoch>,
+    candidates: BTreeMap<u64, Candidate>,
 }
 
+/// The grants and promises of one elector.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Elector {
-    /// Guards against a second holder by a vote given before this start and forgotten with it. It harms a
-    /// start of all at once: nothing is held for one lease.
+    /// A grant given before this start and forgotten with it could make a second holder. The cost: after a start of all electors at
+    /// once nothing is held for one lease.
     silent_until: Timestamp,
-    /// Guards against an epoch begun anew by electors that have all forgotten it: none is older than this
-    /// start.
-    floor: Epoch,
-    longest: TimeDelta,
-    votes: BTreeMap<Duty, Vote>,
+    /// No epoch is older than this start, so that electors which have all forgotten an epoch don't begin it anew.
+    epoch_floor: Epoch,
+    longest_lease: TimeDelta,
+    votes: BTreeMap<LeaseName, LeaseVote>,
 }
 
 impl Elector {
-    /// `floor` is Unix time in milliseconds at the end of the silence; `longest` is the longest lease given.
+    /// `epoch_floor` is Unix time in milliseconds at the end of the silence; `longest_lease` is the longest that may be granted.
     pub fn new(
-        duties: &[Duty],
+        leases: &[LeaseName],
         silent_until: Timestamp,
-        floor: Epoch,
-        longest: TimeDelta,
+        epoch_floor: Epoch,
+        longest_lease: TimeDelta,
     ) -> Elector {
-        let votes = duties.iter().map(|duty| (*duty, Vote::default())).collect();
+        let votes = leases
+            .iter()
+            .map(|lease| (*lease, LeaseVote::default()))
+            .collect();
         Elector {
             silent_until,
-            floor,
-            longest,
+            epoch_floor,
+            longest_lease,
             votes,
         }
     }
 
-    pub fn silent_until(&self) -> Timestamp {
+    pub(crate) fn silent_until(&self) -> Timestamp {
         self.silent_until
     }
 
-    pub fn newest(&self, duty: Duty) -> Epoch {
-        self.votes.get(&duty).map_or(Epoch(0), |v| v.newest)
+    pub(crate) fn newest_epoch(&self, lease: LeaseName) -> Epoch {
+        self.votes.get(&lease).map_or(Epoch(0), |vote| vote.newest)
     }
 
-    /// An epoch of which this gateway has heard.
-    pub fn learn(&mut self, duty: Duty, epoch: Epoch) {
-        if let Some(vote) = self.votes.get_mut(&duty) {
+    /// Records an epoch that this gateway has heard of.
+    pub(crate) fn learn_epoch(&mut self, lease: LeaseName, epoch: Epoch) {
+        if let Some(vote) = self.votes.get_mut(&lease) {
             if epoch > vote.newest {
-                (vote.newest, vote.open_to) = (epoch, None);
+                vote.newest = epoch;
+                vote.promised_to = None;
             }
         }
     }
 
-    /// Who has it by this elector's vote, and until when.
-    pub fn granted(&self, now: Timestamp, duty: Duty) -> Option<(NodeIx, Timestamp)> {
-        let grant = self.votes.get(&duty)?.grant.filter(|g| now < g.until)?;
-        Some((grant.to.node, grant.until))
+    /// This elector's grant of a lease, if it has not expired.
+    pub(crate) fn grant_in_force(&self, now: Timestamp, lease: LeaseName) -> Option<GrantInForce> {
+        let grant = self.votes.get(&lease)?.grant?;
+        (now < grant.expires_at).then_some(GrantInForce {
+            holder: grant.to.peer,
+            expires_at: grant.expires_at,
+        })
     }
 
-    /// May this gateway begin this epoch?
-    pub fn ask(
+    fn active_vote(&mut self, now: Timestamp, lease: LeaseName) -> Option<&mut LeaseVote> {
+        if now < self.silent_until {
+            return None;
+        }
+        self.votes.get_mut(&lease)
+    }
+
+    /// Promises an epoch to a requester, unless another gateway holds the lease or a newer epoch is promised. `after` is the epoch of
+    /// a holder that has transferred the lease to the requester.
+    pub fn prepare(
         &mut self,
         now: Timestamp,
-        duty: Duty,
-        by: Asker,
+        lease: LeaseName,
+        requester: Requester,
         epoch: Epoch,
         after: Option<Epoch>,
-    ) -> Answer {
-        let Some(vote) = self.votes.get_mut(&duty) else {
-            return Answer::Silent;
+    ) -> ElectorReply {
+        let epoch_floor = self.epoch_floor;
+        let Some(vote) = self.active_vote(now, lease) else {
+            return ElectorReply::Silent;
         };
-        if now < self.silent_until {
-            return Answer::Silent;
+        let granted_epoch = vote.grant.map(|grant| grant.epoch);
+        if let Some(transferred) = after.filter(|after| granted_epoch == Some(*after)) {
+            vote.release(transferred);
         }
-        if let Some(passed) = after.filter(|passed| vote.grant.is_some_and(|g| g.epoch == *passed))
-        {
-            vote.close(passed);
+        if let Some(rejection) = vote.rejection_by_grant(now, requester) {
+            return ElectorReply::Rejected(rejection);
         }
-        if let Some(no) = vote.taken(now, by) {
-            return no;
-        }
-        let newest = vote.newest.max(self.floor);
+        let newest = vote.newest.max(epoch_floor);
         if epoch > newest {
-            (vote.newest, vote.open_to) = (epoch, Some(by));
-            return Answer::Yes;
+            vote.promise(epoch, requester);
+            return ElectorReply::Accepted;
         }
-        match (epoch == vote.newest, vote.open_to) {
-            (true, Some(open)) if open == by => Answer::Yes,
-            _ => Answer::No {
-                newest,
-                left: TimeDelta::ZERO,
-                holder: None,
-            },
+        if vote.is_promised(epoch, requester) {
+            return ElectorReply::Accepted;
         }
+        ElectorReply::Rejected(Rejection {
+            newest,
+            remaining: TimeDelta::ZERO,
+            holder: None,
+        })
     }
 
-    /// Holds it from now on for a lease. One that renews has held it all along, so that no promise given
-    /// since can have come to anything: it is bound by another's vote only.
-    pub fn take(
+    /// Grants a lease from now on. A gateway that renews has held it all along, so no promise given since can have come to anything:
+    /// it is bound by another's grant only.
+    pub fn acquire(
         &mut self,
         now: Timestamp,
-        duty: Duty,
-        by: Asker,
-        epoch: Epoch,
-        lease: TimeDelta,
-        renews: bool,
-    ) -> Answer {
-        let Some(vote) = self.votes.get_mut(&duty) else {
-            return Answer::Silent;
+        lease: LeaseName,
+        request: AcquireRequest,
+    ) -> ElectorReply {
+        let longest_lease = self.longest_lease;
+        let Some(vote) = self.active_vote(now, lease) else {
+            return ElectorReply::Silent;
         };
-        if now < self.silent_until {
-            return Answer::Silent;
-        }
-        if let Some(no) = vote.taken(now, by) {
-            return no;
+        let AcquireRequest {
+            requester,
+            epoch,
+            lease_duration,
+            is_renewal,
+        } = request;
+        if let Some(rejection) = vote.rejection_by_grant(now, requester) {
+            return ElectorReply::Rejected(rejection);
         }
-        // Guards against an older epoch after a newer one: a start in between has forgotten the newer one,
-        // but the promise to the older one as well. It harms a begin whose question was lost on its way here:
-        // this vote comes with the first renewal.
-        let begins = epoch == vote.newest && vote.open_to == Some(by);
-        // Guards against a lease that outlasts this elector's silence after a start.
-        let bounded = TimeDelta::ZERO < lease && lease <= self.longest;
-        let older = vote.grant.is_some_and(|g| g.to == by && g.epoch > epoch);
-        if !(begins || renews) || vote.closed.contains(&epoch) || !bounded || older {
-            return Answer::No {
+        // No older epoch comes after a newer one: a start in between has forgotten the newer one, but the promise to the older one as
+        // well. Where the prepare message was lost on its way here, this grant comes with the first renewal.
+        let is_promised = vote.is_promised(epoch, requester);
+        // A longer lease would outlast this elector's silence after a start.
+        let is_bounded = TimeDelta::ZERO < lease_duration && lease_duration <= longest_lease;
+        let is_older = vote
+            .grant
+            .is_some_and(|grant| grant.to == requester && grant.epoch > epoch);
+        let is_released = vote.released.contains(&epoch);
+        if !(is_promised || is_renewal) || is_released || !is_bounded || is_older {
+            return ElectorReply::Rejected(Rejection {
                 newest: vote.newest,
-                left: TimeDelta::ZERO,
+                remaining: TimeDelta::ZERO,
                 holder: None,
-            };
+            });
         }
         if epoch > vote.newest {
-            (vote.newest, vote.open_to) = (epoch, Some(by));
+            vote.promise(epoch, requester);
         }
         vote.grant = Some(Grant {
-            to: by,
+            to: requester,
             epoch,
-            until: now + lease,
+            expires_at: now + lease_duration,
         });
-        Answer::Yes
+        ElectorReply::Accepted
     }
 
-    /// The holder gives it up.
-    pub fn release(&mut self, duty: Duty, by: Asker, epoch: Epoch) -> bool {
-        let Some(vote) = self.votes.get_mut(&duty) else {
+    /// The holder gives the lease up. Returns whether this elector had granted it.
+    pub fn release(&mut self, lease: LeaseName, requester: Requester, epoch: Epoch) -> bool {
+        let Some(vote) = self.votes.get_mut(&lease) else {
             return false;
         };
-        let granted = vote.grant.is_some_and(|g| g.to == by && g.epoch == epoch);
-        if granted || (vote.newest == epoch && vote.open_to == Some(by)) {
-            vote.close(epoch);
+        let was_granted = vote
+            .grant
+            .is_some_and(|grant| grant.to == requester && grant.epoch == epoch);
+        if was_granted || vote.is_promised(epoch, requester) {
+            vote.release(epoch);
         }
-        granted
+        was_granted
     }
 
-    /// How many that wait are heard before this one, which is heard now.
-    pub fn place(
+    /// Records that a candidate was heard. Returns how many are in line before it.
+    pub(crate) fn record_candidate(
         &mut self,
         now: Timestamp,
-        duty: Duty,
-        rank: u64,
-        node: NodeIx,
-        lasts: Lasts,
+        lease: LeaseName,
+        candidate: CandidateRank,
+        timeouts: CandidateTimeouts,
     ) -> usize {
-        let Some(vote) = self.votes.get_mut(&duty) else {
-            return WAITING;
+        let Some(vote) = self.votes.get_mut(&lease) else {
+            return MAX_CANDIDATES;
         };
-        let mut before = 0;
-        vote.waiting.retain(|_, (_, heard)| {
-            let lasting = if before < NEAR {
-                lasts.near
-            } else {
-                lasts.later
-            };
-            let stays = now - *heard <= lasting;
-            before += usize::from(stays);
-            stays
-        });
-        vote.waiting.insert(rank, (node, now));
-        if vote.waiting.len() > WAITING {
-            vote.waiting.pop_last();
+        let CandidateRank { rank, peer } = candidate;
+        vote.forget_silent_candidates(now, timeouts);
+        vote.candidates.insert(
+            rank,
+            Candidate {
+                peer,
+                heard_at: now,
+            },
+        );
+        if vote.candidates.len() > MAX_CANDIDATES {
+            vote.candidates.pop_last();
         }
-        vote.waiting.range(..rank).count().min(WAITING)
+        vote.candidates.range(..rank).count().min(MAX_CANDIDATES)
     }
 
-    /// The first that waits, other than this one.
-    pub fn first(
+    /// The first candidate in line heard within the timeout, other than this one.
+    pub(crate) fn first_candidate(
         &self,
         now: Timestamp,
-        duty: Duty,
-        but: NodeIx,
-        lasting: TimeDelta,
-    ) -> Option<NodeIx> {
-        let waiting = self.votes.get(&duty)?.waiting.values();
-        let mut waiting = waiting.filter(|(node, heard)| *node != but && now - *heard <= lasting);
-        waiting.next().map(|(node, _)| *node)
+        lease: LeaseName,
+        except: PeerId,
+        timeout: TimeDelta,
+    ) -> Option<PeerId> {
+        self.votes
+            .get(&lease)?
+            .candidates
+            .values()
+            .find(|candidate| candidate.peer != except && now - candidate.heard_at <= timeout)
+            .map(|candidate| candidate.peer)
     }
 }
 
-impl Vote {
-    fn close(&mut self, epoch: Epoch) {
-        if self.grant.is_some_and(|g| g.epoch == epoch) {
+impl LeaseVote {
+    fn promise(&mut self, epoch: Epoch, requester: Requester) {
+        self.newest = epoch;
+        self.promised_to = Some(requester);
+    }
+
+    fn is_promised(&self, epoch: Epoch, requester: Requester) -> bool {
+        self.newest == epoch && self.promised_to == Some(requester)
+    }
+
+    fn release(&mut self, epoch: Epoch) {
+        if self.grant.is_some_and(|grant| grant.epoch == epoch) {
             self.grant = None;
         }
-        self.closed.push_back(epoch);
-        if self.closed.len() > CLOSED {
-            self.closed.pop_front();
+        self.released.push_back(epoch);
+        if self.released.len() > MAX_RELEASED_EPOCHS {
+            self.released.pop_front();
         }
     }
 
-    /// Guards against two holders: while one has this vote, no other gets it, whatever its epoch.
-    fn taken(&self, now: Timestamp, by: Asker) -> Option<Answer> {
-        let grant = self.grant.filter(|g| now < g.until && g.to != by)?;
-        let (left, holder) = (grant.until - now, Some(grant.to.node));
-        Some(Answer::No {
+    /// While one gateway has this grant, no other gets it, whatever its epoch: there would be two holders.
+    fn rejection_by_grant(&self, now: Timestamp, requester: Requester) -> Option<Rejection> {
+        let grant = self
+            .grant
+            .filter(|grant| now < grant.expires_at && grant.to != requester)?;
+        Some(Rejection {
             newest: self.newest.max(grant.epoch),
-            left,
-            holder,
+            remaining: grant.expires_at - now,
+            holder: Some(grant.to.peer),
         })
     }
+
+    fn forget_silent_candidates(&mut self, now: Timestamp, timeouts: CandidateTimeouts) {
+        let mut kept = 0;
+        self.candidates.retain(|_, candidate| {
+            let timeout = if kept < NEXT_CANDIDATES {
+                timeouts.next
+            } else {
+                timeouts.later
+            };
+            let stays = now - candidate.heard_at <= timeout;
+            kept += usize::from(stays);
+            stays
+        });
+    }
 }
--- a/crates/lease/src/fencing.rs
+++ b/crates/lease/src/fencing.rs
@@ -1,54 +1,69 @@
-//! The side that is acted on. It needs no lease and no clock: it keeps the highest epoch it has seen of each
-//! duty and refuses an older one, so that a holder deposed between its check and the arrival of its act does
-//! nothing either.
+//! The check of fencing tokens where a holder's acts arrive. It needs no lease and no clock: it keeps the highest epoch of each lease and
+//! refuses an older one, so that a holder deposed between its own check and the arrival of its act does nothing either.
 
 use std::collections::BTreeMap;
 
 use thiserror::Error;
 
-use crate::{Duty, Epoch};
+use crate::{Epoch, LeaseName};
 
-/// Duties that a guard keeps apart; those beyond are refused. Guards against a sender that makes up circles.
-const MOST: usize = 1024;
+/// Bounds what a sender can make up: each aggregator's group is a lease of its own.
+const MAX_GUARDED_LEASES: usize = 1024;
 
+/// Why an act is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum Stale {
+pub enum FencingError {
+    /// Its epoch is not the newest.
     #[error(
-        "an act of {duty} in epoch {epoch}, when {newest} is known: whoever acted holds it no more; tell it"
+        "an act of {lease} in epoch {epoch}, when {newest} is known: whoever acted holds it no more; tell it"
     )]
-    Older {
-        duty: Duty,
+    StaleEpoch {
+        /// The lease.
+        lease: LeaseName,
+        /// The act's epoch.
         epoch: Epoch,
+        /// The newest epoch of the lease.
         newest: Epoch,
     },
-    #[error("an act of {duty} beyond the {MOST} duties that are kept apart: tell fewer circles")]
-    TooMany { duty: Duty },
+    /// Too many leases are guarded already.
+    #[error("an act of {lease} beyond the {MAX_GUARDED_LEASES} leases that are kept apart: configure fewer groups")]
+    TooManyLeases {
+        /// The lease.
+        lease: LeaseName,
+    },
 }
 
+/// The newest epoch of each lease.
 #[derive(Clone, Debug, Default)]
-pub struct Guard {
-    newest: BTreeMap<Duty, Epoch>,
+pub struct FencingGuard {
+    newest: BTreeMap<LeaseName, Epoch>,
 }
 
-impl Guard {
-    /// To be asked before an act is carried out.
-    pub fn admit(&mut self, duty: Duty, epoch: Epoch) -> Result<(), Stale> {
-        match self.newest.get(&duty) {
-            Some(newest) if epoch < *newest => {
-                return Err(Stale::Older {
-                    duty,
+impl FencingGuard {
+    /// Records the epoch of an act that is about to be carried out.
+    ///
+    /// # Errors
+    /// The act must not be carried out.
+    pub fn admit(&mut self, lease: LeaseName, epoch: Epoch) -> Result<(), FencingError> {
+        match self.newest(lease) {
+            Some(newest) if epoch < newest => {
+                return Err(FencingError::StaleEpoch {
+                    lease,
                     epoch,
-                    newest: *newest,
+                    newest,
                 })
             }
-            None if self.newest.len() >= MOST => return Err(Stale::TooMany { duty }),
+            None if self.newest.len() >= MAX_GUARDED_LEASES => {
+                return Err(FencingError::TooManyLeases { lease })
+            }
             _ => {}
         }
-        self.newest.insert(duty, epoch);
+        self.newest.insert(lease, epoch);
         Ok(())
     }
 
-    pub fn newest(&self, duty: Duty) -> Option<Epoch> {
-        self.newest.get(&duty).copied()
+    /// The newest epoch of a lease; none if no act of it has come.
+    pub fn newest(&self, lease: LeaseName) -> Option<Epoch> {
+        self.newest.get(&lease).copied()
     }
 }
--- a/crates/lease/src/lease_state.rs
+++ b/crates/lease/src/lease_state.rs
@@ -1,138 +1,160 @@
-//! Where a gateway stands with a duty: it waits, asks, takes or holds. Kept apart from how it is told.
+//! How far this gateway has come with one lease: it waits, proposes, acquires or holds.
 
 use std::collections::{BTreeSet, VecDeque};
 
-use harrierdock_types::{TimeDelta, Timestamp};
+use harrierdock_types::{PeerId, TimeDelta, Timestamp};
 
-use crate::{Epoch, NodeIx};
+use crate::Epoch;
 
-/// Renewals whose votes are still counted. Older ones are past the lease.
-const ROUNDS: usize = 4;
+/// Rounds whose grants are still counted; older ones are past the lease.
+const MAX_ROUNDS: usize = 4;
+/// The round of the first grant.
+pub(crate) const FIRST_ROUND: u16 = 1;
 
+/// One request for grants to all electors.
 #[derive(Clone, Debug)]
-pub struct Round {
-    pub no: u16,
-    /// When it was asked: the lease counts from then.
-    pub sent: Timestamp,
-    pub votes: BTreeSet<NodeIx>,
+pub(crate) struct Round {
+    pub(crate) number: u16,
+    /// When it was sent: the lease counts from then.
+    pub(crate) sent_at: Timestamp,
+    pub(crate) grants: BTreeSet<PeerId>,
 }
 
+impl Round {
+    pub(crate) fn new(number: u16, sent_at: Timestamp) -> Round {
+        Round {
+            number,
+            sent_at,
+            grants: BTreeSet::new(),
+        }
+    }
+}
+
+/// What is under way.
 #[derive(Clone, Debug)]
-pub enum State {
-    /// Nothing is under way; asks again at `next`.
-    Waits { next: Timestamp },
-    /// Has asked one elector whether it is free.
-    Looks {
+pub(crate) enum Phase {
+    /// Nothing; tries again at `next_try`.
+    Waiting { next_try: Timestamp },
+    /// Has asked one elector whether the lease is free.
+    Probing {
         epoch: Epoch,
-        at: NodeIx,
-        until: Timestamp,
+        elector: PeerId,
+        deadline: Timestamp,
     },
-    /// Has asked all whether it may begin.
-    Asks {
+    /// Has asked all electors for a promise.
+    Preparing {
         epoch: Epoch,
         after: Option<Epoch>,
-        until: Timestamp,
-        open: BTreeSet<NodeIx>,
-        no: BTreeSet<NodeIx>,
+        deadline: Timestamp,
+        promises: BTreeSet<PeerId>,
+        rejections: BTreeSet<PeerId>,
     },
-    /// Has asked all to hold it.
-    Takes {
+    /// Has asked all electors for a grant.
+    Acquiring {
         epoch: Epoch,
         round: Round,
-        until: Timestamp,
-        no: BTreeSet<NodeIx>,
-    },
-    Holds {
-        epoch: Epoch,
-        until: Timestamp,
-        renew: Timestamp,
-        rounds: VecDeque<Round>,
-        last: u16,
+        deadline: Timestamp,
+        rejections: BTreeSet<PeerId>,
     },
+    /// Holds the lease.
+    Held(HeldLease),
+}
+
+/// A lease that this gateway holds.
+#[derive(Clone, Debug)]
+pub(crate) struct HeldLease {
+    pub(crate) epoch: Epoch,
+    pub(crate) expires_at: Timestamp,
+    pub(crate) renew_at: Timestamp,
+    pub(crate) rounds: VecDeque<Round>,
+    pub(crate) last_round: u16,
+}
+
+/// A release that is sent once more, as one message may be lost.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct RepeatedRelease {
+    pub(crate) at: Timestamp,
+    pub(crate) epoch: Epoch,
+    pub(crate) successor: Option<PeerId>,
 }
 
+/// This gateway's state with one lease.
 #[derive(Clone, Debug)]
-pub struct Seat {
-    pub wants: bool,
-    pub state: State,
-    /// The electors' latest word on how many wait before this one.
-    pub place: usize,
+pub(crate) struct LeaseState {
+    pub(crate) is_wanted: bool,
+    pub(crate) phase: Phase,
+    /// How many candidates are in line before this one, by an elector's latest message.
+    pub(crate) candidates_before: usize,
     /// Tries in a row that came to nothing.
-    pub fails: u32,
-    /// How long others hold it yet, by the latest try.
-    pub left: TimeDelta,
+    pub(crate) failures: u32,
+    /// For how long others hold the lease, by the latest try.
+    pub(crate) remaining: TimeDelta,
     /// The next try's epoch is above this one.
-    pub above: Epoch,
-    /// Who comes next, as electors have said with their latest votes.
-    pub heirs: BTreeSet<NodeIx>,
-    /// What was given up is told once more then: one message may be lost.
-    pub again: Option<(Timestamp, Epoch, Option<NodeIx>)>,
-    /// How many electors in turn have said nothing.
-    pub turn: usize,
+    pub(crate) epoch_floor: Epoch,
+    /// The next candidates, as electors have reported with their latest grants.
+    pub(crate) successors: BTreeSet<PeerId>,
+    pub(crate) repeated_release: Option<RepeatedRelease>,
+    /// How many electors in turn have not replied.
+    pub(crate) silent_electors: usize,
 }
 
-impl Seat {
-    pub fn new(next: Timestamp, place: usize) -> Seat {
-        Seat {
-            wants: false,
-            state: State::Waits { next },
-            place,
-            fails: 0,
-            left: TimeDelta::ZERO,
-            above: Epoch(0),
-            heirs: BTreeSet::new(),
-            again: None,
-            turn: 0,
+impl LeaseState {
+    pub(crate) fn new(next_try: Timestamp, candidates_before: usize) -> LeaseState {
+        LeaseState {
+            is_wanted: false,
+            phase: Phase::Waiting { next_try },
+            candidates_before,
+            failures: 0,
+            remaining: TimeDelta::ZERO,
+            epoch_floor: Epoch(0),
+            successors: BTreeSet::new(),
+            repeated_release: None,
+            silent_electors: 0,
         }
     }
 
-    /// Until when it is held, by this gateway's own clock.
-    pub fn held(&self) -> Option<(Epoch, Timestamp)> {
-        match &self.state {
-            State::Holds { epoch, until, .. } => Some((*epoch, *until)),
+    /// The lease, if this gateway holds it; it may have expired.
+    pub(crate) fn held(&self) -> Option<&HeldLease> {
+        match &self.phase {
+            Phase::Held(held) => Some(held),
             _ => None,
         }
     }
 
-    /// When something is due.
-    pub fn due(&self) -> Option<Timestamp> {
-        let state = match &self.state {
-            State::Waits { next } => self.wants.then_some(*next),
-            State::Looks { until, .. } | State::Asks { until, .. } | State::Takes { until, .. } => {
-                Some(*until)
-            }
-            State::Holds { until, renew, .. } => Some(*until.min(renew)),
+    /// When there is something to do.
+    pub(crate) fn next_deadline(&self) -> Option<Timestamp> {
+        let phase = match &self.phase {
+            Phase::Waiting { next_try } => self.is_wanted.then_some(*next_try),
+            Phase::Probing { deadline, .. }
+            | Phase::Preparing { deadline, .. }
+            | Phase::Acquiring { deadline, .. } => Some(*deadline),
+            Phase::Held(held) => Some(held.expires_at.min(held.renew_at)),
         };
-        state.into_iter().chain(self.again.map(|a| a.0)).min()
+        let release = self.repeated_release.map(|release| release.at);
+        phase.into_iter().chain(release).min()
     }
 
-    /// Begins another renewal, and says its number.
-    pub fn renew(&mut self, now: Timestamp, heartbeat: TimeDelta) -> Option<(Epoch, u16)> {
-        let State::Holds {
-            epoch,
-            renew,
-            rounds,
-            last,
-            ..
-        } = &mut self.state
-        else {
+    /// Begins a renewal. Returns the epoch and the round's number, or none if the lease is not held.
+    pub(crate) fn begin_renewal(
+        &mut self,
+        now: Timestamp,
+        heartbeat_interval: TimeDelta,
+    ) -> Option<(Epoch, u16)> {
+        let Phase::Held(held) = &mut self.phase else {
             return None;
         };
-        // The first round is the one that began; its number is used for nothing else.
-        *last = last.checked_add(1).unwrap_or(2);
-        *renew = now + heartbeat;
-        rounds.push_back(Round {
-            no: *last,
-            sent: now,
-            votes: BTreeSet::new(),
-        });
-        if rounds.len() > ROUNDS {
-            rounds.pop_front();
+        // The first round's number is used for nothing else.
+        let number = held.last_round.checked_add(1).unwrap_or(FIRST_ROUND + 1);
+        held.last_round = number;
+        held.renew_at = now + heartbeat_interval;
+        held.rounds.push_back(Round::new(number, now));
+        if held.rounds.len() > MAX_ROUNDS {
+            held.rounds.pop_front();
         }
-        // Electors say who waits with odd rounds.
-        if *last % 2 == 1 {
-            self.heirs.clear();
+        // Electors report the next candidate with odd rounds.
+        if number % 2 == 1 {
+            self.successors.clear();
         }
-        Some((*epoch, *last))
+        Some((held.epoch, number))
     }
 }
--- /dev/null
+++ b/crates/lease/src/manager.rs
@@ -0,0 +1,223 @@
+//! The lease manager of one gateway: an elector, a candidate for each lease, and what is known of holders.
+
+use std::collections::{BTreeMap, VecDeque};
+
+use harrierdock_types::{PeerId, TimeDelta, Timestamp};
+use nanorand::{Rng, WyRand};
+
+use crate::elector::{Elector, MAX_CANDIDATES};
+use crate::known_leases::KnownLeases;
+use crate::lease_state::LeaseState;
+use crate::quorum::{electorate_digest, Quorum};
+use crate::{
+    Action, ConfigurationError, Electorate, Epoch, Event, KnownHolder, LeaseCounters, LeaseName,
+    LeaseParameters, Message, MessageBody,
+};
+
+/// The shortest time asked for, so that the caller's loop always gets to other work.
+const SHORTEST_TIMER: TimeDelta = TimeDelta(1_000);
+
+/// The electorate that counts.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ElectorateStatus<'a> {
+    /// The electorate.
+    pub electorate: &'a Electorate,
+    /// Whether it counts alone: until then the one before has to agree as well.
+    pub is_in_force: bool,
+}
+
+/// One gateway's part in the leases of its fleet.
+pub struct LeaseManager {
+    pub(crate) parameters: LeaseParameters,
+    pub(crate) incarnation: u64,
+    pub(crate) rng: WyRand,
+    pub(crate) quorum: Quorum,
+    pub(crate) electorate_digest: u8,
+    pub(crate) elector: Elector,
+    pub(crate) states: BTreeMap<LeaseName, LeaseState>,
+    pub(crate) known_leases: KnownLeases,
+    /// By peer: the newest incarnation heard.
+    pub(crate) peer_incarnations: Vec<u64>,
+    pub(crate) counters: LeaseCounters,
+    pub(crate) is_shutting_down: bool,
+    /// Messages of this gateway to itself, as elector and as candidate.
+    pub(crate) own_messages: VecDeque<MessageBody>,
+    pub(crate) actions: Vec<Action>,
+}
+
+impl LeaseManager {
+    /// `incarnation` is Unix time in milliseconds at this process' start; `seed` is another one at each start.
+    pub fn new(
+        parameters: LeaseParameters,
+        incarnation: u64,
+        seed: u64,
+        now: Timestamp,
+    ) -> LeaseManager {
+        let peer_count = parameters.name_hashes.len();
+        let silence = parameters.startup_silence;
+        // A grant lasts no longer than the silence that would follow a start, by the same clock.
+        let longest_lease = silence / (1.0 + parameters.clock_drift_ratio);
+        let epoch_floor = Epoch(incarnation.saturating_add((silence.0 / 1000).max(0) as u64));
+        let elector = Elector::new(
+            &parameters.leases,
+            now + silence,
+            epoch_floor,
+            longest_lease,
+        );
+        let electorate = parameters.electorate.clone();
+        let digest = electorate_digest(&electorate.electors, &parameters.name_hashes);
+        let mut rng = WyRand::new_seed(seed);
+        let next_gossip = now + parameters.heartbeat_interval * rng.generate::<f64>();
+        // In a small fleet all candidates are among the first.
+        let candidates_before = match peer_count {
+            0..=MAX_CANDIDATES => 0,
+            _ => MAX_CANDIDATES,
+        };
+        let states = parameters
+            .leases
+            .iter()
+            .map(|lease| (*lease, LeaseState::new(now, candidates_before)))
+            .collect();
+        LeaseManager {
+            incarnation,
+            rng,
+            quorum: Quorum::new(electorate, peer_count, parameters.own, silence),
+            electorate_digest: digest,
+            elector,
+            states,
+            known_leases: KnownLeases::new(next_gossip),
+            peer_incarnations: vec![0; peer_count],
+            counters: LeaseCounters::default(),
+            is_shutting_down: false,
+            own_messages: VecDeque::new(),
+            actions: Vec::new(),
+            parameters,
+        }
+    }
+
+    /// Takes an event, and returns what is to be done, in order; the last action is always a timer.
+    pub fn handle(&mut self, now: Timestamp, event: Event) -> Vec<Action> {
+        // In a process that stood still, what expired meanwhile is lost before anything else counts.
+        self.expire_leases(now);
+        self.apply(now, event);
+        self.quorum.update(now);
+        self.handle_own_messages(now);
+        for lease in self.parameters.leases.clone() {
+            self.handle_deadlines(now, lease);
+            self.handle_own_messages(now);
+        }
+        self.gossip_known_leases(now);
+        self.set_timer(now);
+        std::mem::take(&mut self.actions)
+    }
+
+    fn apply(&mut self, now: Timestamp, event: Event) {
+        match event {
+            Event::MessageReceived { from, message } => self.receive(now, from, message),
+            Event::TimerFired => {}
+            Event::CandidacyChanged { lease, wanted } => self.set_candidacy(now, lease, wanted),
+            Event::EpochRejected { lease, newest } => self.handle_newer_epoch(now, lease, newest),
+            Event::ShutdownStarted => {
+                self.is_shutting_down = true;
+                for lease in self.parameters.leases.clone() {
+                    self.set_candidacy(now, lease, false);
+                }
+            }
+            Event::ElectorateChanged(next) => {
+                self.quorum.follow(next);
+                self.electorate_digest = electorate_digest(
+                    &self.quorum.electorate().electors,
+                    &self.parameters.name_hashes,
+                );
+            }
+        }
+    }
+
+    fn set_timer(&mut self, now: Timestamp) {
+        let next = self
+            .states
+            .values()
+            .filter_map(LeaseState::next_deadline)
+            .chain([self.known_leases.next_gossip()])
+            .min();
+        let after = next.map_or(self.parameters.heartbeat_interval, |next| next - now);
+        self.actions.push(Action::SetTimer {
+            after: after.max(SHORTEST_TIMER),
+        });
+    }
+
+    /// The epoch in which this gateway may act right now, or none if it may not. To be called immediately before each act, with a fresh
+    /// reading of a clock that never steps, so that a deposed holder does not act on. A holder whose renewals are late stops although
+    /// nobody else has the lease yet.
+    pub fn may_act(&self, now: Timestamp, lease: LeaseName) -> Option<Epoch> {
+        let held = self.states.get(&lease)?.held()?;
+        (now < held.expires_at).then_some(held.epoch)
+    }
+
+    /// Who holds a lease, as far as this gateway knows. For status only.
+    pub fn holder(&self, now: Timestamp, lease: LeaseName) -> Option<KnownHolder> {
+        let held = self.states.get(&lease).and_then(LeaseState::held);
+        match held.filter(|held| now < held.expires_at) {
+            Some(held) => Some(KnownHolder {
+                holder: self.parameters.own,
+                epoch: held.epoch,
+                expires_at: held.expires_at,
+            }),
+            None => self.known_leases.holder(lease),
+        }
+    }
+
+    /// Whether this electorate may follow the current one now.
+    ///
+    /// # Errors
+    /// It has not the next number, differs by more than one member, or comes before the current one is in force.
+    pub fn check_electorate_change(&self, next: &Electorate) -> Result<(), ConfigurationError> {
+        self.quorum.check_successor(next)
+    }
+
+    /// The electorate that counts.
+    pub fn electorate(&self) -> ElectorateStatus<'_> {
+        ElectorateStatus {
+            electorate: self.quorum.electorate(),
+            is_in_force: self.quorum.is_in_force(),
+        }
+    }
+
+    /// Counters since the start.
+    pub fn counters(&self) -> LeaseCounters {
+        self.counters
+    }
+
+    /// Whether all that was held has been given up, and each release was sent twice: a process that shuts down may end.
+    pub fn is_shutdown_complete(&self) -> bool {
+        let is_released =
+            |state: &LeaseState| state.repeated_release.is_none() && state.held().is_none();
+        self.is_shutting_down && self.states.values().all(is_released)
+    }
+
+    fn handle_own_messages(&mut self, now: Timestamp) {
+        while let Some(body) = self.own_messages.pop_front() {
+            self.handle_body(now, self.parameters.own, self.incarnation, body);
+        }
+    }
+
+    pub(crate) fn send(&mut self, to: PeerId, body: MessageBody) {
+        if to == self.parameters.own {
+            self.own_messages.push_back(body);
+            return;
+        }
+        let message = Message {
+            incarnation: self.incarnation,
+            electorate_number: self.quorum.electorate().number,
+            electorate_digest: self.electorate_digest,
+            body,
+        };
+        self.actions.push(Action::Send { to, message });
+    }
+
+    pub(crate) fn send_to_electors(&mut self, body: &MessageBody) {
+        for to in self.quorum.electors() {
+            self.send(to, body.clone());
+        }
+    }
+}
--- a/crates/lease/src/quorum.rs
+++ b/crates/lease/src/quorum.rs
@@ -1,135 +1,168 @@
-//! Whose votes count. Any majority of an electorate meets any majority of the next, since they differ by one
-//! member; so votes may be counted under both at once. Two steps apart they need not meet: an electorate is
-//! only followed by another once most electors of it, and of the one before, have been heard to have it.
+//! Whose grants count. Any majority of an electorate meets any majority of the next, since they differ by one member; so grants may be
+//! counted under both at once. Two steps apart they need not meet: an electorate is only followed by another once most electors of it,
+//! and of the one before, have been heard to have it.
 
 use std::collections::BTreeSet;
 
-use harrierdock_types::{TimeDelta, Timestamp};
+use harrierdock_types::{PeerId, TimeDelta, Timestamp};
 
-use crate::{Electorate, Misfit, NodeIx};
+use crate::{ConfigurationError, Electorate};
 
-pub struct Voters {
-    now: Electorate,
+/// The current electorate, the one before, and how far the change has come.
+pub(crate) struct Quorum {
+    current: Electorate,
     /// The members before the last change; none where this process has not seen one.
-    before: Option<Vec<NodeIx>>,
+    previous: Option<Vec<PeerId>>,
     in_force: bool,
-    agreed: Option<Timestamp>,
-    /// By place: the highest number heard of each gateway.
-    heard: Vec<u32>,
-    /// For how long agreement has to last: until each vote given under the electorate before the last has
-    /// lapsed.
-    lasting: TimeDelta,
-    own: NodeIx,
+    agreed_since: Option<Timestamp>,
+    /// By peer: the highest electorate number heard of it.
+    heard_numbers: Vec<u32>,
+    /// For how long agreement has to last: until each grant given under the electorate before the last has expired.
+    agreement_duration: TimeDelta,
+    own: PeerId,
 }
 
-/// What an electorate is besides its number, in few bits.
-pub fn digest(electors: &[NodeIx], ids: &[u32]) -> u8 {
-    // Told by id, so that it stays when the list of names grows; in any order.
+/// What an electorate is besides its number, in 8 bits; by name, in any order, so that it stays when the list of names grows.
+pub(crate) fn electorate_digest(electors: &[PeerId], name_hashes: &[u32]) -> u8 {
     let mixed = electors
         .iter()
-        .filter_map(|e| ids.get(*e))
-        .map(|id| id.wrapping_mul(0x9e37_79b1));
-    (mixed.fold(0u32, |sum, id| sum.wrapping_add(id ^ (id >> 15))) >> 11) as u8
+        .filter_map(|elector| name_hashes.get(elector.0))
+        .map(|hash| hash.wrapping_mul(0x9e37_79b1));
+    let sum = mixed.fold(0u32, |sum, hash| sum.wrapping_add(hash ^ (hash >> 15)));
+    (sum >> 11) as u8
 }
 
-fn majority(of: &[NodeIx], votes: &BTreeSet<NodeIx>) -> bool {
-    2 * of.iter().filter(|e| votes.contains(e)).count() > of.len()
+fn is_majority(electors: &[PeerId], votes: &BTreeSet<PeerId>) -> bool {
+    2 * electors.iter().filter(|e| votes.contains(e)).count() > electors.len()
 }
 
-impl Voters {
-    pub fn new(told: Electorate, nodes: usize, own: NodeIx, lasting: TimeDelta) -> Voters {
-        let heard = vec![0; nodes];
-        Voters {
-            now: told,
-            before: None,
+impl Quorum {
+    pub(crate) fn new(
+        electorate: Electorate,
+        peer_count: usize,
+        own: PeerId,
+        agreement_duration: TimeDelta,
+    ) -> Quorum {
+        Quorum {
+            current: electorate,
+            previous: None,
             in_force: false,
-            agreed: None,
-            heard,
-            lasting,
+            agreed_since: None,
+            heard_numbers: vec![0; peer_count],
+            agreement_duration,
             own,
         }
     }
 
-    pub fn told(&self) -> &Electorate {
-        &self.now
+    pub(crate) fn electorate(&self) -> &Electorate {
+        &self.current
     }
 
-    pub fn in_force(&self) -> bool {
+    pub(crate) fn is_in_force(&self) -> bool {
         self.in_force
     }
 
-    /// All that are to be asked.
-    pub fn all(&self) -> Vec<NodeIx> {
-        let before = self.before.iter().flatten().filter(|_| !self.in_force);
-        let all: BTreeSet<NodeIx> = self.now.electors.iter().chain(before).copied().collect();
+    /// The previous electorate's members, while they have to agree as well.
+    fn previous_in_force(&self) -> Option<&Vec<PeerId>> {
+        self.previous.as_ref().filter(|_| !self.in_force)
+    }
+
+    /// All electors that are to be asked, in ascending order.
+    pub(crate) fn electors(&self) -> Vec<PeerId> {
+        let previous = self.previous_in_force().into_iter().flatten();
+        let all: BTreeSet<PeerId> = self
+            .current
+            .electors
+            .iter()
+            .chain(previous)
+            .copied()
+            .collect();
         all.into_iter().collect()
     }
 
-    pub fn votes(&self, node: NodeIx) -> bool {
-        self.all().contains(&node)
+    pub(crate) fn is_elector(&self, peer: PeerId) -> bool {
+        self.electors().contains(&peer)
     }
 
     /// Whether these are most of the electorate, and of the one before until the change is in force.
-    pub fn most(&self, votes: &BTreeSet<NodeIx>) -> bool {
-        let before = self.before.as_ref().filter(|_| !self.in_force);
-        majority(&self.now.electors, votes) && before.is_none_or(|before| majority(before, votes))
+    pub(crate) fn is_reached(&self, votes: &BTreeSet<PeerId>) -> bool {
+        is_majority(&self.current.electors, votes)
+            && self
+                .previous_in_force()
+                .is_none_or(|previous| is_majority(previous, votes))
     }
 
-    /// Whether votes asked or given under this number can be counted together with ours.
-    pub fn near(&self, number: u32) -> bool {
-        number.abs_diff(self.now.number) <= 1
+    /// Whether grants under this electorate number can be counted together with ours.
+    pub(crate) fn is_compatible(&self, number: u32) -> bool {
+        number.abs_diff(self.current.number) <= 1
     }
 
-    pub fn may_follow(&self, next: &Electorate) -> Result<(), Misfit> {
-        let (told, held) = (next.number, self.now.number);
-        let (new, old): (BTreeSet<_>, BTreeSet<_>) = (
-            next.electors.iter().collect(),
-            self.now.electors.iter().collect(),
-        );
-        match new.symmetric_difference(&old).count() {
-            0 if told == held => Ok(()),
-            _ if Some(told) != held.checked_add(1) => Err(Misfit::NotTheNext { told, held }),
+    /// Whether this electorate may follow the current one now.
+    pub(crate) fn check_successor(&self, next: &Electorate) -> Result<(), ConfigurationError> {
+        let proposed = next.number;
+        let current = self.current.number;
+        let new_members: BTreeSet<_> = next.electors.iter().collect();
+        let old_members: BTreeSet<_> = self.current.electors.iter().collect();
+        match new_members.symmetric_difference(&old_members).count() {
+            0 if proposed == current => Ok(()),
+            _ if Some(proposed) != current.checked_add(1) => {
+                Err(ConfigurationError::ElectorateNumberNotNext { proposed, current })
+            }
             1 if self.in_force => Ok(()),
-            1 => Err(Misfit::TooSoon { held }),
-            _ => Err(Misfit::NotByOne { told, held }),
+            1 => Err(ConfigurationError::ElectorateNotInForce { current }),
+            _ => Err(ConfigurationError::ElectorateChangeNotByOne { proposed, current }),
         }
     }
 
     /// Takes another electorate, if it may follow.
-    pub fn follow(&mut self, next: Electorate) {
-        if next.number == self.now.number || self.may_follow(&next).is_err() {
+    pub(crate) fn follow(&mut self, next: Electorate) {
+        if next.number == self.current.number || self.check_successor(&next).is_err() {
             return;
         }
-        self.before = Some(std::mem::replace(&mut self.now, next).electors);
-        (self.in_force, self.agreed) = (false, None);
+        let previous = std::mem::replace(&mut self.current, next);
+        self.previous = Some(previous.electors);
+        self.in_force = false;
+        self.agreed_since = None;
     }
 
-    pub fn heard(&mut self, now: Timestamp, from: NodeIx, number: u32) {
-        if let Some(heard) = self.heard.get_mut(from) {
+    /// Records the electorate number that a peer has.
+    pub(crate) fn record_number(&mut self, now: Timestamp, from: PeerId, number: u32) {
+        if let Some(heard) = self.heard_numbers.get_mut(from.0) {
             *heard = number.max(*heard);
         }
-        self.judge(now);
+        self.update(now);
     }
 
-    pub fn judge(&mut self, now: Timestamp) {
+    /// Puts the current electorate in force once it has been agreed on for long enough.
+    pub(crate) fn update(&mut self, now: Timestamp) {
         if self.in_force {
             return;
         }
-        let own = self.now.number;
-        let has =
-            |e: &&NodeIx| **e == self.own || self.heard.get(**e).is_some_and(|n| *n >= own.max(1));
-        let have: BTreeSet<NodeIx> = self.all().iter().filter(has).copied().collect();
-        let agreed = match &self.before {
-            Some(_) => self.most(&have),
-            // Where the one before is not known, one more than most of this one are most of any it can have
-            // been.
-            None => have.len() > (self.now.electors.len() / 2 + 1).min(self.now.electors.len() - 1),
-        };
-        let since = *self.agreed.get_or_insert(now);
-        if !agreed {
-            self.agreed = None;
-        } else if now - since >= self.lasting {
+        let since = *self.agreed_since.get_or_insert(now);
+        if !self.is_agreed() {
+            self.agreed_since = None;
+        } else if now - since >= self.agreement_duration {
             self.in_force = true;
         }
     }
+
+    /// Whether enough electors have been heard to have the current electorate.
+    fn is_agreed(&self) -> bool {
+        let electors = self.electors();
+        let have: BTreeSet<PeerId> = electors
+            .into_iter()
+            .filter(|elector| self.has_current(*elector))
+            .collect();
+        if self.previous.is_some() {
+            return self.is_reached(&have);
+        }
+        // Where the one before is not known, one more than most of this one are most of any it can have been.
+        let members = self.current.electors.len();
+        have.len() > (members / 2 + 1).min(members - 1)
+    }
+
+    fn has_current(&self, elector: PeerId) -> bool {
+        let heard = self.heard_numbers.get(elector.0);
+        elector == self.own || heard.is_some_and(|number| *number >= self.current.number.max(1))
+    }
 }
