--- a/crates/rollout-controller/src/lib.rs
+++ b/crates/rollout-controller/src/lib.rs
@@ -3,14 +3,14 @@
 //! here ballots are told, counted, and turned into at most one call for each wave and way. No I/O: events come in,
 //! actions go out. Whether this gateway may act is asked where the bytes are written, not here.
 
-mod form;
+mod codec;
 
 use std::collections::BTreeMap;
 
 use harrierdock_types::{BuildId, PeerId};
 use harrierdock_types::{TimeDelta, Timestamp};
 
-pub use form::{read, write, FormError, FIRST, LENGTH};
+pub use codec::{read, write, FormError, FIRST, LENGTH};
 
 /// One stage of one build, in the order in which they come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
