--- /dev/null
+++ b/crates/lease/src/message_handling.rs
@@ -0,0 +1,246 @@
+//! What a message changes. One of an earlier process, of an unknown gateway, or under an electorate that cannot be counted with changes
+//! nothing.
+
+use harrierdock_types::{PeerId, TimeDelta, Timestamp};
+
+use crate::elector::{AcquireRequest, CandidateRank, ElectorReply, Rejection, Requester};
+use crate::lease_state::{Phase, FIRST_ROUND};
+use crate::{Epoch, KnownHolder, LeaseManager, LeaseName, Message, MessageBody, ProposalId};
+
+/// How far ahead an epoch or a start may be, in milliseconds: a year. One garbled number must not use up all epochs there are. A fleet
+/// whose own clock is a year behind holds nothing.
+const MAX_AHEAD_MS: u64 = 366 * 86_400_000;
+
+/// Whole milliseconds, as far as they fit.
+pub(crate) fn duration_to_ms(span: TimeDelta) -> u16 {
+    (span.0 / 1000).clamp(0, i64::from(u16::MAX)) as u16
+}
+
+/// Milliseconds of a wait, one more than whole ones: who comes back too early comes in vain. 0 if there is nothing to wait for.
+fn wait_to_ms(span: TimeDelta) -> u16 {
+    if span > TimeDelta::ZERO {
+        duration_to_ms(span).saturating_add(1)
+    } else {
+        0
+    }
+}
+
+pub(crate) fn ms_to_duration(ms: u16) -> TimeDelta {
+    TimeDelta(i64::from(ms) * 1000)
+}
+
+/// An incarnation in 16 bits, for replies. Two starts of one gateway differ by their epochs as well: a later process asks for newer ones
+/// only.
+pub(crate) fn requester_tag(incarnation: u64) -> u16 {
+    (incarnation ^ (incarnation >> 16) ^ (incarnation >> 32)) as u16
+}
+
+impl LeaseManager {
+    /// Checks a message of another gateway, and handles it if it counts.
+    pub(crate) fn receive(&mut self, now: Timestamp, from: PeerId, message: Message) {
+        let latest = self.incarnation.saturating_add(MAX_AHEAD_MS);
+        if !self.record_incarnation(from, message.incarnation, latest) {
+            self.counters.outdated_messages += 1;
+            return;
+        }
+        if message.body.highest_epoch().0 > latest {
+            self.counters.implausible_messages += 1;
+            return;
+        }
+        if !self.is_countable(&message) {
+            self.counters.incompatible_messages += 1;
+            return;
+        }
+        self.quorum
+            .record_number(now, from, message.electorate_number);
+        self.handle_body(now, from, message.incarnation, message.body);
+    }
+
+    /// Grants and promises of an earlier process went with it. Returns whether the sender's process is the newest known, and plausible.
+    fn record_incarnation(&mut self, from: PeerId, incarnation: u64, latest: u64) -> bool {
+        match self.peer_incarnations.get_mut(from.0) {
+            Some(newest)
+                if from != self.parameters.own
+                    && incarnation >= *newest
+                    && incarnation <= latest =>
+            {
+                *newest = incarnation;
+                true
+            }
+            _ => false,
+        }
+    }
+
+    /// Whether the sender's electorate can be counted together with this gateway's.
+    fn is_countable(&self, message: &Message) -> bool {
+        // Known leases are no grants: they announce an electorate even where grants do not fit any more.
+        let is_gossip = matches!(message.body, MessageBody::KnownLeases { .. });
+        if !self.quorum.is_compatible(message.electorate_number) && !is_gossip {
+            return false;
+        }
+        // Two gateways may be configured with different electorates under one number.
+        message.electorate_number != self.quorum.electorate().number
+            || message.electorate_digest == self.electorate_digest
+    }
+
+    /// Handles a message that counts, or one of this gateway to itself.
+    pub(crate) fn handle_body(
+        &mut self,
+        now: Timestamp,
+        from: PeerId,
+        incarnation: u64,
+        body: MessageBody,
+    ) {
+        let requester = Requester {
+            peer: from,
+            incarnation,
+        };
+        match body {
+            MessageBody::Prepare {
+                lease,
+                epoch,
+                after,
+            } => self.handle_prepare(now, lease, requester, epoch, after),
+            MessageBody::Acquire {
+                lease,
+                epoch,
+                round,
+                lease_ms,
+            } => {
+                let request = AcquireRequest {
+                    requester,
+                    epoch,
+                    lease_duration: ms_to_duration(lease_ms),
+                    is_renewal: round > FIRST_ROUND,
+                };
+                self.handle_acquire(now, lease, request, round);
+            }
+            MessageBody::Release { lease, epoch } => {
+                if self.elector.release(lease, requester, epoch) {
+                    self.handle_release(now, lease, epoch);
+                }
+            }
+            MessageBody::Transfer { lease, epoch } => self.handle_transfer(now, lease, epoch),
+            MessageBody::KnownLeases { records } => {
+                for record in records {
+                    self.elector.learn_epoch(record.lease, record.epoch);
+                    if let Some(holder) = self.parameters.peer_by_name_hash(record.holder_hash) {
+                        let heard = KnownHolder {
+                            holder,
+                            epoch: record.epoch,
+                            expires_at: now + ms_to_duration(record.remaining_ms),
+                        };
+                        self.record_holder(record.lease, heard);
+                    }
+                }
+            }
+            reply => self.handle_reply(now, from, reply),
+        }
+    }
+
+    fn handle_prepare(
+        &mut self,
+        now: Timestamp,
+        lease: LeaseName,
+        requester: Requester,
+        epoch: Epoch,
+        after: Option<Epoch>,
+    ) {
+        let proposal = ProposalId {
+            epoch,
+            requester_tag: requester_tag(requester.incarnation),
+        };
+        match self.elector.prepare(now, lease, requester, epoch, after) {
+            ElectorReply::Silent => {}
+            ElectorReply::Accepted => {
+                self.send(requester.peer, MessageBody::Promised { lease, proposal });
+            }
+            ElectorReply::Rejected(rejection) => {
+                self.send_rejection(now, lease, requester.peer, proposal, rejection);
+            }
+        }
+    }
+
+    fn handle_acquire(
+        &mut self,
+        now: Timestamp,
+        lease: LeaseName,
+        request: AcquireRequest,
+        round: u16,
+    ) {
+        let requester = request.requester;
+        let proposal = ProposalId {
+            epoch: request.epoch,
+            requester_tag: requester_tag(requester.incarnation),
+        };
+        match self.elector.acquire(now, lease, request) {
+            ElectorReply::Silent => {}
+            ElectorReply::Accepted => {
+                // Reported every other time: it changes seldom.
+                let reports_candidate = requester.peer == self.parameters.own || round % 2 == 1;
+                let next_candidate_hash = reports_candidate
+                    .then(|| self.next_candidate_hash(now, lease, requester.peer))
+                    .flatten();
+                self.send(
+                    requester.peer,
+                    MessageBody::Granted {
+                        lease,
+                        proposal,
+                        round,
+                        next_candidate_hash,
+                    },
+                );
+            }
+            ElectorReply::Rejected(rejection) => {
+                self.send_rejection(now, lease, requester.peer, proposal, rejection);
+            }
+        }
+    }
+
+    fn send_rejection(
+        &mut self,
+        now: Timestamp,
+        lease: LeaseName,
+        to: PeerId,
+        proposal: ProposalId,
+        rejection: Rejection,
+    ) {
+        let candidate = CandidateRank {
+            rank: self.candidate_rank(lease, to),
+            peer: to,
+        };
+        let timeouts = self.candidate_timeouts();
+        let candidates_before = self
+            .elector
+            .record_candidate(now, lease, candidate, timeouts);
+        let holder = rejection.holder;
+        let holder_hash = holder.and_then(|holder| self.parameters.name_hash(holder));
+        self.send(
+            to,
+            MessageBody::Rejected {
+                lease,
+                proposal,
+                epoch: rejection.newest,
+                remaining_ms: wait_to_ms(rejection.remaining),
+                candidates_before: candidates_before as u8,
+                holder_hash: holder_hash.unwrap_or(0),
+            },
+        );
+    }
+
+    /// The next candidate by this elector: itself if it waits, or whom it has heard to wait.
+    fn next_candidate_hash(&self, now: Timestamp, lease: LeaseName, except: PeerId) -> Option<u32> {
+        let own = self.parameters.own;
+        let waits = self
+            .states
+            .get(&lease)
+            .is_some_and(|s| s.is_wanted && matches!(s.phase, Phase::Waiting { .. }));
+        let next = if waits && own != except {
+            own
+        } else {
+            let timeout = self.candidate_timeouts().next;
+            self.elector.first_candidate(now, lease, except, timeout)?
+        };
+        self.parameters.name_hash(next)
+    }
+}
