--- a/crates/multi-site/src/crossing.rs
+++ b/crates/multi-site/src/failover.rs
@@ -8,7 +8,7 @@
 use harrierdock_types::{TimeDelta, Timestamp};
 use nanorand::{Rng, WyRand};
 
-use crate::bearing::KEPT;
+use crate::offered_capacity::KEPT;
 use crate::{Change, Ending, Home, Members, RequestClass, RoadNo, Why, ROUND};
 
 /// Rounds after which credit counts no more: half a second.
--- a/crates/multi-site/src/lib.rs
+++ b/crates/multi-site/src/lib.rs
@@ -3,10 +3,10 @@
 //! for, in order. No I/O, no clock of its own, chance by the told seed. `members` knows who is there,
 //! `bearing` what this gateway lends to the other site, `crossing` what it sends there, `custody` what is owed.
 
-mod bearing;
-mod crossing;
-mod custody;
-mod members;
+mod failover;
+mod membership;
+mod offered_capacity;
+mod ownership;
 pub mod status;
 
 use std::collections::BTreeMap;
@@ -17,10 +17,10 @@
 use harrierdock_types::{TimeDelta, Timestamp};
 use serde::Serialize;
 
-use bearing::Bearing;
-use crossing::Crossings;
-use custody::{Custody, Due, Inward};
-pub use members::{Asked, Members, Road};
+use failover::Crossings;
+pub use membership::{Asked, Members, Road};
+use offered_capacity::Bearing;
+use ownership::{Custody, Due, Inward};
 pub use status::{MemberStatus, Status};
 
 /// The pause between two beats on a road. Credit ages within five of them, a road is none after seven.
@@ -418,7 +418,7 @@
         let (peer, to) = (road.peer.clone(), road.incarnation);
         // The answer must be back before the client's time is up.
         let margin = self.place.tick + road.round_trip;
-        let out = custody::Out {
+        let out = ownership::Out {
             id,
             class,
             peer,
@@ -590,7 +590,7 @@
     }
 
     /// It is not taken, neither now nor when a copy of it comes.
-    fn turn_away(&mut self, road: RoadNo, place: custody::Place, verdict: Verdict) {
+    fn turn_away(&mut self, road: RoadNo, place: ownership::Place, verdict: Verdict) {
         let (to, crossing) = (place.1, place.2);
         self.tally.turned_away += 1;
         self.custody
@@ -713,15 +713,15 @@
     }
 
     /// A crossing of which nothing more will be known.
-    fn uncertain(&mut self, out: custody::Out) {
+    fn uncertain(&mut self, out: ownership::Out) {
         let id = out.id;
         match out.after_loss(self.now, self.place.tick) {
-            custody::After::Here { left } if !out.spared => {
+            ownership::After::Here { left } if !out.spared => {
                 self.tally.served_here_after += 1;
                 self.out.push(Action::Here { id, left });
             }
-            custody::After::Here { .. } => self.decline(id),
-            custody::After::Wait => {
+            ownership::After::Here { .. } => self.decline(id),
+            ownership::After::Wait => {
                 self.tally.voided_unanswered += 1;
                 self.out.push(Action::Void { id });
             }
@@ -856,7 +856,7 @@
             .cut(road, &self.members, self.now, self.place.tick)
         {
             match after {
-                custody::After::Here { left } if !out.spared => {
+                ownership::After::Here { left } if !out.spared => {
                     self.tally.served_here_after += 1;
                     self.out.push(Action::Here { id: out.id, left });
                 }
--- a/crates/site-transport/src/lib.rs
+++ b/crates/site-transport/src/lib.rs
@@ -3,7 +3,7 @@
 //! come out. Nothing here opens a socket or a file, and nothing knows what a letter says.
 
 pub mod keys;
-mod link;
+mod transport;
 
 pub use keys::Credentials;
-pub use link::{Heard, Link, RoadNo};
+pub use transport::{Heard, Link, RoadNo};
