--- a/crates/fault-injection/src/core.rs
+++ b/crates/fault-injection/src/core.rs
@@ -8,9 +8,10 @@
 use std::net::SocketAddr;
 
 use harrierdock_multi_site::{
-    Action, Change, Ending, Event, Hand, Home, Place, RequestClass, Sites,
+    Action, Change, Event, MultiSite, MultiSiteConfig, OperatorCommand, RequestClass, RequestEnd,
+    TrafficLocation,
 };
-use harrierdock_site_messages::{Letter, Party, Verdict};
+use harrierdock_site_messages::{ForwardingOutcome, GatewayName, SiteMessage};
 use harrierdock_types::{IdempotencyScope, RequestId, RetrySafety};
 use harrierdock_types::{TimeDelta, Timestamp};
 use nanorand::{Rng, WyRand};
@@ -90,10 +91,10 @@
     Arrive {
         gateway: usize,
     },
-    Letter {
+    SiteMessage {
         to: usize,
         link: u64,
-        letter: Box<Letter>,
+        letter: Box<SiteMessage>,
     },
     Up {
         from: usize,
@@ -102,7 +103,7 @@
     },
     Unreachable {
         gateway: usize,
-        peer: Party,
+        peer: GatewayName,
     },
     Down {
         gateway: usize,
@@ -135,9 +136,9 @@
 }
 
 struct Gateway {
-    party: Party,
+    party: GatewayName,
     address: SocketAddr,
-    sites: Option<Sites>,
+    sites: Option<MultiSite>,
     life: u32,
     drained: bool,
     wake: Option<Timestamp>,
@@ -150,7 +151,7 @@
     life: u32,
     class: usize,
     expiry: Timestamp,
-    answers: Vec<(Verdict, Timestamp)>,
+    answers: Vec<(ForwardingOutcome, Timestamp)>,
     runs: Vec<(usize, Timestamp)>,
     across: bool,
     /// The module here declined it, or it came back: it does not cross (again).
@@ -189,7 +190,7 @@
     fn new(seed: u64, each: usize) -> World {
         let chance = WyRand::new_seed(seed);
         let gateway = |ix: usize| Gateway {
-            party: Party {
+            party: GatewayName {
                 site: SITES[site(ix)].into(),
                 gateway: format!("g{}", ix / 2),
             },
@@ -246,7 +247,7 @@
             .filter(|g| g.party.site == SITES[other])
             .take(2);
         let gateway = &self.gateways[ix];
-        let place = Place {
+        let place = MultiSiteConfig {
             own: gateway.party.clone(),
             address: Some(gateway.address),
             incarnation: own_time(ix, self.now).0 as u64,
@@ -261,10 +262,10 @@
         };
         let now = own_time(ix, self.now);
         let gateway = &mut self.gateways[ix];
-        gateway.sites = Some(Sites::new(now, place));
+        gateway.sites = Some(MultiSite::new(now, place));
         (gateway.life, gateway.drained, gateway.wake) = (gateway.life + 1, false, None);
         gateway.inward.clear();
-        self.tell(ix, Event::Home { ready: 4 });
+        self.tell(ix, Event::EndpointsUpdated { ready: 4 });
     }
 
     fn kill(&mut self, ix: usize) {
@@ -310,13 +311,13 @@
     fn obey(&mut self, ix: usize, action: Action) {
         let (now, life) = (self.now, self.gateways[ix].life);
         match action {
-            Action::Here { id, left } => {
+            Action::ServeLocally { id, left } => {
                 let txn = &mut self.txns[id.0 as usize];
                 txn.spent |= txn.across;
                 let class = txn.class;
                 self.serve(ix, Job::Client(id), id.0, class, left);
             }
-            Action::Across {
+            Action::Forward {
                 id,
                 road,
                 crossing,
@@ -332,12 +333,12 @@
                 );
                 txn.across = true;
                 self.found.crossed += 1;
-                let handover = harrierdock_site_messages::Handover {
+                let handover = harrierdock_site_messages::ForwardedRequest {
                     crossing,
                     from: self.gateways[ix]
                         .sites
                         .as_ref()
-                        .map_or(0, Sites::incarnation),
+                        .map_or(0, MultiSite::incarnation),
                     to,
                     beat,
                     class: classes()[txn.class].name.clone(),
@@ -345,15 +346,15 @@
                     txn: id.0.to_string(),
                     ..Default::default()
                 };
-                self.send(ix, road, Letter::Handover(handover));
+                self.send(ix, road, SiteMessage::Request(handover));
             }
-            Action::Settle { id, .. } => {
+            Action::Succeed { id, .. } => {
                 self.found.crossed_settled += 1;
-                self.answer(id, Verdict::Settled);
+                self.answer(id, ForwardingOutcome::Succeeded);
             }
-            Action::Decline { id, .. } => self.answer(id, Verdict::NotTaken),
-            Action::Void { id } => self.answer(id, Verdict::Voided),
-            Action::TakeIn {
+            Action::Reject { id, .. } => self.answer(id, ForwardingOutcome::NotAccepted),
+            Action::Fail { id } => self.answer(id, ForwardingOutcome::Failed),
+            Action::ServeInbound {
                 inward,
                 class,
                 left,
@@ -365,12 +366,12 @@
                 self.gateways[ix].inward.insert(inward, txn);
                 self.serve(ix, Job::Inward(inward), txn, class.0, left);
             }
-            Action::Abandon { inward } => {
+            Action::AbandonInbound { inward } => {
                 if self.gateways[ix].inward.remove(&inward).is_some() {
-                    let (verdict, body) = (Verdict::Voided, Vec::new());
+                    let (verdict, body) = (ForwardingOutcome::Failed, Vec::new());
                     self.tell(
                         ix,
-                        Event::Answered {
+                        Event::InboundCompleted {
                             inward,
                             verdict,
                             build: None,
@@ -379,7 +380,7 @@
                     );
                 }
             }
-            Action::Dial { peer, address } => {
+            Action::Connect { peer, address } => {
                 let to = self
                     .gateways
                     .iter()
@@ -396,15 +397,15 @@
                     None => self.after(SECOND, Happening::Unreachable { gateway: ix, peer }),
                 }
             }
-            Action::HangUp { road } => self.hang_up(road, ix, true),
+            Action::ClosePath { road } => self.hang_up(road, ix, true),
             Action::Send { road, letter } => self.send(ix, road, letter),
-            Action::Changed(Change::Home { home, .. }) => {
-                if home != Home::Here {
+            Action::StatusChanged(Change::TrafficMoved { location: home, .. }) => {
+                if home != TrafficLocation::Local {
                     self.moves.entry(ix).or_default().push(now);
                 }
             }
-            Action::Changed(_) => {}
-            Action::Wake { after } => {
+            Action::StatusChanged(_) => {}
+            Action::SetTimer { after } => {
                 let at = now + after;
                 if self.gateways[ix].wake.is_none_or(|w| at < w || w <= now) {
                     self.gateways[ix].wake = Some(at);
@@ -414,7 +415,7 @@
         }
     }
 
-    fn send(&mut self, ix: usize, link: u64, letter: Letter) {
+    fn send(&mut self, ix: usize, link: u64, letter: SiteMessage) {
         let Some((a, b)) = self.links.get(&link).copied() else {
             return;
         };
@@ -423,7 +424,7 @@
         if self.cut[site(ix)] {
             return;
         }
-        let (lossy, loss) = (matches!(letter, Letter::Beat(_)), self.loss);
+        let (lossy, loss) = (matches!(letter, SiteMessage::Heartbeat(_)), self.loss);
         if lossy && self.draw(loss) {
             return;
         }
@@ -438,7 +439,7 @@
                 took = took + self.span(100_000, 2_500_000);
             }
             let letter = Box::new(letter.clone());
-            self.after(took, Happening::Letter { to, link, letter });
+            self.after(took, Happening::SiteMessage { to, link, letter });
         }
     }
 
@@ -450,20 +451,20 @@
             return match job {
                 Job::Inward(inward) => {
                     self.gateways[ix].inward.remove(&inward);
-                    let verdict = Verdict::NotTaken;
+                    let verdict = ForwardingOutcome::NotAccepted;
                     self.tell(
                         ix,
-                        Event::Answered {
+                        Event::InboundCompleted {
                             inward,
                             verdict,
                             build: None,
                             body: Vec::new(),
                         },
                     );
-                    let (ending, took) = (Ending::Declined, TimeDelta::ZERO);
+                    let (ending, took) = (RequestEnd::Rejected, TimeDelta::ZERO);
                     self.tell(
                         ix,
-                        Event::Ended {
+                        Event::RequestEnded {
                             class: ClassId(class),
                             ending,
                             took,
@@ -473,11 +474,11 @@
                 Job::Client(id) => {
                     let spent = std::mem::replace(&mut self.txns[id.0 as usize].spent, true);
                     if spent {
-                        self.answer(id, Verdict::NotTaken);
+                        self.answer(id, ForwardingOutcome::NotAccepted);
                     } else {
                         self.tell(
                             ix,
-                            Event::Spared {
+                            Event::LocallyRejected {
                                 id,
                                 class: ClassId(class),
                                 left,
@@ -535,14 +536,14 @@
             Job::Inward(inward) => {
                 if self.gateways[ix].inward.remove(&inward).is_some() {
                     let verdict = if settled {
-                        Verdict::Settled
+                        ForwardingOutcome::Succeeded
                     } else {
-                        Verdict::Voided
+                        ForwardingOutcome::Failed
                     };
                     let body = vec![7; 50];
                     self.tell(
                         ix,
-                        Event::Answered {
+                        Event::InboundCompleted {
                             inward,
                             verdict,
                             build: Some(BuildId(1)),
@@ -554,20 +555,20 @@
             Job::Client(id) => self.answer(
                 id,
                 if settled {
-                    Verdict::Settled
+                    ForwardingOutcome::Succeeded
                 } else {
-                    Verdict::Voided
+                    ForwardingOutcome::Failed
                 },
             ),
         }
         let ending = if settled {
-            Ending::Settled
+            RequestEnd::Succeeded
         } else {
-            Ending::Failed
+            RequestEnd::Failed
         };
         self.tell(
             ix,
-            Event::Ended {
+            Event::RequestEnded {
                 class: ClassId(class),
                 ending,
                 took: TimeDelta(100_000),
@@ -575,7 +576,7 @@
         );
     }
 
-    fn answer(&mut self, id: RequestId, verdict: Verdict) {
+    fn answer(&mut self, id: RequestId, verdict: ForwardingOutcome) {
         let now = self.now;
         self.txns[id.0 as usize].answers.push((verdict, now));
     }
@@ -585,9 +586,9 @@
             (self.loss, self.cut, self.vanished) = (0.0, [false; 2], [false; 2]);
             for ix in 0..self.gateways.len() {
                 if std::mem::take(&mut self.gateways[ix].drained) {
-                    self.tell(ix, Event::Hand(Hand::Resume));
+                    self.tell(ix, Event::OperatorCommand(OperatorCommand::Resume));
                 }
-                self.tell(ix, Event::Home { ready: 4 });
+                self.tell(ix, Event::EndpointsUpdated { ready: 4 });
             }
             return;
         }
@@ -615,7 +616,7 @@
                     .filter(|ix| site(*ix) == which)
                     .collect::<Vec<_>>()
                 {
-                    self.tell(ix, Event::Home { ready });
+                    self.tell(ix, Event::EndpointsUpdated { ready });
                 }
             }
             6 if self.gateways[some].sites.is_some() => {
@@ -623,7 +624,11 @@
                 self.gateways[some].drained = drained;
                 self.tell(
                     some,
-                    Event::Hand(if drained { Hand::Drain } else { Hand::Resume }),
+                    Event::OperatorCommand(if drained {
+                        OperatorCommand::Drain
+                    } else {
+                        OperatorCommand::Resume
+                    }),
                 );
             }
             _ => {}
@@ -652,7 +657,7 @@
                     });
                     self.tell(
                         gateway,
-                        Event::Txn {
+                        Event::RequestReceived {
                             id,
                             class: ClassId(class),
                             left: EXPIRY,
@@ -664,11 +669,11 @@
                     self.after(next, Happening::Arrive { gateway });
                 }
             }
-            Happening::Letter { to, link, letter } => {
+            Happening::SiteMessage { to, link, letter } => {
                 if self.links.contains_key(&link) {
                     self.tell(
                         to,
-                        Event::Heard {
+                        Event::MessageReceived {
                             road: link,
                             letter: *letter,
                         },
@@ -684,20 +689,20 @@
                     self.gateways[from].party.clone(),
                 );
                 if !both {
-                    return self.tell(from, Event::Unreachable { peer });
+                    return self.tell(from, Event::ConnectFailed { peer });
                 }
                 self.links.insert(link, (from, to));
-                self.tell(from, Event::Up { road: link, peer });
+                self.tell(from, Event::PathOpened { road: link, peer });
                 self.tell(
                     to,
-                    Event::Up {
+                    Event::PathOpened {
                         road: link,
                         peer: peer_of,
                     },
                 );
             }
             Happening::Unreachable { gateway, peer } => {
-                self.tell(gateway, Event::Unreachable { peer })
+                self.tell(gateway, Event::ConnectFailed { peer })
             }
             Happening::Down {
                 gateway,
@@ -705,7 +710,7 @@
                 orderly,
             } => self.tell(
                 gateway,
-                Event::Down {
+                Event::PathClosed {
                     road: link,
                     orderly,
                 },
@@ -736,7 +741,7 @@
             Happening::Wake { gateway, life } => {
                 if self.gateways[gateway].life == life {
                     self.gateways[gateway].wake = None;
-                    self.tell(gateway, Event::Wake);
+                    self.tell(gateway, Event::TimerFired);
                 }
             }
             Happening::Start { gateway } => self.start(gateway),
@@ -781,14 +786,14 @@
             }
             let first = txn.answers.first().map(|a| a.0);
             found.settled_without_run +=
-                u64::from(first == Some(Verdict::Settled) && txn.runs.is_empty());
+                u64::from(first == Some(ForwardingOutcome::Succeeded) && txn.runs.is_empty());
             // A client may try again what was declined: that must not have run, once-only or outside a group.
             let harmless = match repeat {
                 RetrySafety::Idempotent => true,
                 RetrySafety::IdempotencyKey { .. } => classes[txn.class].spans,
                 RetrySafety::NonIdempotent => false,
             };
-            let declined = first == Some(Verdict::NotTaken);
+            let declined = first == Some(ForwardingOutcome::NotAccepted);
             found.declined_but_ran += u64::from(declined && !harmless && !txn.runs.is_empty());
         }
         for points in self.moves.values() {
@@ -803,7 +808,7 @@
                 .max(points.iter().map(within).max().unwrap_or(0) as u64);
         }
         for gateway in &self.gateways {
-            let owed = gateway.sites.as_ref().map_or((0, 0), Sites::owed);
+            let owed = gateway.sites.as_ref().map_or((0, 0), MultiSite::owed);
             found.left_owed += (owed.0 + owed.1) as u64;
         }
         self.found
--- a/crates/fault-injection/src/membership.rs
+++ b/crates/fault-injection/src/membership.rs
@@ -3,8 +3,10 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use harrierdock_multi_site::{Asked, Members, ROUND};
-use harrierdock_site_messages::{write, Beat, Letter, Party, Record, Standing};
+use harrierdock_multi_site::{Membership, MembershipAction, ROUND};
+use harrierdock_site_messages::{
+    write, GatewayName, Heartbeat, MemberRecord, MemberState, SiteMessage,
+};
 use harrierdock_types::Timestamp;
 use nanorand::{Rng, WyRand};
 use serde::Serialize;
@@ -44,15 +46,15 @@
     now: Timestamp,
     chance: WyRand,
     loss: f64,
-    all: Vec<Members>,
-    by_party: BTreeMap<Party, usize>,
+    all: Vec<Membership>,
+    by_party: BTreeMap<GatewayName, usize>,
     links: BTreeMap<u64, (usize, usize)>,
     last: u64,
     bytes: usize,
 }
 
-fn party(ix: usize) -> Party {
-    Party {
+fn party(ix: usize) -> GatewayName {
+    GatewayName {
         site: SITES[ix % 2].into(),
         gateway: format!("gateway-{:03}", ix / 2),
     }
@@ -79,21 +81,21 @@
     }
 
     /// Each knows three gateways of the other site from its file; the rest it must learn.
-    fn member(&self, ix: usize, each: usize) -> Members {
+    fn member(&self, ix: usize, each: usize) -> Membership {
         let other = 1 - ix % 2;
-        let seeds: Vec<(Party, SocketAddr)> = (0..3.min(each))
+        let seeds: Vec<(GatewayName, SocketAddr)> = (0..3.min(each))
             .map(|n| 2 * ((ix * 7 + n * 31) % each) + other)
             .map(|ix| (party(ix), address(ix)))
             .collect();
         let (incarnation, address) = (self.now.0 as u64, Some(address(ix)));
-        let own = Record {
+        let own = MemberRecord {
             party: party(ix),
             address,
             incarnation,
             version: 1,
-            standing: Standing::Serving,
+            standing: MemberState::Serving,
         };
-        Members::new(
+        Membership::new(
             own,
             SITES[other].into(),
             &seeds,
@@ -101,10 +103,10 @@
         )
     }
 
-    fn obey(&mut self, ix: usize, asked: Vec<Asked>) {
+    fn obey(&mut self, ix: usize, asked: Vec<MembershipAction>) {
         for asked in asked {
             match asked {
-                Asked::Dial { peer, .. } => {
+                MembershipAction::Connect { peer, .. } => {
                     let Some(to) = self.by_party.get(&peer).copied() else {
                         continue;
                     };
@@ -114,11 +116,14 @@
                     self.all[ix].up(now, self.last, peer, &mut more);
                     self.all[to].up(now, self.last, party(ix), &mut more);
                     // One that holds as many roads as it may hangs up at once.
-                    if more.iter().any(|a| matches!(a, Asked::HangUp { .. })) {
+                    if more
+                        .iter()
+                        .any(|a| matches!(a, MembershipAction::ClosePath { .. }))
+                    {
                         self.drop_link(self.last, true);
                     }
                 }
-                Asked::HangUp { road } => self.drop_link(road, true),
+                MembershipAction::ClosePath { road } => self.drop_link(road, true),
                 _ => {}
             }
         }
@@ -139,7 +144,7 @@
     fn round(&mut self) {
         self.now = self.now + ROUND;
         self.bytes = 0;
-        let mut beats: Vec<(usize, u64, Beat)> = Vec::new();
+        let mut beats: Vec<(usize, u64, Heartbeat)> = Vec::new();
         for ix in 0..self.all.len() {
             let (now, mut asked) = (self.now, Vec::new());
             let sent = self.all[ix].round(now, &mut asked);
@@ -150,13 +155,13 @@
             let Some((a, b)) = self.links.get(&link).copied() else {
                 continue;
             };
-            let letter = Letter::Beat(beat);
+            let letter = SiteMessage::Heartbeat(beat);
             self.bytes += write(&letter).map_or(0, |bytes| bytes.len());
             if self.chance.generate::<f64>() < self.loss {
                 continue;
             }
             let (to, mut asked) = (if a == ix { b } else { a }, Vec::new());
-            if let Letter::Beat(beat) = &letter {
+            if let SiteMessage::Heartbeat(beat) = &letter {
                 self.all[to].hear(self.now, link, beat, &mut asked);
             }
             self.obey(to, asked);
@@ -164,7 +169,7 @@
     }
 
     /// Rounds until every other gateway holds this of these.
-    fn known(&mut self, of: &[usize], holds: impl Fn(&Record) -> bool) -> usize {
+    fn known(&mut self, of: &[usize], holds: impl Fn(&MemberRecord) -> bool) -> usize {
         for rounds in 1..=MOST {
             self.round();
             let all_know = self.all.iter().enumerate().all(|(ix, members)| {
@@ -195,9 +200,9 @@
     for n in 0..9_usize {
         let ix = (n * 37 + 5) % (2 * each);
         let standing = if n.is_multiple_of(2) {
-            Standing::Draining
+            MemberState::Draining
         } else {
-            Standing::Serving
+            MemberState::Serving
         };
         world.all[ix].stand(standing);
         let version = world.all[ix].own().version;
@@ -228,7 +233,7 @@
     world.round();
     found.bytes_restart = world.per_gateway();
     found.rounds_after_restart = world.known(&again, |r| {
-        r.incarnation >= from && r.standing < Standing::Suspected
+        r.incarnation >= from && r.standing < MemberState::Suspected
     }) + 1;
     progress();
     (0..SETTLE).for_each(|_| world.round());
@@ -239,7 +244,7 @@
         .all
         .iter()
         .flat_map(|m| m.records())
-        .filter(|(r, _)| r.standing >= Standing::Suspected);
+        .filter(|(r, _)| r.standing >= MemberState::Suspected);
     found.wrongly_suspected = wrong.count();
     found
 }
--- a/crates/gateway/src/cli/keys.rs
+++ b/crates/gateway/src/cli/keys.rs
@@ -6,7 +6,7 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, SystemTime};
 
-use harrierdock_site_messages::Party;
+use harrierdock_site_messages::GatewayName;
 use harrierdock_site_transport::keys::{authority, issue, show, Pair};
 
 /// Certificates count from a little before now, so that sites whose clocks differ believe them at once.
@@ -77,7 +77,7 @@
         let (site, name) = gateway
             .split_once('/')
             .ok_or_else(|| format!("'{gateway}' is not SITE/GATEWAY"))?;
-        let party = Party {
+        let party = GatewayName {
             site: site.into(),
             gateway: name.into(),
         };
--- a/crates/gateway/src/config/extensions.rs
+++ b/crates/gateway/src/config/extensions.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-use harrierdock_site_messages::Party;
+use harrierdock_site_messages::GatewayName;
 use harrierdock_site_transport::{keys, Credentials};
 use harrierdock_types::TimeDelta;
 use schemars::JsonSchema;
@@ -305,7 +305,7 @@
     ///
     /// # Errors
     /// The field and the reason, in one line.
-    pub fn credentials(&self, own: &Party) -> Result<Credentials, String> {
+    pub fn credentials(&self, own: &GatewayName) -> Result<Credentials, String> {
         let credentials =
             self.read_keys(&self.sites.as_ref().ok_or("no sites")?.keys, "sites.keys")?;
         if credentials.party != *own {
@@ -336,18 +336,18 @@
 }
 
 impl Between {
-    pub fn own(&self, name: &str) -> Party {
-        Party {
+    pub fn own(&self, name: &str) -> GatewayName {
+        GatewayName {
             site: self.site.clone(),
             gateway: self.gateway.clone().unwrap_or_else(|| name.into()),
         }
     }
 
-    pub fn seeds(&self) -> Vec<(Party, SocketAddr)> {
+    pub fn seeds(&self) -> Vec<(GatewayName, SocketAddr)> {
         let site = &self.other.site;
         let seed = |told: &GatewayTold| {
             (
-                Party {
+                GatewayName {
                     site: site.clone(),
                     gateway: told.gateway.clone(),
                 },
--- a/crates/gateway/src/dispatch/dispatcher.rs
+++ b/crates/gateway/src/dispatch/dispatcher.rs
@@ -5,9 +5,9 @@
 
 use harrierdock_config::Names;
 use harrierdock_flow_metering as flows;
-use harrierdock_multi_site::{Ending, Event as Crossing};
+use harrierdock_multi_site::{Event as SiteEvent, RequestEnd};
 use harrierdock_policy as policy;
-use harrierdock_site_messages::Verdict;
+use harrierdock_site_messages::ForwardingOutcome;
 use harrierdock_types::*;
 use harrierdock_types::{TimeDelta, Timestamp};
 
@@ -139,15 +139,19 @@
                     export.taken();
                 }
                 if self.across.is_some() && inward.is_none() {
-                    self.sites(now, Crossing::Txn { id, class, left });
+                    self.sites(now, SiteEvent::RequestReceived { id, class, left });
                 } else {
                     self.hand_in(now, id, left);
                 }
             }
             Notice::Left { id } => {
-                if self.close_txn(id, Ending::Left, flows::FlowOutcome::ClientDisconnected) {
-                    self.answer_across(now, id, Verdict::Voided, None, Vec::new());
-                    self.sites(now, Crossing::Left { id });
+                if self.close_txn(
+                    id,
+                    RequestEnd::ClientGone,
+                    flows::FlowOutcome::ClientDisconnected,
+                ) {
+                    self.answer_across(now, id, ForwardingOutcome::Failed, None, Vec::new());
+                    self.sites(now, SiteEvent::ClientGone { id });
                     self.take(now, Event::ClientDisconnected { id });
                     self.strike(id);
                 }
@@ -187,7 +191,11 @@
                     );
                 }
                 if let Some(mut told) = told {
-                    if !self.close_txn(id, Ending::Settled, flows::FlowOutcome::RequestSucceeded) {
+                    if !self.close_txn(
+                        id,
+                        RequestEnd::Succeeded,
+                        flows::FlowOutcome::RequestSucceeded,
+                    ) {
                         self.room.buffers.release(&mut told.buffer);
                     } else if self.is_inward(id) {
                         let body = told.buffer[told.body.clone()].to_vec();
@@ -198,7 +206,7 @@
                             .endpoints
                             .get(&endpoint)
                             .map(|s| s.listed.build);
-                        self.answer_across(now, id, Verdict::Settled, build, body);
+                        self.answer_across(now, id, ForwardingOutcome::Succeeded, build, body);
                     } else {
                         self.clients
                             .answer(&mut self.room, id, Answer::Settled(told));
@@ -222,7 +230,12 @@
     }
 
     /// The request has its answer, or needs none any more. Gives back whether it had none before.
-    fn close_txn(&mut self, id: RequestId, ending: Ending, outcome: flows::FlowOutcome) -> bool {
+    fn close_txn(
+        &mut self,
+        id: RequestId,
+        ending: RequestEnd,
+        outcome: flows::FlowOutcome,
+    ) -> bool {
         let Some(entry) = self.driver.book.get_mut(&id).filter(|e| !e.answered) else {
             return false;
         };
@@ -242,7 +255,7 @@
             let now = self.room.now();
             self.sites(
                 now,
-                Crossing::Ended {
+                SiteEvent::RequestEnded {
                     class,
                     ending,
                     took: now - taken,
@@ -345,7 +358,7 @@
                 if let Some(entry) = self.driver.book.get_mut(&id) {
                     entry.whereabouts = Whereabouts::AtTheDoor;
                 }
-                self.sites(now, Crossing::Spared { id, class, left });
+                self.sites(now, SiteEvent::LocallyRejected { id, class, left });
             }
             None => self.answer(id, Answer::Declined { retry_after }),
         }
@@ -403,9 +416,9 @@
     pub fn answer(&mut self, id: RequestId, answer: Answer) {
         let ran = self.driver.book.get(&id).is_some_and(Entry::may_have_run);
         let ending = match &answer {
-            Answer::Settled(_) => Ending::Settled,
-            Answer::Declined { .. } if !ran => Ending::Declined,
-            Answer::Declined { .. } | Answer::Voided => Ending::Failed,
+            Answer::Settled(_) => RequestEnd::Succeeded,
+            Answer::Declined { .. } if !ran => RequestEnd::Rejected,
+            Answer::Declined { .. } | Answer::Voided => RequestEnd::Failed,
         };
         let outcome = match &answer {
             Answer::Settled(_) => flows::FlowOutcome::RequestSucceeded,
@@ -417,9 +430,11 @@
         }
         if self.is_inward(id) {
             let verdict = match ending {
-                Ending::Declined => Verdict::NotTaken,
-                _ if matches!(answer, Answer::Declined { .. }) => Verdict::Declined { ran },
-                _ => Verdict::Voided,
+                RequestEnd::Rejected => ForwardingOutcome::NotAccepted,
+                _ if matches!(answer, Answer::Declined { .. }) => {
+                    ForwardingOutcome::Rejected { may_have_run: ran }
+                }
+                _ => ForwardingOutcome::Failed,
             };
             let now = self.room.now();
             self.answer_across(now, id, verdict, None, Vec::new());
@@ -436,7 +451,7 @@
             .must(false, "a txn has its answer by its expiry");
         self.answer(id, Answer::Voided);
         let now = self.room.now();
-        self.sites(now, Crossing::Left { id });
+        self.sites(now, SiteEvent::ClientGone { id });
         self.take(now, Event::ClientDisconnected { id });
     }
 
--- a/crates/gateway/src/multi_site/forwarding.rs
+++ b/crates/gateway/src/multi_site/forwarding.rs
@@ -11,10 +11,13 @@
 use calloop::{Interest, Mode, PostAction};
 use harrierdock_event_loop::ResourceClass;
 use harrierdock_multi_site::{
-    status, Action, Change, Event, Hand, InwardNo, Place, RequestClass, Sites,
+    status, Action, Change, Event, InboundId, MultiSite, MultiSiteConfig, OperatorCommand,
+    RequestClass,
 };
-use harrierdock_site_messages::{self as letters, Handover, Letter, Party, Verdict};
-use harrierdock_site_transport::{Heard, Link, RoadNo};
+use harrierdock_site_messages::{
+    self as letters, ForwardedRequest, ForwardingOutcome, GatewayName, SiteMessage,
+};
+use harrierdock_site_transport::{PathId, SiteTransport, TransportEvent};
 use harrierdock_types::{BuildId, Event as ModuleEvent, Lifecycle, RequestId};
 use harrierdock_types::{TimeDelta, Timestamp};
 use socket2::{Domain, Protocol, Socket, Type};
@@ -37,16 +40,16 @@
 const MEGABYTE: usize = 1 << 20;
 
 pub struct Across {
-    pub sites: Sites,
-    link: Link,
-    own: Party,
+    pub sites: MultiSite,
+    link: SiteTransport,
+    own: GatewayName,
     other_site: String,
     socket: Rc<UdpSocket>,
     /// Those that were dialled and have not come up.
-    dialled: BTreeMap<RoadNo, Party>,
+    dialled: BTreeMap<PathId, GatewayName>,
     /// The requests taken in from the other site, as they were written there.
-    held: BTreeMap<RequestId, (InwardNo, Handover)>,
-    inward: BTreeMap<InwardNo, RequestId>,
+    held: BTreeMap<RequestId, (InboundId, ForwardedRequest)>,
+    inward: BTreeMap<InboundId, RequestId>,
     link_due: Option<Timestamp>,
     sites_due: Option<Timestamp>,
     refused: u64,
@@ -75,8 +78,8 @@
         let (terms, names) = told.terms()?;
         let own = between.own(&told.name);
         let credentials = with.credentials(&own)?;
-        let link =
-            Link::new(&credentials, &between.other.site).map_err(|e| format!("sites.keys: {e}"))?;
+        let link = SiteTransport::new(&credentials, &between.other.site)
+            .map_err(|e| format!("sites.keys: {e}"))?;
         let listens = |e: io::Error| format!("sites.listen: {}: {e}", between.listen);
         let socket = Rc::new(bind(between.listen).map_err(listens)?);
         let address = socket.local_addr().map_err(listens)?;
@@ -94,7 +97,7 @@
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
-        let place = Place {
+        let place = MultiSiteConfig {
             own: own.clone(),
             address: Some(between.reached_at.unwrap_or(address)),
             // Unix time serves only to stand above this gateway's earlier starts.
@@ -129,7 +132,7 @@
             between.other.site
         );
         Ok(Some(Across {
-            sites: Sites::new(room.now(), place),
+            sites: MultiSite::new(room.now(), place),
             link,
             own,
             other_site: between.other.site.clone(),
@@ -168,13 +171,13 @@
         }))
     }
 
-    fn send(&mut self, room: &mut Room, road: RoadNo, letter: &Letter) -> bool {
+    fn send(&mut self, room: &mut Room, road: PathId, letter: &SiteMessage) -> bool {
         match letters::write(letter) {
             Ok(bytes) => self.link.send(
                 Instant::now(),
                 road,
                 bytes,
-                matches!(letter, Letter::Beat(_)),
+                matches!(letter, SiteMessage::Heartbeat(_)),
             ),
             Err(e) => {
                 room.counters
@@ -233,11 +236,16 @@
             };
             format!("{party} is {word}{more}")
         }
-        Change::Home { home, why } => {
+        Change::TrafficMoved {
+            location: home,
+            reason: why,
+        } => {
             let home = status::home(*home);
             format!("traffic is {home}: {}", status::why(*why))
         }
-        Change::Strange { letters } => format!("{letters} answers matched no crossing"),
+        Change::UnmatchedResponses { count: letters } => {
+            format!("{letters} answers matched no crossing")
+        }
     }
 }
 
@@ -275,20 +283,20 @@
         if let Some(across) = &mut self.across {
             across.sites_due = None;
         }
-        self.sites(now, Event::Wake);
+        self.sites(now, Event::TimerFired);
     }
 
-    fn link_heard(&mut self, now: Timestamp, heard: Heard) {
+    fn link_heard(&mut self, now: Timestamp, heard: TransportEvent) {
         let Some(across) = &mut self.across else {
             return;
         };
         match heard {
-            Heard::Up { road, peer } => {
+            TransportEvent::Opened { road, peer } => {
                 across.dialled.remove(&road);
                 tracing::info!("sites: linked with {peer}");
-                self.sites(now, Event::Up { road, peer });
+                self.sites(now, Event::PathOpened { road, peer });
             }
-            Heard::Down {
+            TransportEvent::Closed {
                 road,
                 peer,
                 orderly,
@@ -301,16 +309,16 @@
                         if why.contains("certificate") {
                             tracing::warn!("sites: {peer} refused: {why}");
                         }
-                        self.sites(now, Event::Unreachable { peer });
+                        self.sites(now, Event::ConnectFailed { peer });
                     }
                     (None, peer) => {
                         let peer = peer.map_or("a gateway".to_string(), |p| p.to_string());
                         tracing::info!("sites: link with {peer} is down: {why}");
-                        self.sites(now, Event::Down { road, orderly });
+                        self.sites(now, Event::PathClosed { road, orderly });
                     }
                 }
             }
-            Heard::Refused { remote, why } => {
+            TransportEvent::Refused { remote, why } => {
                 across.refused += 1;
                 // Guards against a log full of strangers: one line in a while says how many there were.
                 if across
@@ -322,8 +330,8 @@
                     tracing::warn!("sites: {many} refused lately, the last from {remote}: {why}");
                 }
             }
-            Heard::Letter { road, bytes } => match letters::read(&bytes) {
-                Ok(letter) => self.sites(now, Event::Heard { road, letter }),
+            TransportEvent::Message { road, bytes } => match letters::read(&bytes) {
+                Ok(letter) => self.sites(now, Event::MessageReceived { road, letter }),
                 Err(e) => {
                     self.room.counters.add(Count::LettersRefused);
                     tracing::debug!("sites: a letter cannot be read: {e}");
@@ -334,8 +342,8 @@
 
     fn obey_sites(&mut self, now: Timestamp, action: Action) {
         match action {
-            Action::Here { id, left } => self.hand_in(now, id, left),
-            Action::Across {
+            Action::ServeLocally { id, left } => self.hand_in(now, id, left),
+            Action::Forward {
                 id,
                 road,
                 crossing,
@@ -343,20 +351,18 @@
                 beat,
                 left,
             } => {
-                let blank = Handover {
+                let blank = ForwardedRequest {
                     crossing,
                     to,
                     beat,
-                    ..Handover::default()
+                    ..ForwardedRequest::default()
                 };
                 self.hand_over(now, id, road, blank, left)
             }
-            Action::Settle { id, body, build } => self.settled_across(now, id, &body, build),
-            Action::Decline { id, retry_after } => {
-                self.answer(id, Answer::Declined { retry_after })
-            }
-            Action::Void { id } => self.answer(id, Answer::Voided),
-            Action::TakeIn {
+            Action::Succeed { id, body, build } => self.settled_across(now, id, &body, build),
+            Action::Reject { id, retry_after } => self.answer(id, Answer::Declined { retry_after }),
+            Action::Fail { id } => self.answer(id, Answer::Voided),
+            Action::ServeInbound {
                 inward,
                 class,
                 key,
@@ -386,7 +392,7 @@
                     inward: Some(inward),
                 });
             }
-            Action::Abandon { inward } => {
+            Action::AbandonInbound { inward } => {
                 if let Some(id) = self
                     .across
                     .as_ref()
@@ -396,7 +402,7 @@
                     self.room.tell(Notice::Left { id });
                 }
             }
-            Action::Dial { peer, address } => {
+            Action::Connect { peer, address } => {
                 let Some(across) = &mut self.across else {
                     return;
                 };
@@ -406,11 +412,11 @@
                     }
                     Err(e) => {
                         tracing::debug!("sites: {peer} cannot be dialled: {e}");
-                        self.sites(now, Event::Unreachable { peer });
+                        self.sites(now, Event::ConnectFailed { peer });
                     }
                 }
             }
-            Action::HangUp { road } => {
+            Action::ClosePath { road } => {
                 if let Some(across) = &mut self.across {
                     across.link.hang_up(Instant::now(), road, "no road");
                 }
@@ -421,14 +427,14 @@
                     across.send(room, road, &letter);
                 }
             }
-            Action::Changed(change) => match change {
+            Action::StatusChanged(change) => match change {
                 Change::Joined { .. } => tracing::debug!("sites: {}", plain(&change)),
-                Change::Home { .. } | Change::Strange { .. } => {
+                Change::TrafficMoved { .. } | Change::UnmatchedResponses { .. } => {
                     tracing::warn!("sites: {}", plain(&change))
                 }
                 Change::Member { .. } => tracing::info!("sites: {}", plain(&change)),
             },
-            Action::Wake { after } => {
+            Action::SetTimer { after } => {
                 let Gateway { across, room, .. } = self;
                 if let Some(across) = across {
                     let at = now + after;
@@ -448,8 +454,8 @@
         &mut self,
         now: Timestamp,
         id: RequestId,
-        road: RoadNo,
-        blank: Handover,
+        road: PathId,
+        blank: ForwardedRequest,
         left: TimeDelta,
     ) {
         let Some((class, key, again)) = self.crosses(id) else {
@@ -466,7 +472,7 @@
         let Some(across) = across else { return };
         let (from, crossing) = (across.sites.incarnation(), blank.crossing);
         let name = driver.names.classes.name(class).to_string();
-        let write = |asked: Asked<'_>| Handover {
+        let write = |asked: Asked<'_>| ForwardedRequest {
             from,
             class: name,
             left_ms: (left.0 / 1000).clamp(0, i64::from(u32::MAX)) as u32,
@@ -485,10 +491,10 @@
             return;
         };
         room.counters.add(Count::HandedOver);
-        if !across.send(room, road, &Letter::Handover(handover)) {
+        if !across.send(room, road, &SiteMessage::Request(handover)) {
             // Not sent, so not taken, for certain.
-            let verdict = Verdict::NotTaken;
-            let answer = letters::Answer {
+            let verdict = ForwardingOutcome::NotAccepted;
+            let answer = letters::ForwardingResponse {
                 crossing,
                 to: from,
                 verdict,
@@ -497,9 +503,9 @@
             };
             self.sites(
                 now,
-                Event::Heard {
+                Event::MessageReceived {
                     road,
-                    letter: Letter::Answer(answer),
+                    letter: SiteMessage::Response(answer),
                 },
             );
         }
@@ -541,7 +547,7 @@
         &mut self,
         now: Timestamp,
         id: RequestId,
-        verdict: Verdict,
+        verdict: ForwardingOutcome,
         build: Option<BuildId>,
         body: Vec<u8>,
     ) {
@@ -554,7 +560,7 @@
         across.inward.remove(&inward);
         self.sites(
             now,
-            Event::Answered {
+            Event::InboundCompleted {
                 inward,
                 verdict,
                 build,
@@ -567,7 +573,7 @@
     pub fn look_home(&mut self, now: Timestamp) {
         if self.across.is_some() {
             let ready = self.driver.count(Lifecycle::Ready);
-            self.sites(now, Event::Home { ready });
+            self.sites(now, Event::EndpointsUpdated { ready });
         }
     }
 
@@ -575,8 +581,8 @@
     pub fn by_hand(&mut self, word: &str) -> String {
         let now = self.room.now();
         let hand = match word {
-            "drain" => Some(Hand::Drain),
-            "resume" => Some(Hand::Resume),
+            "drain" => Some(OperatorCommand::Drain),
+            "resume" => Some(OperatorCommand::Resume),
             "status" => None,
             odd => {
                 return format!(
@@ -587,7 +593,7 @@
         };
         if let Some(hand) = hand {
             tracing::warn!("sites: told by hand to {word}");
-            self.sites(now, Event::Hand(hand));
+            self.sites(now, Event::OperatorCommand(hand));
             self.settle();
         }
         let status = self
--- a/crates/gateway/src/runtime/context.rs
+++ b/crates/gateway/src/runtime/context.rs
@@ -5,7 +5,7 @@
 use std::ops::{Deref, DerefMut};
 
 use harrierdock_event_loop::{Buffer, IoContext, TimerQueue};
-use harrierdock_multi_site::InwardNo;
+use harrierdock_multi_site::InboundId;
 use harrierdock_types::{AffinityKey, AttemptOutcome, ClassId, Event, PeerId, RequestId};
 use harrierdock_types::{TimeDelta, Timestamp};
 
@@ -37,7 +37,7 @@
         again: bool,
         left: TimeDelta,
         /// It was handed over by the other site.
-        inward: Option<InwardNo>,
+        inward: Option<InboundId>,
     },
     Left {
         id: RequestId,
--- a/crates/gateway/src/runtime/gateway.rs
+++ b/crates/gateway/src/runtime/gateway.rs
@@ -206,7 +206,7 @@
             platform.learn(room, news, false);
         }
         let now = gateway.room.now();
-        gateway.sites(now, harrierdock_multi_site::Event::Wake);
+        gateway.sites(now, harrierdock_multi_site::Event::TimerFired);
         let heartbeat = with
             .fleet
             .as_ref()
@@ -392,7 +392,7 @@
         self.room.due_in(SHUTDOWN_GRACE, Due::Shutdown);
         self.clients.turn(Serving::ShuttingDown);
         let now = self.room.now();
-        self.sites(now, harrierdock_multi_site::Event::Ending);
+        self.sites(now, harrierdock_multi_site::Event::ShutdownStarted);
     }
 
     /// The last line on flows says what was recorded and what became of it.
--- a/crates/multi-site/src/failover.rs
+++ b/crates/multi-site/src/failover.rs
@@ -3,13 +3,15 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use harrierdock_site_messages::Standing;
+use harrierdock_site_messages::MemberState;
 use harrierdock_types::ClassId;
 use harrierdock_types::{TimeDelta, Timestamp};
 use nanorand::{Rng, WyRand};
 
 use crate::offered_capacity::KEPT;
-use crate::{Change, Ending, Home, Members, RequestClass, RoadNo, Why, ROUND};
+use crate::{
+    Change, Membership, MoveReason, PathId, RequestClass, RequestEnd, TrafficLocation, ROUND,
+};
 
 /// Rounds after which credit counts no more: half a second.
 const AGES: f64 = 5.0;
@@ -57,13 +59,13 @@
     classes: usize,
     /// The mean time of a crossing that settled.
     times: Vec<TimeDelta>,
-    credit: BTreeMap<RoadNo, Credit>,
+    credit: BTreeMap<PathId, Credit>,
     /// Requests in this round that would cross, and the mean of such.
     asked: Vec<f64>,
     wants: Vec<f64>,
     roads: usize,
-    home: Home,
-    why: Why,
+    home: TrafficLocation,
+    why: MoveReason,
     since: Timestamp,
     /// Until when an excursion lasts at the least, how long the next will, and when the last began.
     stays_until: Timestamp,
@@ -90,8 +92,8 @@
             asked: vec![0.0; classes.len()],
             wants: vec![0.0; classes.len()],
             roads: 0,
-            home: Home::Here,
-            why: Why::Settles,
+            home: TrafficLocation::Local,
+            why: MoveReason::RequestsSucceed,
             since: Timestamp(0),
             stays_until: Timestamp(0),
             excursion: EXCURSION,
@@ -109,9 +111,9 @@
     /// How much of the traffic is to go across at this point.
     fn share_away(&self, now: Timestamp) -> f64 {
         match self.home {
-            Home::Here => 0.0,
-            Home::Away => 1.0,
-            Home::Returning => {
+            TrafficLocation::Local => 0.0,
+            TrafficLocation::FailedOver => 1.0,
+            TrafficLocation::Returning => {
                 1.0 - (now - self.since)
                     .ratio_to(self.warm * COMING_HOME)
                     .clamp(0.0, 1.0)
@@ -125,7 +127,9 @@
         if share <= 0.0 {
             return false;
         }
-        let probes = may_probe && self.home == Home::Away && self.why != Why::ByHand;
+        let probes = may_probe
+            && self.home == TrafficLocation::FailedOver
+            && self.why != MoveReason::OperatorCommand;
         if probes && self.chance.generate::<f64>() < PROBES {
             return false;
         }
@@ -133,16 +137,17 @@
     }
 
     pub fn is_away(&self) -> bool {
-        self.home == Home::Away
+        self.home == TrafficLocation::FailedOver
     }
 
-    pub fn home_is(&self) -> (Home, Why, Timestamp) {
+    pub fn home_is(&self) -> (TrafficLocation, MoveReason, Timestamp) {
         (self.home, self.why, self.since)
     }
 
-    pub fn ended(&mut self, now: Timestamp, ending: Ending) {
-        if ending != Ending::Left {
-            self.endings.push_back((now, ending == Ending::Settled));
+    pub fn ended(&mut self, now: Timestamp, ending: RequestEnd) {
+        if ending != RequestEnd::ClientGone {
+            self.endings
+                .push_back((now, ending == RequestEnd::Succeeded));
             if self.endings.len() > VANISHED {
                 self.endings.pop_front();
             }
@@ -151,34 +156,43 @@
 
     /// Discovery's word on how many servers are ready.
     pub fn home(&mut self, now: Timestamp, ready: usize) {
-        if ready == 0 && self.home != Home::Away {
-            self.leave(now, Why::NoServers);
+        if ready == 0 && self.home != TrafficLocation::FailedOver {
+            self.leave(now, MoveReason::NoReadyEndpoint);
         }
     }
 
     pub fn by_hand(&mut self, now: Timestamp, drained: bool) {
         self.by_hand = drained;
         if drained {
-            if self.home == Home::Away {
-                self.why = Why::ByHand;
+            if self.home == TrafficLocation::FailedOver {
+                self.why = MoveReason::OperatorCommand;
             } else {
-                self.turn(now, Home::Away, Why::ByHand);
+                self.turn(
+                    now,
+                    TrafficLocation::FailedOver,
+                    MoveReason::OperatorCommand,
+                );
             }
-        } else if self.home == Home::Away && self.why == Why::ByHand {
-            self.turn(now, Home::Returning, Why::ByHand);
+        } else if self.home == TrafficLocation::FailedOver
+            && self.why == MoveReason::OperatorCommand
+        {
+            self.turn(now, TrafficLocation::Returning, MoveReason::OperatorCommand);
         }
     }
 
-    fn turn(&mut self, now: Timestamp, home: Home, why: Why) {
+    fn turn(&mut self, now: Timestamp, home: TrafficLocation, why: MoveReason) {
         (self.home, self.why, self.since) = (home, why, now);
-        self.moves += u64::from(home != Home::Here);
+        self.moves += u64::from(home != TrafficLocation::Local);
         self.endings.clear();
-        self.changes.push(Change::Home { home, why });
+        self.changes.push(Change::TrafficMoved {
+            location: home,
+            reason: why,
+        });
     }
 
     /// Guards against a site that comes and goes taking all traffic with it each time: an excursion that
     /// follows another lasts longer. Harms by leaving a site that is well again unused for up to half a minute.
-    fn leave(&mut self, now: Timestamp, why: Why) {
+    fn leave(&mut self, now: Timestamp, why: MoveReason) {
         let soon = self.began.is_some_and(|at| now - at < CALM);
         self.excursion = if soon {
             (self.excursion * 2.0).min(EXCURSION_MOST)
@@ -186,7 +200,7 @@
             EXCURSION
         };
         (self.began, self.stays_until) = (Some(now), now + self.excursion);
-        self.turn(now, Home::Away, why);
+        self.turn(now, TrafficLocation::FailedOver, why);
     }
 
     /// Looks whether the site has vanished, or is back.
@@ -197,17 +211,19 @@
             .front()
             .is_some_and(|e| now - e.0 <= ROUND * VANISHED_WITHIN);
         match self.home {
-            Home::Away if self.by_hand => {}
-            Home::Away => {
+            TrafficLocation::FailedOver if self.by_hand => {}
+            TrafficLocation::FailedOver => {
                 let latest = self.endings.iter().rev().take(PROBED);
                 let settled = latest.clone().filter(|e| e.1 && e.0 > self.since).count();
                 let proven = latest.count() >= PROBED && settled >= WELL;
                 if now >= self.stays_until && ready > 0 && proven {
-                    self.turn(now, Home::Returning, Why::Settles);
+                    self.turn(now, TrafficLocation::Returning, MoveReason::RequestsSucceed);
                 }
             }
-            _ if none_settled && lately => self.leave(now, Why::NothingSettles),
-            Home::Returning if self.share_away(now) <= 0.0 => self.turn(now, Home::Here, Why::Warm),
+            _ if none_settled && lately => self.leave(now, MoveReason::NothingSucceeds),
+            TrafficLocation::Returning if self.share_away(now) <= 0.0 => {
+                self.turn(now, TrafficLocation::Local, MoveReason::SlowStartOver)
+            }
             _ => {}
         }
         std::mem::take(&mut self.changes)
@@ -220,7 +236,7 @@
     // ---- which road ----
 
     /// Credit told on a road, which takes the place of what was told before.
-    pub fn granted(&mut self, now: Timestamp, road: RoadNo, grants: &[(ClassId, f64)]) {
+    pub fn granted(&mut self, now: Timestamp, road: PathId, grants: &[(ClassId, f64)]) {
         let credit = self.credit.entry(road).or_insert_with(|| Credit {
             window: WINDOW,
             ..Credit::default()
@@ -240,17 +256,17 @@
     pub fn road(
         &mut self,
         now: Timestamp,
-        members: &Members,
+        members: &Membership,
         class: ClassId,
         left: TimeDelta,
-    ) -> Option<RoadNo> {
+    ) -> Option<PathId> {
         self.asked[class.0] += 1.0;
         if left < self.times[class.0] * TIMES_LEFT {
             return None;
         }
         let open = self.credit.iter().filter(|(no, c)| {
             let road = members.roads.get(no).filter(|r| r.whole);
-            road.is_some_and(|r| members.standing(&r.peer) == Some(Standing::Serving))
+            road.is_some_and(|r| members.standing(&r.peer) == Some(MemberState::Serving))
                 && now - c.told <= ROUND * AGES
                 && now >= c.rests_until
                 && c.out < c.window
@@ -260,7 +276,7 @@
         most.map(|(no, _)| *no)
     }
 
-    pub fn handed_over(&mut self, road: RoadNo, class: ClassId) {
+    pub fn handed_over(&mut self, road: PathId, class: ClassId) {
         if let Some(credit) = self.credit.get_mut(&road) {
             credit.left[class.0] -= 1.0;
             credit.out += 1.0;
@@ -271,7 +287,7 @@
     pub fn came_back(
         &mut self,
         now: Timestamp,
-        road: RoadNo,
+        road: PathId,
         class: ClassId,
         taken: bool,
         took: TimeDelta,
@@ -297,7 +313,7 @@
         }
     }
 
-    pub fn round(&mut self, roads: &[RoadNo]) {
+    pub fn round(&mut self, roads: &[PathId]) {
         for (asked, wants) in self.asked.iter_mut().zip(&mut self.wants) {
             // What is wanted is told at once as it grows, and forgotten slowly.
             *wants = asked.max(*wants * (1.0 - LEARN));
@@ -330,7 +346,7 @@
         })
     }
 
-    pub fn forget(&mut self, road: RoadNo) {
+    pub fn forget(&mut self, road: PathId) {
         self.credit.remove(&road);
     }
 }
--- a/crates/multi-site/src/lib.rs
+++ b/crates/multi-site/src/lib.rs
@@ -1,5 +1,5 @@
 //! Between two sites: which request goes across, what was handed over and what became of it, and who serves there.
-//! `Sites::new` makes one gateway's part; `take(now, event)` tells it one event and gives back what it asks
+//! `MultiSite::new` makes one gateway's part; `take(now, event)` tells it one event and gives back what it asks
 //! for, in order. No I/O, no clock of its own, chance by the told seed. `members` knows who is there,
 //! `bearing` what this gateway lends to the other site, `crossing` what it sends there, `custody` what is owed.
 
@@ -12,13 +12,16 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use harrierdock_site_messages::{Answer, Handover, Letter, Party, Record, Standing, Verdict};
+use harrierdock_site_messages::{
+    ForwardedRequest, ForwardingOutcome, ForwardingResponse, GatewayName, MemberRecord,
+    MemberState, SiteMessage,
+};
 use harrierdock_types::{AffinityKey, BuildId, ClassId, RequestId, RetrySafety};
 use harrierdock_types::{TimeDelta, Timestamp};
 use serde::Serialize;
 
 use failover::Crossings;
-pub use membership::{Asked, Members, Road};
+pub use membership::{Membership, MembershipAction, Road};
 use offered_capacity::Bearing;
 use ownership::{Custody, Due, Inward};
 pub use status::{MemberStatus, Status};
@@ -27,10 +30,10 @@
 pub const ROUND: TimeDelta = TimeDelta(100_000);
 
 /// The number of a link between two gateways, never used twice.
-pub type RoadNo = u64;
+pub type PathId = u64;
 
 /// The number of a crossing that was taken in, never used twice.
-pub type InwardNo = u64;
+pub type InboundId = u64;
 
 /// One request class as told.
 #[derive(Clone, Debug, PartialEq)]
@@ -46,14 +49,14 @@
 
 /// What a gateway is told of its place between the sites.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Place {
-    pub own: Party,
+pub struct MultiSiteConfig {
+    pub own: GatewayName,
     /// Where the other site's gateways reach it.
     pub address: Option<SocketAddr>,
     /// Another one for each start, higher than any before.
     pub incarnation: u64,
     pub other_site: String,
-    pub seeds: Vec<(Party, SocketAddr)>,
+    pub seeds: Vec<(GatewayName, SocketAddr)>,
     pub classes: Vec<RequestClass>,
     /// How long a server takes to be warm, and the loop's tick.
     pub warm: TimeDelta,
@@ -66,133 +69,133 @@
 
 /// What an operator says by hand.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Hand {
+pub enum OperatorCommand {
     Drain,
     Resume,
 }
 
 /// How a request ended that this gateway's own module was given.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
-    Settled,
+pub enum RequestEnd {
+    Succeeded,
     /// Nothing of it ever ran.
-    Declined,
+    Rejected,
     /// Anything else: voided, or declined after it may have run.
     Failed,
     /// Its client went away.
-    Left,
+    ClientGone,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// A client's request.
-    Txn {
+    RequestReceived {
         id: RequestId,
         class: ClassId,
         left: TimeDelta,
     },
     /// The module would decline a client's request of which nothing has run.
-    Spared {
+    LocallyRejected {
         id: RequestId,
         class: ClassId,
         left: TimeDelta,
     },
-    Left {
+    ClientGone {
         id: RequestId,
     },
     /// A request that the module was given has ended, be it a client's or one taken in.
-    Ended {
+    RequestEnded {
         class: ClassId,
-        ending: Ending,
+        ending: RequestEnd,
         took: TimeDelta,
     },
     /// One that was taken in has had its answer here.
-    Answered {
-        inward: InwardNo,
-        verdict: Verdict,
+    InboundCompleted {
+        inward: InboundId,
+        verdict: ForwardingOutcome,
         build: Option<BuildId>,
         body: Vec<u8>,
     },
     /// How many servers discovery lists as ready.
-    Home {
+    EndpointsUpdated {
         ready: usize,
     },
-    Up {
-        road: RoadNo,
-        peer: Party,
+    PathOpened {
+        road: PathId,
+        peer: GatewayName,
     },
     /// `orderly` where the other end has said that it hangs up.
-    Down {
-        road: RoadNo,
+    PathClosed {
+        road: PathId,
         orderly: bool,
     },
-    Unreachable {
-        peer: Party,
+    ConnectFailed {
+        peer: GatewayName,
     },
-    Heard {
-        road: RoadNo,
-        letter: Letter,
+    MessageReceived {
+        road: PathId,
+        letter: SiteMessage,
     },
-    Hand(Hand),
+    OperatorCommand(OperatorCommand),
     /// The gateway was told to end.
-    Ending,
-    Wake,
+    ShutdownStarted,
+    TimerFired,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// The module serves it, within what is left.
-    Here {
+    ServeLocally {
         id: RequestId,
         left: TimeDelta,
     },
     /// It is handed over on this road, under this number, to this incarnation.
-    Across {
+    Forward {
         id: RequestId,
-        road: RoadNo,
+        road: PathId,
         crossing: u64,
         to: u64,
         /// The newest beat sent by then.
         beat: u32,
         left: TimeDelta,
     },
-    Settle {
+    Succeed {
         id: RequestId,
         body: Vec<u8>,
         build: Option<BuildId>,
     },
-    Decline {
+    Reject {
         id: RequestId,
         retry_after: Option<TimeDelta>,
     },
-    Void {
+    Fail {
         id: RequestId,
     },
     /// A crossing is to be served here, through the module.
-    TakeIn {
-        inward: InwardNo,
+    ServeInbound {
+        inward: InboundId,
         class: ClassId,
         key: Option<AffinityKey>,
         left: TimeDelta,
-        handover: Handover,
+        handover: ForwardedRequest,
     },
     /// Nobody waits for this one any more.
-    Abandon {
-        inward: InwardNo,
+    AbandonInbound {
+        inward: InboundId,
     },
-    Dial {
-        peer: Party,
+    Connect {
+        peer: GatewayName,
         address: SocketAddr,
     },
-    HangUp {
-        road: RoadNo,
+    ClosePath {
+        road: PathId,
     },
     Send {
-        road: RoadNo,
-        letter: Letter,
+        road: PathId,
+        letter: SiteMessage,
     },
-    Changed(Change),
-    Wake {
+    StatusChanged(Change),
+    SetTimer {
         after: TimeDelta,
     },
 }
@@ -201,44 +204,44 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
     Joined {
-        party: Party,
+        party: GatewayName,
     },
     Member {
-        party: Party,
-        standing: Standing,
+        party: GatewayName,
+        standing: MemberState,
         back: bool,
         reborn: bool,
     },
     /// Where this gateway's traffic goes, and why.
-    Home {
-        home: Home,
-        why: Why,
+    TrafficMoved {
+        location: TrafficLocation,
+        reason: MoveReason,
     },
     /// So many letters matched nothing since the last word on it.
-    Strange {
-        letters: u64,
+    UnmatchedResponses {
+        count: u64,
     },
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Home {
-    Here,
-    Away,
+pub enum TrafficLocation {
+    Local,
+    FailedOver,
     Returning,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
-    ByHand,
-    NoServers,
-    NothingSettles,
-    Settles,
-    Warm,
+pub enum MoveReason {
+    OperatorCommand,
+    NoReadyEndpoint,
+    NothingSucceeds,
+    RequestsSucceed,
+    SlowStartOver,
 }
 
 /// What was counted so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct Tally {
+pub struct Counters {
     pub handed_over: u64,
     /// Handed over and not taken, or declined there.
     pub refused: u64,
@@ -253,14 +256,14 @@
 }
 
 /// One gateway's part between the sites.
-pub struct Sites {
-    place: Place,
+pub struct MultiSite {
+    place: MultiSiteConfig,
     now: Timestamp,
-    members: Members,
+    members: Membership,
     bearing: Bearing,
     crossings: Crossings,
     custody: Custody,
-    tally: Tally,
+    tally: Counters,
     by_name: BTreeMap<String, ClassId>,
     /// Operators drained this site, or the gateway ends.
     drained: bool,
@@ -275,29 +278,29 @@
 /// How often operators are told of letters that match nothing.
 const STRANGE_EVERY: TimeDelta = TimeDelta(10_000_000);
 
-impl Sites {
-    pub fn new(now: Timestamp, place: Place) -> Sites {
-        let own = Record {
+impl MultiSite {
+    pub fn new(now: Timestamp, place: MultiSiteConfig) -> MultiSite {
+        let own = MemberRecord {
             party: place.own.clone(),
             address: place.address,
             incarnation: place.incarnation,
             version: 1,
-            standing: Standing::Serving,
+            standing: MemberState::Serving,
         };
-        let members = Members::new(own, place.other_site.clone(), &place.seeds, place.seed);
+        let members = Membership::new(own, place.other_site.clone(), &place.seeds, place.seed);
         let longest = place
             .classes
             .iter()
             .map(|p| p.expiry)
             .max()
             .unwrap_or(TimeDelta::ZERO);
-        Sites {
+        MultiSite {
             now,
             members,
             bearing: Bearing::new(&place.classes),
             crossings: Crossings::new(&place.classes, place.warm, place.seed),
             custody: Custody::new(longest, place.memory),
-            tally: Tally::default(),
+            tally: Counters::default(),
             by_name: place
                 .classes
                 .iter()
@@ -318,10 +321,10 @@
     pub fn take(&mut self, now: Timestamp, event: Event) -> Vec<Action> {
         self.now = now;
         match event {
-            Event::Txn { id, class, left } => self.txn(id, class, left),
-            Event::Spared { id, class, left } => self.spared(id, class, left),
-            Event::Left { id } => self.left(id),
-            Event::Ended {
+            Event::RequestReceived { id, class, left } => self.txn(id, class, left),
+            Event::LocallyRejected { id, class, left } => self.spared(id, class, left),
+            Event::ClientGone { id } => self.left(id),
+            Event::RequestEnded {
                 class,
                 ending,
                 took,
@@ -335,43 +338,43 @@
                 self.bearing.ended(ending, late);
                 self.crossings.ended(now, ending);
             }
-            Event::Answered {
+            Event::InboundCompleted {
                 inward,
                 verdict,
                 build,
                 body,
             } => self.answered(inward, verdict, build, body),
-            Event::Home { ready } => {
+            Event::EndpointsUpdated { ready } => {
                 self.ready = ready;
                 self.crossings.home(now, ready);
             }
-            Event::Up { road, peer } => {
+            Event::PathOpened { road, peer } => {
                 let mut asked = Vec::new();
                 self.members.up(now, road, peer, &mut asked);
                 self.obey(asked);
                 self.beat();
             }
-            Event::Down { road, orderly } => {
+            Event::PathClosed { road, orderly } => {
                 let mut asked = Vec::new();
                 self.members.down(now, road, orderly, &mut asked);
                 self.obey(asked);
             }
-            Event::Unreachable { peer } => {
+            Event::ConnectFailed { peer } => {
                 let mut asked = Vec::new();
                 self.members.unreachable(now, &peer, &mut asked);
                 self.obey(asked);
             }
-            Event::Heard { road, letter } => self.heard(road, letter),
-            Event::Hand(hand) => {
-                self.drained = hand == Hand::Drain;
+            Event::MessageReceived { road, letter } => self.heard(road, letter),
+            Event::OperatorCommand(hand) => {
+                self.drained = hand == OperatorCommand::Drain;
                 self.crossings.by_hand(now, self.drained);
                 self.stand();
             }
-            Event::Ending => {
+            Event::ShutdownStarted => {
                 self.ending = true;
                 self.stand();
             }
-            Event::Wake => {}
+            Event::TimerFired => {}
         }
         self.fall_due();
         self.emit()
@@ -382,21 +385,21 @@
     /// A request goes across only where this site's own servers are not to have it; the module sees all others.
     fn txn(&mut self, id: RequestId, class: ClassId, left: TimeDelta) {
         let Some(told) = self.place.classes.get(class.0) else {
-            return self.out.push(Action::Here { id, left });
+            return self.out.push(Action::ServeLocally { id, left });
         };
         // Guards against a site that nobody looks at again because none of its request classes may run twice.
         let mut classes = self.place.classes.iter();
         let probes = told.repeat == RetrySafety::Idempotent
             || classes.all(|p| p.repeat != RetrySafety::Idempotent);
         if !self.crossings.goes_away(self.now, probes) || !self.cross(id, class, left, false) {
-            self.out.push(Action::Here { id, left });
+            self.out.push(Action::ServeLocally { id, left });
         }
     }
 
     /// What the module would decline may cross, while there is time; otherwise it is declined at once.
     fn spared(&mut self, id: RequestId, class: ClassId, left: TimeDelta) {
-        self.crossings.ended(self.now, Ending::Declined);
-        self.bearing.ended(Ending::Declined, false);
+        self.crossings.ended(self.now, RequestEnd::Rejected);
+        self.bearing.ended(RequestEnd::Rejected, false);
         if !self.cross(id, class, left, true) {
             self.decline(id);
         }
@@ -443,7 +446,7 @@
             _ => left,
         };
         let beat = self.members.beat_sent();
-        self.out.push(Action::Across {
+        self.out.push(Action::Forward {
             id,
             road: no,
             crossing,
@@ -455,7 +458,7 @@
     }
 
     fn decline(&mut self, id: RequestId) {
-        self.out.push(Action::Decline {
+        self.out.push(Action::Reject {
             id,
             retry_after: self.place.retry_after,
         });
@@ -467,15 +470,15 @@
                 let from = self.members.own().incarnation;
                 self.out.push(Action::Send {
                     road,
-                    letter: Letter::Cancel { crossing, from },
+                    letter: SiteMessage::Cancel { crossing, from },
                 });
             }
         }
     }
 
     /// A whole road to this gateway, the one it was on if that still is.
-    fn road_to(&self, peer: &Party, road: Option<RoadNo>) -> Option<RoadNo> {
-        let whole = |no: &RoadNo| {
+    fn road_to(&self, peer: &GatewayName, road: Option<PathId>) -> Option<PathId> {
+        let whole = |no: &PathId| {
             self.members
                 .roads
                 .get(no)
@@ -487,9 +490,9 @@
 
     // ---- what comes from the other site ----
 
-    fn heard(&mut self, road: RoadNo, letter: Letter) {
+    fn heard(&mut self, road: PathId, letter: SiteMessage) {
         match letter {
-            Letter::Beat(beat) => {
+            SiteMessage::Heartbeat(beat) => {
                 let mut asked = Vec::new();
                 self.members.hear(self.now, road, &beat, &mut asked);
                 self.obey(asked);
@@ -503,22 +506,24 @@
                 self.crossings.granted(self.now, road, &grants);
                 self.bearing.wanted(road, &wants);
             }
-            Letter::Handover(handover) => self.taken_over(road, handover),
-            Letter::Answer(answer) => self.answer(road, answer),
-            Letter::Inquiry { crossing, from, to } => self.inquiry(road, crossing, from, to),
-            Letter::Cancel { crossing, from } => {
+            SiteMessage::Request(handover) => self.taken_over(road, handover),
+            SiteMessage::Response(answer) => self.answer(road, answer),
+            SiteMessage::StatusQuery { crossing, from, to } => {
+                self.inquiry(road, crossing, from, to)
+            }
+            SiteMessage::Cancel { crossing, from } => {
                 let Some(peer) = self.members.roads.get(&road).map(|r| r.peer.clone()) else {
                     return;
                 };
                 if let Some(inward) = self.custody.cancel(&(peer, from, crossing)) {
-                    self.out.push(Action::Abandon { inward });
+                    self.out.push(Action::AbandonInbound { inward });
                 }
             }
         }
     }
 
     /// A request is handed over to us. It is taken once, whatever copies come; what is not taken never runs.
-    fn taken_over(&mut self, road: RoadNo, handover: Handover) {
+    fn taken_over(&mut self, road: PathId, handover: ForwardedRequest) {
         let Some(peer) = self.members.roads.get(&road).map(|r| r.peer.clone()) else {
             return;
         };
@@ -533,7 +538,7 @@
                 ..
             } = held
             {
-                let answer = Answer {
+                let answer = ForwardingResponse {
                     crossing,
                     to: from,
                     verdict: *verdict,
@@ -542,16 +547,16 @@
                 };
                 self.out.push(Action::Send {
                     road,
-                    letter: Letter::Answer(answer),
+                    letter: SiteMessage::Response(answer),
                 });
             }
             return;
         }
         // What was meant for an earlier start may have run then.
         let verdict = if handover.to != self.members.own().incarnation {
-            Some(Verdict::Unknown)
+            Some(ForwardingOutcome::Unknown)
         } else if self.drained || self.ending || self.ready == 0 || self.custody.is_full() {
-            Some(Verdict::NotTaken)
+            Some(ForwardingOutcome::NotAccepted)
         } else {
             None
         };
@@ -559,7 +564,11 @@
         // Guards against a peer that does not keep to its credit; a little beyond, what was on its way counts.
         let admitted = verdict.is_none() && class.is_some_and(|p| self.bearing.admits(road, p));
         let (Some(class), true) = (class, admitted) else {
-            return self.turn_away(road, place, verdict.unwrap_or(Verdict::NotTaken));
+            return self.turn_away(
+                road,
+                place,
+                verdict.unwrap_or(ForwardingOutcome::NotAccepted),
+            );
         };
         let left = TimeDelta(i64::from(handover.left_ms) * 1000);
         // Guards against one that was under way for longer than repeats are remembered: it may have run at its
@@ -575,12 +584,12 @@
         };
         let left = age.map_or(TimeDelta::ZERO, |age| left - age);
         if left <= self.place.tick {
-            return self.turn_away(road, place, Verdict::NotTaken);
+            return self.turn_away(road, place, ForwardingOutcome::NotAccepted);
         }
         self.tally.taken_in += 1;
         let inward = self.custody.take_in(place, road);
         let key = handover.key.map(AffinityKey);
-        self.out.push(Action::TakeIn {
+        self.out.push(Action::ServeInbound {
             inward,
             class,
             key,
@@ -590,12 +599,17 @@
     }
 
     /// It is not taken, neither now nor when a copy of it comes.
-    fn turn_away(&mut self, road: RoadNo, place: ownership::Place, verdict: Verdict) {
+    fn turn_away(
+        &mut self,
+        road: PathId,
+        place: ownership::MultiSiteConfig,
+        verdict: ForwardingOutcome,
+    ) {
         let (to, crossing) = (place.1, place.2);
         self.tally.turned_away += 1;
         self.custody
             .close(self.now, place, verdict, None, Vec::new());
-        let answer = Answer {
+        let answer = ForwardingResponse {
             crossing,
             to,
             verdict,
@@ -604,14 +618,14 @@
         };
         self.out.push(Action::Send {
             road,
-            letter: Letter::Answer(answer),
+            letter: SiteMessage::Response(answer),
         });
     }
 
     fn answered(
         &mut self,
-        inward: InwardNo,
-        verdict: Verdict,
+        inward: InboundId,
+        verdict: ForwardingOutcome,
         build: Option<BuildId>,
         body: Vec<u8>,
     ) {
@@ -622,7 +636,7 @@
             return;
         };
         let (peer, from, crossing) = place;
-        let answer = Answer {
+        let answer = ForwardingResponse {
             crossing,
             to: from,
             verdict,
@@ -632,12 +646,12 @@
         if let Some(road) = self.road_to(&peer, Some(road)) {
             self.out.push(Action::Send {
                 road,
-                letter: Letter::Answer(answer),
+                letter: SiteMessage::Response(answer),
             });
         }
     }
 
-    fn inquiry(&mut self, road: RoadNo, crossing: u64, from: u64, to: u64) {
+    fn inquiry(&mut self, road: PathId, crossing: u64, from: u64, to: u64) {
         let Some(peer) = self.members.roads.get(&road).map(|r| r.peer.clone()) else {
             return;
         };
@@ -652,13 +666,18 @@
             }) => (*verdict, *build, body.clone()),
             None if to == self.members.own().incarnation => {
                 // It has not come, and from now on it is not taken any more, however late it comes.
-                self.custody
-                    .close(self.now, place, Verdict::NotTaken, None, Vec::new());
-                (Verdict::NotTaken, None, Vec::new())
+                self.custody.close(
+                    self.now,
+                    place,
+                    ForwardingOutcome::NotAccepted,
+                    None,
+                    Vec::new(),
+                );
+                (ForwardingOutcome::NotAccepted, None, Vec::new())
             }
-            None => (Verdict::Unknown, None, Vec::new()),
+            None => (ForwardingOutcome::Unknown, None, Vec::new()),
         };
-        let answer = Answer {
+        let answer = ForwardingResponse {
             crossing,
             to: from,
             verdict,
@@ -667,12 +686,12 @@
         };
         self.out.push(Action::Send {
             road,
-            letter: Letter::Answer(answer),
+            letter: SiteMessage::Response(answer),
         });
     }
 
     /// What the other site says of a crossing. Only the first word on it counts.
-    fn answer(&mut self, road: RoadNo, answer: Answer) {
+    fn answer(&mut self, road: PathId, answer: ForwardingResponse) {
         let from = self.members.roads.get(&road).map(|r| &r.peer);
         let matches = answer.to == self.members.own().incarnation;
         let Some(out) = from
@@ -683,32 +702,35 @@
             return;
         };
         let (id, took) = (out.id, self.now - out.sent);
-        let taken = matches!(answer.verdict, Verdict::Settled | Verdict::Voided);
+        let taken = matches!(
+            answer.verdict,
+            ForwardingOutcome::Succeeded | ForwardingOutcome::Failed
+        );
         self.crossings
             .came_back(self.now, road, out.class, taken, took);
         self.tally.refused += u64::from(!taken);
         let left = out.expiry - self.now;
         match answer.verdict {
-            Verdict::Settled => {
+            ForwardingOutcome::Succeeded => {
                 self.tally.settled_there += 1;
-                self.out.push(Action::Settle {
+                self.out.push(Action::Succeed {
                     id,
                     body: answer.body,
                     build: answer.build.map(BuildId),
                 });
             }
             // Never run, so this site's servers may have it, if the module has not turned it away already.
-            Verdict::NotTaken if !out.spared && left > TimeDelta::ZERO => {
-                self.out.push(Action::Here { id, left })
+            ForwardingOutcome::NotAccepted if !out.spared && left > TimeDelta::ZERO => {
+                self.out.push(Action::ServeLocally { id, left })
             }
-            Verdict::NotTaken => self.decline(id),
+            ForwardingOutcome::NotAccepted => self.decline(id),
             // Guards against a client whose next try meets other servers than those that drop its repeat.
-            Verdict::Declined { ran } if ran && !out.may_try_again() => {
-                self.out.push(Action::Void { id })
+            ForwardingOutcome::Rejected { may_have_run: ran } if ran && !out.may_try_again() => {
+                self.out.push(Action::Fail { id })
             }
-            Verdict::Declined { .. } => self.decline(id),
-            Verdict::Voided => self.out.push(Action::Void { id }),
-            Verdict::Unknown => self.uncertain(out),
+            ForwardingOutcome::Rejected { .. } => self.decline(id),
+            ForwardingOutcome::Failed => self.out.push(Action::Fail { id }),
+            ForwardingOutcome::Unknown => self.uncertain(out),
         }
     }
 
@@ -718,12 +740,12 @@
         match out.after_loss(self.now, self.place.tick) {
             ownership::After::Here { left } if !out.spared => {
                 self.tally.served_here_after += 1;
-                self.out.push(Action::Here { id, left });
+                self.out.push(Action::ServeLocally { id, left });
             }
             ownership::After::Here { .. } => self.decline(id),
             ownership::After::Wait => {
                 self.tally.voided_unanswered += 1;
-                self.out.push(Action::Void { id });
+                self.out.push(Action::Fail { id });
             }
         }
     }
@@ -740,7 +762,7 @@
                         self.crossings
                             .came_back(self.now, road, out.class, false, TimeDelta::ZERO);
                     }
-                    self.out.push(Action::Void { id: out.id });
+                    self.out.push(Action::Fail { id: out.id });
                 }
                 Due::Forgotten => {}
             }
@@ -755,9 +777,10 @@
     fn go_round(&mut self) {
         let changes = self.crossings.judge(self.now, self.ready);
         self.tally.moves = self.crossings.moves();
-        self.out.extend(changes.into_iter().map(Action::Changed));
+        self.out
+            .extend(changes.into_iter().map(Action::StatusChanged));
         let open = !self.drained && !self.ending && self.ready > 0 && !self.crossings.is_away();
-        let roads: Vec<RoadNo> = self
+        let roads: Vec<PathId> = self
             .members
             .roads
             .iter()
@@ -772,7 +795,10 @@
         {
             let letters = self.tally.strange - self.strange_told.0;
             self.strange_told = (self.tally.strange, self.now);
-            self.out.push(Action::Changed(Change::Strange { letters }));
+            self.out
+                .push(Action::StatusChanged(Change::UnmatchedResponses {
+                    count: letters,
+                }));
         }
     }
 
@@ -796,60 +822,64 @@
                 .collect();
             self.out.push(Action::Send {
                 road,
-                letter: Letter::Beat(beat),
+                letter: SiteMessage::Heartbeat(beat),
             });
         }
     }
 
     fn stand(&mut self) {
         let standing = match (self.ending, self.drained) {
-            (true, _) => Standing::Leaving,
-            (_, true) => Standing::Draining,
-            _ => Standing::Serving,
+            (true, _) => MemberState::Leaving,
+            (_, true) => MemberState::Draining,
+            _ => MemberState::Serving,
         };
         self.members.stand(standing);
         // Told at once: what was granted before counts no more.
-        let roads: Vec<RoadNo> = self.members.roads.keys().copied().collect();
+        let roads: Vec<PathId> = self.members.roads.keys().copied().collect();
         self.bearing.round(&roads, false);
         self.beat();
     }
 
-    fn obey(&mut self, asked: Vec<Asked>) {
+    fn obey(&mut self, asked: Vec<MembershipAction>) {
         for asked in asked {
             match asked {
-                Asked::Dial { peer, address } => self.out.push(Action::Dial { peer, address }),
-                Asked::HangUp { road } => {
+                MembershipAction::Connect { peer, address } => {
+                    self.out.push(Action::Connect { peer, address })
+                }
+                MembershipAction::ClosePath { road } => {
                     self.forget_road(road);
-                    self.out.push(Action::HangUp { road });
+                    self.out.push(Action::ClosePath { road });
+                }
+                MembershipAction::Changed(change) => self.out.push(Action::StatusChanged(change)),
+                MembershipAction::PathUsable { road } => self.whole(road),
+                MembershipAction::PathLost { road } => self.broken(road),
+                MembershipAction::PeerRestarted { peer, incarnation } => {
+                    self.reborn(&peer, incarnation)
                 }
-                Asked::Changed(change) => self.out.push(Action::Changed(change)),
-                Asked::Whole { road } => self.whole(road),
-                Asked::Broken { road } => self.broken(road),
-                Asked::Reborn { peer, incarnation } => self.reborn(&peer, incarnation),
             }
         }
     }
 
-    fn forget_road(&mut self, road: RoadNo) {
+    fn forget_road(&mut self, road: PathId) {
         self.crossings.forget(road);
         self.bearing.forget(road);
     }
 
     /// A road is whole again: what is owed from its other end is asked for.
-    fn whole(&mut self, road: RoadNo) {
+    fn whole(&mut self, road: PathId) {
         let Some(peer) = self.members.roads.get(&road).map(|r| r.peer.clone()) else {
             return;
         };
         let from = self.members.own().incarnation;
         for (crossing, to) in self.custody.owed_by(&peer) {
-            let letter = Letter::Inquiry { crossing, from, to };
+            let letter = SiteMessage::StatusQuery { crossing, from, to };
             self.out.push(Action::Send { road, letter });
         }
     }
 
     /// A road is none any more. What went on it and may run again is served here; the rest waits for a late
     /// answer until its time is up.
-    fn broken(&mut self, road: RoadNo) {
+    fn broken(&mut self, road: PathId) {
         self.forget_road(road);
         for (out, after) in self
             .custody
@@ -858,7 +888,7 @@
             match after {
                 ownership::After::Here { left } if !out.spared => {
                     self.tally.served_here_after += 1;
-                    self.out.push(Action::Here { id: out.id, left });
+                    self.out.push(Action::ServeLocally { id: out.id, left });
                 }
                 _ => self.decline(out.id),
             }
@@ -867,12 +897,12 @@
 
     /// Another start: what an earlier one had taken will never be answered, and for what it had handed over
     /// nobody waits.
-    fn reborn(&mut self, peer: &Party, incarnation: u64) {
+    fn reborn(&mut self, peer: &GatewayName, incarnation: u64) {
         for out in self.custody.taken_to_the_grave(peer, incarnation) {
             self.uncertain(out);
         }
         for inward in self.custody.orphans(peer, incarnation) {
-            self.out.push(Action::Abandon { inward });
+            self.out.push(Action::AbandonInbound { inward });
         }
     }
 
@@ -884,7 +914,7 @@
             .max(self.now + TimeDelta(1));
         if self.armed.is_none_or(|at| at <= self.now || next < at) {
             self.armed = Some(next);
-            self.out.push(Action::Wake {
+            self.out.push(Action::SetTimer {
                 after: next - self.now,
             });
         }
@@ -895,7 +925,7 @@
         self.members.own().incarnation
     }
 
-    pub fn tally(&self) -> Tally {
+    pub fn tally(&self) -> Counters {
         self.tally
     }
 
--- a/crates/multi-site/src/membership.rs
+++ b/crates/multi-site/src/membership.rs
@@ -5,11 +5,11 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
-use harrierdock_site_messages::{Beat, Party, Record, Standing};
+use harrierdock_site_messages::{GatewayName, Heartbeat, MemberRecord, MemberState};
 use harrierdock_types::{TimeDelta, Timestamp};
 use nanorand::{Rng, WyRand};
 
-use crate::{Change, RoadNo, ROUND};
+use crate::{Change, PathId, ROUND};
 
 /// Roads that a gateway opens of itself; as many again are opened to it, in the mean.
 pub const OPENED: usize = 3;
@@ -40,7 +40,7 @@
 const MOST: usize = 4096;
 
 struct Member {
-    record: Record,
+    record: MemberRecord,
     /// How often its record has been told since it last changed.
     told: u32,
     /// Since when it stands so.
@@ -53,7 +53,7 @@
 }
 
 pub struct Road {
-    pub peer: Party,
+    pub peer: GatewayName,
     pub since: Timestamp,
     pub heard: Option<Timestamp>,
     /// When the newest beat was sent of which the other end has said that it came.
@@ -67,26 +67,26 @@
     /// This end has opened it.
     ours: bool,
     /// Up to where the whole table has been told on it, once it has come up.
-    told_to: Option<Party>,
+    told_to: Option<GatewayName>,
     /// The time a beat and its echo take, without what they wait at the other end.
     pub round_trip: TimeDelta,
 }
 
-pub struct Members {
-    own: Record,
+pub struct Membership {
+    own: MemberRecord,
     told: u32,
     other_site: String,
     chance: WyRand,
-    known: BTreeMap<Party, Member>,
-    pub roads: BTreeMap<RoadNo, Road>,
+    known: BTreeMap<GatewayName, Member>,
+    pub roads: BTreeMap<PathId, Road>,
     beat: u32,
     sent: [Timestamp; BEATS],
     /// Where the repeating of old records stands.
-    next_old: Option<Party>,
+    next_old: Option<GatewayName>,
 }
 
 /// FNV-1a over both ends, so that each end ranks the other's gateways alike and evenly.
-fn rank(a: &Party, b: &Party) -> u64 {
+fn rank(a: &GatewayName, b: &GatewayName) -> u64 {
     let (a, b) = if a < b { (a, b) } else { (b, a) };
     let bytes = [&a.site, &a.gateway, &b.site, &b.gateway]
         .into_iter()
@@ -100,50 +100,50 @@
 
 /// What membership asks for.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Asked {
-    Dial {
-        peer: Party,
+pub enum MembershipAction {
+    Connect {
+        peer: GatewayName,
         address: SocketAddr,
     },
-    HangUp {
-        road: RoadNo,
+    ClosePath {
+        road: PathId,
     },
     Changed(Change),
     /// A road has come to be whole, or is no more.
-    Whole {
-        road: RoadNo,
+    PathUsable {
+        road: PathId,
     },
-    Broken {
-        road: RoadNo,
+    PathLost {
+        road: PathId,
     },
     /// Whoever had this incarnation is gone for good.
-    Reborn {
-        peer: Party,
+    PeerRestarted {
+        peer: GatewayName,
         incarnation: u64,
     },
 }
 
-impl Members {
+impl Membership {
     /// `seeds` are gateways of the other site that are known from the start.
     pub fn new(
-        own: Record,
+        own: MemberRecord,
         other_site: String,
-        seeds: &[(Party, SocketAddr)],
+        seeds: &[(GatewayName, SocketAddr)],
         seed: u64,
-    ) -> Members {
-        let member = |(party, address): &(Party, SocketAddr)| {
+    ) -> Membership {
+        let member = |(party, address): &(GatewayName, SocketAddr)| {
             let (rank, address) = (rank(&own.party, party), Some(*address));
             let party = party.clone();
-            let record = Record {
+            let record = MemberRecord {
                 party: party.clone(),
                 address,
                 incarnation: 0,
                 version: 0,
-                standing: Standing::Serving,
+                standing: MemberState::Serving,
             };
             (party, Member::new(record, Timestamp(0), rank))
         };
-        Members {
+        Membership {
             own: own.clone(),
             told: 0,
             other_site,
@@ -156,25 +156,25 @@
         }
     }
 
-    pub fn own(&self) -> &Record {
+    pub fn own(&self) -> &MemberRecord {
         &self.own
     }
 
     /// All records held, with since when each stands as it does.
-    pub fn records(&self) -> impl Iterator<Item = (&Record, Timestamp)> {
+    pub fn records(&self) -> impl Iterator<Item = (&MemberRecord, Timestamp)> {
         self.known.values().map(|m| (&m.record, m.since))
     }
 
-    pub fn standing(&self, party: &Party) -> Option<Standing> {
+    pub fn standing(&self, party: &GatewayName) -> Option<MemberState> {
         self.known.get(party).map(|m| m.record.standing)
     }
 
-    pub fn record(&self, party: &Party) -> Option<&Record> {
+    pub fn record(&self, party: &GatewayName) -> Option<&MemberRecord> {
         self.known.get(party).map(|m| &m.record)
     }
 
     /// This gateway stands otherwise now, and says so.
-    pub fn stand(&mut self, standing: Standing) {
+    pub fn stand(&mut self, standing: MemberState) {
         if self.own.standing != standing {
             self.own.standing = standing;
             self.own.version += 1;
@@ -183,10 +183,16 @@
     }
 
     /// A link has come up, opened by either end.
-    pub fn up(&mut self, now: Timestamp, no: RoadNo, peer: Party, asked: &mut Vec<Asked>) {
+    pub fn up(
+        &mut self,
+        now: Timestamp,
+        no: PathId,
+        peer: GatewayName,
+        asked: &mut Vec<MembershipAction>,
+    ) {
         // Guards against strangers, or a site gone wild, that open roads without end.
         if self.roads.len() >= MOST_ROADS {
-            return asked.push(Asked::HangUp { road: no });
+            return asked.push(MembershipAction::ClosePath { road: no });
         }
         let member = self.known.get_mut(&peer);
         let ours = member.is_some_and(|m| std::mem::take(&mut m.dialling));
@@ -200,7 +206,7 @@
             their_beat: 0,
             heard_at: VecDeque::new(),
             ours,
-            told_to: Some(Party {
+            told_to: Some(GatewayName {
                 site: String::new(),
                 gateway: String::new(),
             }),
@@ -210,7 +216,13 @@
     }
 
     /// A link is gone, `orderly` where the other end has said so: that is no sign of trouble with it.
-    pub fn down(&mut self, now: Timestamp, no: RoadNo, orderly: bool, asked: &mut Vec<Asked>) {
+    pub fn down(
+        &mut self,
+        now: Timestamp,
+        no: PathId,
+        orderly: bool,
+        asked: &mut Vec<MembershipAction>,
+    ) {
         let Some(road) = self.roads.remove(&no) else {
             return;
         };
@@ -218,7 +230,7 @@
             self.back_off(now, &road.peer);
         }
         if road.whole {
-            asked.push(Asked::Broken { road: no });
+            asked.push(MembershipAction::PathLost { road: no });
         }
         if !orderly && !self.hears(&road.peer) {
             self.suspect(now, &road.peer, asked);
@@ -231,25 +243,30 @@
 
     /// How old what the other end sent after this beat of its can be at the most; none if that cannot be told.
     /// No clock of the other end is needed: a beat that it had sent before was heard here at a known point.
-    pub fn age_at_most(&self, now: Timestamp, no: RoadNo, beat: u32) -> Option<TimeDelta> {
+    pub fn age_at_most(&self, now: Timestamp, no: PathId, beat: u32) -> Option<TimeDelta> {
         let road = self.roads.get(&no)?;
         let before = road.heard_at.iter().rev().find(|h| h.0 <= beat)?;
         Some(now - before.1 + road.round_trip)
     }
 
     /// Whether a whole road leads to this gateway.
-    pub fn hears(&self, peer: &Party) -> bool {
+    pub fn hears(&self, peer: &GatewayName) -> bool {
         self.roads.values().any(|r| r.whole && r.peer == *peer)
     }
 
     /// An attempt to open a link has failed.
-    pub fn unreachable(&mut self, now: Timestamp, peer: &Party, asked: &mut Vec<Asked>) {
+    pub fn unreachable(
+        &mut self,
+        now: Timestamp,
+        peer: &GatewayName,
+        asked: &mut Vec<MembershipAction>,
+    ) {
         self.back_off(now, peer);
         self.suspect(now, peer, asked);
     }
 
     /// Guards against many gateways that dial one that is gone, or full, all at once and without end.
-    fn back_off(&mut self, now: Timestamp, peer: &Party) {
+    fn back_off(&mut self, now: Timestamp, peer: &GatewayName) {
         let Some(member) = self.known.get_mut(peer) else {
             return;
         };
@@ -261,13 +278,13 @@
 
     /// Guards against a site's gateway that is gone, or does not hear us, being taken for a road: it is
     /// suspected until it says otherwise itself.
-    fn suspect(&mut self, now: Timestamp, peer: &Party, asked: &mut Vec<Asked>) {
+    fn suspect(&mut self, now: Timestamp, peer: &GatewayName, asked: &mut Vec<MembershipAction>) {
         let Some(member) = self.known.get_mut(peer) else {
             return;
         };
-        if member.record.standing < Standing::Leaving {
-            let record = Record {
-                standing: Standing::Suspected,
+        if member.record.standing < MemberState::Leaving {
+            let record = MemberRecord {
+                standing: MemberState::Suspected,
                 ..member.record.clone()
             };
             member.put(now, record, asked);
@@ -275,7 +292,13 @@
     }
 
     /// Takes in what the other end of a road says.
-    pub fn hear(&mut self, now: Timestamp, no: RoadNo, beat: &Beat, asked: &mut Vec<Asked>) {
+    pub fn hear(
+        &mut self,
+        now: Timestamp,
+        no: PathId,
+        beat: &Heartbeat,
+        asked: &mut Vec<MembershipAction>,
+    ) {
         let Some(road) = self.roads.get_mut(&no) else {
             return;
         };
@@ -305,7 +328,7 @@
     }
 
     /// Takes in a record that a neighbour tells.
-    fn learn(&mut self, now: Timestamp, record: &Record, asked: &mut Vec<Asked>) {
+    fn learn(&mut self, now: Timestamp, record: &MemberRecord, asked: &mut Vec<MembershipAction>) {
         if record.party == self.own.party {
             // Guards against being given up while alive, and against an earlier start that others still believe
             // in, or a clock that was set back: what is put about of us is refuted by standing above it.
@@ -323,7 +346,7 @@
             Some(member) if record.order() > member.record.order() => {
                 let before = member.record.incarnation;
                 if before != 0 && record.incarnation > before {
-                    asked.push(Asked::Reborn {
+                    asked.push(MembershipAction::PeerRestarted {
                         peer: record.party.clone(),
                         incarnation: record.incarnation,
                     });
@@ -335,7 +358,7 @@
                 }
                 member.put(
                     now,
-                    Record {
+                    MemberRecord {
                         address,
                         ..record.clone()
                     },
@@ -343,14 +366,14 @@
                 );
             }
             Some(_) => {}
-            None if room && record.standing < Standing::Lost => {
+            None if room && record.standing < MemberState::Lost => {
                 let rank = rank(&self.own.party, &record.party);
                 let member = Member {
                     told: 0,
                     ..Member::new(record.clone(), now, rank)
                 };
                 self.known.insert(record.party.clone(), member);
-                asked.push(Asked::Changed(Change::Joined {
+                asked.push(MembershipAction::Changed(Change::Joined {
                     party: record.party.clone(),
                 }));
             }
@@ -359,7 +382,11 @@
     }
 
     /// A round: judges roads, opens and closes them, and gives back the beat for each road.
-    pub fn round(&mut self, now: Timestamp, asked: &mut Vec<Asked>) -> Vec<(RoadNo, Beat)> {
+    pub fn round(
+        &mut self,
+        now: Timestamp,
+        asked: &mut Vec<MembershipAction>,
+    ) -> Vec<(PathId, Heartbeat)> {
         self.judge(now, asked);
         self.open(now, asked);
         self.beat += 1;
@@ -370,20 +397,20 @@
             let mut records = records.clone();
             road.catch_up(known, &mut records);
             let held = road.heard.map_or(TimeDelta::ZERO, |at| now - at);
-            let beat = Beat {
+            let beat = Heartbeat {
                 incarnation: self.own.incarnation,
                 beat: self.beat,
                 echo: road.their_beat,
                 held_ms: (held.0 / 1000).min(i64::from(u32::MAX)) as u32,
                 records,
-                ..Beat::default()
+                ..Heartbeat::default()
             };
             (*no, beat)
         });
         beats.collect()
     }
 
-    fn judge(&mut self, now: Timestamp, asked: &mut Vec<Asked>) {
+    fn judge(&mut self, now: Timestamp, asked: &mut Vec<MembershipAction>) {
         let missed = ROUND * MISSED;
         let mut deaf = Vec::new();
         for (no, road) in &mut self.roads {
@@ -391,9 +418,9 @@
             let whole = fresh(road.heard) && fresh(road.echoed);
             if whole != std::mem::replace(&mut road.whole, whole) {
                 asked.push(if whole {
-                    Asked::Whole { road: *no }
+                    MembershipAction::PathUsable { road: *no }
                 } else {
-                    Asked::Broken { road: *no }
+                    MembershipAction::PathLost { road: *no }
                 });
             }
             if whole && now - road.since > ROUND * REFUTE {
@@ -413,7 +440,7 @@
             }
             if over {
                 self.roads.remove(&no);
-                asked.push(Asked::HangUp { road: no });
+                asked.push(MembershipAction::ClosePath { road: no });
             }
         }
         // Each end may have opened a road to the other at once; one of the two, the same always, parts with one.
@@ -428,22 +455,25 @@
         });
         if let Some(no) = double.map(|(no, _)| *no).next() {
             self.roads.remove(&no);
-            asked.extend([Asked::Broken { road: no }, Asked::HangUp { road: no }]);
+            asked.extend([
+                MembershipAction::PathLost { road: no },
+                MembershipAction::ClosePath { road: no },
+            ]);
         }
         let refute = ROUND * REFUTE;
         for member in self.known.values_mut() {
-            if member.record.standing == Standing::Suspected && now - member.since > refute {
-                let record = Record {
-                    standing: Standing::Lost,
+            if member.record.standing == MemberState::Suspected && now - member.since > refute {
+                let record = MemberRecord {
+                    standing: MemberState::Lost,
                     ..member.record.clone()
                 };
                 member.put(now, record, asked);
             }
         }
         // Guards against keeping all that ever were: names come and go.
-        let held: Vec<&Party> = self.roads.values().map(|r| &r.peer).collect();
+        let held: Vec<&GatewayName> = self.roads.values().map(|r| &r.peer).collect();
         self.known.retain(|party, m| {
-            m.record.standing < Standing::Leaving
+            m.record.standing < MemberState::Leaving
                 || m.record.incarnation == 0
                 || now - m.since < ROUND * FORGET
                 || held.contains(&party)
@@ -452,13 +482,13 @@
 
     /// The gateways of the other site that this one opens roads to: the first by rendezvous hashing of those
     /// that are not lost, and of the lost ones in turn where there are too few.
-    fn open(&mut self, now: Timestamp, asked: &mut Vec<Asked>) {
+    fn open(&mut self, now: Timestamp, asked: &mut Vec<MembershipAction>) {
         let there = self.known.iter().filter(|(p, _)| p.site == self.other_site);
         // Lost ones do not count as roads wanted, yet are tried, so that a site cut off is found again.
-        let mut first: Vec<(bool, u64, &Party)> = Vec::new();
+        let mut first: Vec<(bool, u64, &GatewayName)> = Vec::new();
         for (party, member) in there {
             let place = (
-                member.record.standing >= Standing::Leaving,
+                member.record.standing >= MemberState::Leaving,
                 member.rank,
                 party,
             );
@@ -470,7 +500,7 @@
         }
         let well = first.iter().take_while(|f| !f.0).count().min(OPENED);
         let enough = if well == OPENED { OPENED } else { first.len() };
-        let wanted: Vec<Party> = first
+        let wanted: Vec<GatewayName> = first
             .into_iter()
             .take(enough)
             .map(|f| f.2.clone())
@@ -483,8 +513,8 @@
                 .find(|(_, r)| r.ours && !wanted.contains(&r.peer));
             if let Some(no) = spare.map(|(no, _)| *no) {
                 let whole = self.roads.remove(&no).is_some_and(|r| r.whole);
-                asked.extend(whole.then_some(Asked::Broken { road: no }));
-                asked.push(Asked::HangUp { road: no });
+                asked.extend(whole.then_some(MembershipAction::PathLost { road: no }));
+                asked.push(MembershipAction::ClosePath { road: no });
             }
         }
         for party in wanted {
@@ -499,7 +529,7 @@
             };
             if !member.dialling && member.next_try <= now {
                 member.dialling = true;
-                asked.push(Asked::Dial {
+                asked.push(MembershipAction::Connect {
                     peer: party,
                     address,
                 });
@@ -508,7 +538,7 @@
     }
 
     /// The records that the beats of this round tell: its own, those told least often, a few old ones.
-    fn news(&mut self) -> Vec<Record> {
+    fn news(&mut self) -> Vec<MemberRecord> {
         let all = self.known.len() as u32 + 2;
         let enough = all.ilog2() + RETOLD;
         let mut records = Vec::new();
@@ -520,13 +550,14 @@
             .known
             .values()
             .filter(|m| m.told < enough && m.record.incarnation > 0);
-        let mut fresh: Vec<(u32, &Party)> = fresh.map(|m| (m.told, &m.record.party)).collect();
+        let mut fresh: Vec<(u32, &GatewayName)> =
+            fresh.map(|m| (m.told, &m.record.party)).collect();
         fresh.sort();
         fresh.truncate(FRESH);
-        let mut named: Vec<Party> = fresh.into_iter().map(|f| f.1.clone()).collect();
+        let mut named: Vec<GatewayName> = fresh.into_iter().map(|f| f.1.clone()).collect();
         let after = self.next_old.take();
         let later = self.known.range(
-            after.clone().unwrap_or(Party {
+            after.clone().unwrap_or(GatewayName {
                 site: String::new(),
                 gateway: String::new(),
             })..,
@@ -534,7 +565,7 @@
         let old = later
             .chain(self.known.iter())
             .filter(|(p, m)| m.record.incarnation > 0 && !named.contains(p));
-        let old: Vec<Party> = old
+        let old: Vec<GatewayName> = old
             .take((OLD + 1).min(self.known.len()))
             .map(|(p, _)| p.clone())
             .collect();
@@ -554,7 +585,7 @@
 impl Road {
     /// Guards against a gateway that has just started knowing nobody for long: a road that has come up is told
     /// all records held, a part in each beat.
-    fn catch_up(&mut self, known: &BTreeMap<Party, Member>, records: &mut Vec<Record>) {
+    fn catch_up(&mut self, known: &BTreeMap<GatewayName, Member>, records: &mut Vec<MemberRecord>) {
         let Some(from) = self.told_to.take() else {
             return;
         };
@@ -567,7 +598,7 @@
 }
 
 impl Member {
-    fn new(record: Record, since: Timestamp, rank: u64) -> Member {
+    fn new(record: MemberRecord, since: Timestamp, rank: u64) -> Member {
         Member {
             record,
             told: u32::MAX,
@@ -579,12 +610,12 @@
         }
     }
 
-    fn put(&mut self, now: Timestamp, record: Record, asked: &mut Vec<Asked>) {
+    fn put(&mut self, now: Timestamp, record: MemberRecord, asked: &mut Vec<MembershipAction>) {
         let (before, after) = (self.record.standing, record.standing);
         let reborn = record.incarnation != self.record.incarnation && self.record.incarnation != 0;
         if before != after || reborn {
-            let (party, back) = (record.party.clone(), before >= Standing::Suspected);
-            asked.push(Asked::Changed(Change::Member {
+            let (party, back) = (record.party.clone(), before >= MemberState::Suspected);
+            asked.push(MembershipAction::Changed(Change::Member {
                 party,
                 standing: after,
                 back,
--- a/crates/multi-site/src/offered_capacity.rs
+++ b/crates/multi-site/src/offered_capacity.rs
@@ -5,7 +5,7 @@
 
 use harrierdock_types::ClassId;
 
-use crate::{Ending, RequestClass, RoadNo};
+use crate::{PathId, RequestClass, RequestEnd};
 
 /// Of what is served here in a round, the part that is lent before anything has crossed.
 const FIRST: f64 = 0.5;
@@ -40,7 +40,7 @@
     classes: usize,
     /// Products in the order in which scarce credit is given: by priority weight.
     order: Vec<ClassId>,
-    lent: BTreeMap<RoadNo, Lent>,
+    lent: BTreeMap<PathId, Lent>,
     /// Requests a round that are lent in all.
     most: f64,
     /// Requests served a round, in the mean, and each request class's part.
@@ -76,16 +76,16 @@
     }
 
     /// A request that this site's servers were to serve has ended, whoever's it was.
-    pub fn ended(&mut self, ending: Ending, late: bool) {
-        if ending == Ending::Left {
+    pub fn ended(&mut self, ending: RequestEnd, late: bool) {
+        if ending == RequestEnd::ClientGone {
             return;
         }
         self.ended += 1.0;
-        self.settled += f64::from(ending == Ending::Settled);
-        self.troubled += f64::from(ending != Ending::Settled || late);
+        self.settled += f64::from(ending == RequestEnd::Succeeded);
+        self.troubled += f64::from(ending != RequestEnd::Succeeded || late);
     }
 
-    pub fn wanted(&mut self, road: RoadNo, wants: &[(ClassId, f64)]) {
+    pub fn wanted(&mut self, road: PathId, wants: &[(ClassId, f64)]) {
         let lent = self.lent.entry(road).or_default();
         lent.wanted = vec![0.0; self.classes];
         for (class, count) in wants {
@@ -94,7 +94,7 @@
     }
 
     /// Whether one more of this request class on this road is within what was told.
-    pub fn admits(&mut self, road: RoadNo, class: ClassId) -> bool {
+    pub fn admits(&mut self, road: PathId, class: ClassId) -> bool {
         let room = self
             .lent
             .get_mut(&road)
@@ -108,7 +108,7 @@
     }
 
     /// A round: how much is lent in all, and how it is shared. Nothing where this site is not `open`.
-    pub fn round(&mut self, roads: &[RoadNo], open: bool) {
+    pub fn round(&mut self, roads: &[PathId], open: bool) {
         self.served += LEARN * (self.settled - self.served);
         let trouble = self.troubled > TROUBLE * self.ended && self.troubled >= 2.0;
         let first = FIRST * self.served.max(self.settled);
@@ -138,7 +138,7 @@
     }
 
     /// Wants come first, by priority weight; what is left over is spread, so that nobody waits a round to begin.
-    fn share(&mut self, roads: &[RoadNo], well: bool) {
+    fn share(&mut self, roads: &[PathId], well: bool) {
         let mut left = self.most;
         for road in roads {
             let lent = self.lent.entry(*road).or_default();
@@ -177,7 +177,7 @@
     }
 
     /// What is told on a road in this round.
-    pub fn grants(&self, road: RoadNo) -> Vec<(ClassId, u16)> {
+    pub fn grants(&self, road: PathId) -> Vec<(ClassId, u16)> {
         let Some(lent) = self.lent.get(&road) else {
             return Vec::new();
         };
@@ -186,7 +186,7 @@
             .collect()
     }
 
-    pub fn forget(&mut self, road: RoadNo) {
+    pub fn forget(&mut self, road: PathId) {
         self.lent.remove(&road);
     }
 }
--- a/crates/multi-site/src/ownership.rs
+++ b/crates/multi-site/src/ownership.rs
@@ -3,11 +3,11 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use harrierdock_site_messages::{Party, Verdict};
+use harrierdock_site_messages::{ForwardingOutcome, GatewayName};
 use harrierdock_types::{BuildId, ClassId, RequestId, RetrySafety};
 use harrierdock_types::{TimeDelta, Timestamp};
 
-use crate::{InwardNo, Members, RoadNo};
+use crate::{InboundId, Membership, PathId};
 
 /// Longest expiries for which the ending of one taken in is remembered, against copies that come late.
 const REMEMBERED: f64 = 2.0;
@@ -21,7 +21,7 @@
 pub struct Out {
     pub id: RequestId,
     pub class: ClassId,
-    pub peer: Party,
+    pub peer: GatewayName,
     /// The incarnation that it was handed to.
     pub to: u64,
     pub sent: Timestamp,
@@ -31,7 +31,7 @@
     pub spared: bool,
     pub repeat: RetrySafety,
     pub spans: bool,
-    pub road: Option<RoadNo>,
+    pub road: Option<PathId>,
 }
 
 /// What follows for one handed over when its road is lost.
@@ -73,16 +73,16 @@
 }
 
 /// Which crossing: who handed it over, in which incarnation, under which number.
-pub type Place = (Party, u64, u64);
+pub type MultiSiteConfig = (GatewayName, u64, u64);
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Inward {
     Running {
-        inward: InwardNo,
-        road: RoadNo,
+        inward: InboundId,
+        road: PathId,
     },
     Done {
-        verdict: Verdict,
+        verdict: ForwardingOutcome,
         build: Option<BuildId>,
         body: Vec<u8>,
         at: Timestamp,
@@ -100,15 +100,15 @@
     out: BTreeMap<u64, Out>,
     by_txn: BTreeMap<RequestId, u64>,
     expiries: BTreeSet<(Timestamp, u64)>,
-    last_in: InwardNo,
-    inward: BTreeMap<Place, Inward>,
-    running: BTreeMap<InwardNo, Place>,
-    done: BTreeSet<(Timestamp, Place)>,
+    last_in: InboundId,
+    inward: BTreeMap<MultiSiteConfig, Inward>,
+    running: BTreeMap<InboundId, MultiSiteConfig>,
+    done: BTreeSet<(Timestamp, MultiSiteConfig)>,
     remembered: TimeDelta,
     bytes: usize,
     most_bytes: usize,
     /// Those whose bodies are held, oldest first.
-    bodies: VecDeque<Place>,
+    bodies: VecDeque<MultiSiteConfig>,
 }
 
 impl Custody {
@@ -141,7 +141,7 @@
     }
 
     /// A crossing is over; only by the gateway that has it, and once.
-    pub fn end(&mut self, crossing: u64, peer: &Party) -> Option<Out> {
+    pub fn end(&mut self, crossing: u64, peer: &GatewayName) -> Option<Out> {
         self.out.get(&crossing).filter(|o| o.peer == *peer)?;
         self.remove(crossing)
     }
@@ -159,7 +159,7 @@
     }
 
     /// Those that this gateway has and has not answered, with the incarnation each was handed to.
-    pub fn owed_by(&self, peer: &Party) -> Vec<(u64, u64)> {
+    pub fn owed_by(&self, peer: &GatewayName) -> Vec<(u64, u64)> {
         self.out
             .iter()
             .filter(|(_, o)| o.peer == *peer)
@@ -170,8 +170,8 @@
     /// A road is lost. Takes out those whose gateway no whole road leads to any more and that need not wait.
     pub fn cut(
         &mut self,
-        road: RoadNo,
-        members: &Members,
+        road: PathId,
+        members: &Membership,
         now: Timestamp,
         tick: TimeDelta,
     ) -> Vec<(Out, After)> {
@@ -187,7 +187,7 @@
     }
 
     /// Those handed to an earlier incarnation of a gateway that has started anew.
-    pub fn taken_to_the_grave(&mut self, peer: &Party, incarnation: u64) -> Vec<Out> {
+    pub fn taken_to_the_grave(&mut self, peer: &GatewayName, incarnation: u64) -> Vec<Out> {
         let lost = self
             .out
             .iter()
@@ -202,11 +202,11 @@
         self.running.len() >= MOST_RUNNING
     }
 
-    pub fn inward(&self, place: &Place) -> Option<&Inward> {
+    pub fn inward(&self, place: &MultiSiteConfig) -> Option<&Inward> {
         self.inward.get(place)
     }
 
-    pub fn take_in(&mut self, place: Place, road: RoadNo) -> InwardNo {
+    pub fn take_in(&mut self, place: MultiSiteConfig, road: PathId) -> InboundId {
         self.last_in += 1;
         let inward = self.last_in;
         self.running.insert(inward, place.clone());
@@ -215,7 +215,7 @@
     }
 
     /// Its client went away there.
-    pub fn cancel(&mut self, place: &Place) -> Option<InwardNo> {
+    pub fn cancel(&mut self, place: &MultiSiteConfig) -> Option<InboundId> {
         match self.inward.get(place) {
             Some(Inward::Running { inward, .. }) => Some(*inward),
             _ => None,
@@ -226,11 +226,11 @@
     pub fn answered(
         &mut self,
         now: Timestamp,
-        inward: InwardNo,
-        verdict: Verdict,
+        inward: InboundId,
+        verdict: ForwardingOutcome,
         build: Option<BuildId>,
         body: Vec<u8>,
-    ) -> Option<(Place, RoadNo)> {
+    ) -> Option<(MultiSiteConfig, PathId)> {
         let place = self.running.remove(&inward)?;
         let Some(Inward::Running { road, .. }) = self.inward.get(&place) else {
             return None;
@@ -244,8 +244,8 @@
     pub fn close(
         &mut self,
         now: Timestamp,
-        place: Place,
-        verdict: Verdict,
+        place: MultiSiteConfig,
+        verdict: ForwardingOutcome,
         build: Option<BuildId>,
         body: Vec<u8>,
     ) {
@@ -271,7 +271,7 @@
             };
             if let Some(Inward::Done { verdict, body, .. }) = self.inward.get_mut(&place) {
                 self.bytes -= body.len();
-                (*verdict, *body) = (Verdict::Unknown, Vec::new());
+                (*verdict, *body) = (ForwardingOutcome::Unknown, Vec::new());
             }
         }
         while self.done.len() > MOST_DONE {
@@ -292,7 +292,7 @@
     }
 
     /// Those that an earlier incarnation handed over and that still run.
-    pub fn orphans(&self, peer: &Party, incarnation: u64) -> Vec<InwardNo> {
+    pub fn orphans(&self, peer: &GatewayName, incarnation: u64) -> Vec<InboundId> {
         let of_peer = self
             .running
             .iter()
--- a/crates/multi-site/src/status.rs
+++ b/crates/multi-site/src/status.rs
@@ -2,7 +2,7 @@
 
 use serde::Serialize;
 
-use crate::{Home, Sites, Tally, Why};
+use crate::{Counters, MoveReason, MultiSite, TrafficLocation};
 
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct MemberStatus {
@@ -27,7 +27,7 @@
     pub owed_by_them: usize,
     pub owed_to_them: usize,
     #[serde(flatten)]
-    pub tally: Tally,
+    pub tally: Counters,
 }
 
 fn word(of: impl std::fmt::Debug) -> String {
@@ -35,21 +35,26 @@
 }
 
 /// What a change of home is put down to, in words.
-pub fn why(why: Why) -> &'static str {
+pub fn why(why: MoveReason) -> &'static str {
     match why {
-        Why::ByHand => "by hand",
-        Why::NoServers => "no server is ready",
-        Why::NothingSettles => "nothing settles here",
-        Why::Settles => "txns settle here",
-        Why::Warm => "all traffic is home",
+        MoveReason::OperatorCommand => "by hand",
+        MoveReason::NoReadyEndpoint => "no server is ready",
+        MoveReason::NothingSucceeds => "nothing settles here",
+        MoveReason::RequestsSucceed => "txns settle here",
+        MoveReason::SlowStartOver => "all traffic is home",
     }
 }
 
-pub fn home(home: Home) -> String {
-    word(home)
+pub fn home(home: TrafficLocation) -> String {
+    match home {
+        TrafficLocation::Local => "here",
+        TrafficLocation::FailedOver => "away",
+        TrafficLocation::Returning => "returning",
+    }
+    .into()
 }
 
-impl Sites {
+impl MultiSite {
     /// How things stand at the last event.
     pub fn status(&self) -> Status {
         let members = self
--- a/crates/site-transport/src/keys.rs
+++ b/crates/site-transport/src/keys.rs
@@ -4,7 +4,7 @@
 use std::fmt::Write;
 use std::time::SystemTime;
 
-use harrierdock_site_messages::Party;
+use harrierdock_site_messages::GatewayName;
 use rcgen::{
     BasicConstraints, CertificateParams, DnType, ExtendedKeyUsagePurpose, IsCa, Issuer, KeyPair,
     KeyUsagePurpose,
@@ -24,7 +24,7 @@
     pub chain: Vec<CertificateDer<'static>>,
     pub key: PrivateKeyDer<'static>,
     /// Whom the certificate names.
-    pub party: Party,
+    pub party: GatewayName,
 }
 
 impl Credentials {
@@ -84,7 +84,7 @@
 }
 
 /// The DNS name by which a certificate names a gateway.
-pub fn dns_name(party: &Party) -> String {
+pub fn dns_name(party: &GatewayName) -> String {
     format!("{}.{}{SUFFIX}", party.gateway, party.site)
 }
 
@@ -92,7 +92,7 @@
 ///
 /// # Errors
 /// Says what it names instead, or that it cannot be read.
-pub fn party(certificate: &CertificateDer) -> Result<Party, String> {
+pub fn party(certificate: &CertificateDer) -> Result<GatewayName, String> {
     let (_, parsed) =
         X509Certificate::from_der(certificate).map_err(|e| format!("cannot be read: {e}"))?;
     let names = parsed
@@ -114,7 +114,7 @@
     let parts = name.strip_suffix(SUFFIX).and_then(|n| n.split_once('.'));
     let (gateway, site) = parts.ok_or_else(|| format!("names '{name}', which is no gateway"))?;
     label(gateway).and(label(site))?;
-    Ok(Party {
+    Ok(GatewayName {
         site: site.into(),
         gateway: gateway.into(),
     })
@@ -156,7 +156,7 @@
 /// Says which name is none, or why the authority cannot sign.
 pub fn issue(
     authority: &Pair,
-    party: &Party,
+    party: &GatewayName,
     from: SystemTime,
     until: SystemTime,
 ) -> Result<Pair, String> {
--- a/crates/site-transport/src/lib.rs
+++ b/crates/site-transport/src/lib.rs
@@ -6,4 +6,4 @@
 mod transport;
 
 pub use keys::Credentials;
-pub use transport::{Heard, Link, RoadNo};
+pub use transport::{PathId, SiteTransport, TransportEvent};
--- a/crates/site-transport/src/transport.rs
+++ b/crates/site-transport/src/transport.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::{Bytes, BytesMut};
-use harrierdock_site_messages::{Party, MOST};
+use harrierdock_site_messages::{GatewayName, MAX_MESSAGE_BYTES};
 use quinn_proto::congestion::BbrConfig;
 use quinn_proto::crypto::rustls::{QuicClientConfig, QuicServerConfig};
 use quinn_proto::{
@@ -21,7 +21,7 @@
 use crate::keys::{dns_name, party, Credentials};
 
 /// The number of a link, never used twice.
-pub type RoadNo = u64;
+pub type PathId = u64;
 
 /// What both ends speak (ALPN, RFC 7301).
 const SPEAKS: &[u8] = b"harrierdock/1";
@@ -40,16 +40,16 @@
 
 /// What was heard, in order.
 #[derive(Debug, PartialEq)]
-pub enum Heard {
-    Up {
-        road: RoadNo,
-        peer: Party,
+pub enum TransportEvent {
+    Opened {
+        road: PathId,
+        peer: GatewayName,
     },
     /// A link is gone, or one that was dialled never came up.
     /// `orderly` where the other end said that it hangs up.
-    Down {
-        road: RoadNo,
-        peer: Option<Party>,
+    Closed {
+        road: PathId,
+        peer: Option<GatewayName>,
         orderly: bool,
         why: String,
     },
@@ -58,17 +58,17 @@
         remote: SocketAddr,
         why: String,
     },
-    Letter {
-        road: RoadNo,
+    Message {
+        road: PathId,
         bytes: Vec<u8>,
     },
 }
 
 struct Road {
-    no: RoadNo,
+    no: PathId,
     connection: Connection,
     /// Whom we dialled, or who came up.
-    peer: Option<Party>,
+    peer: Option<GatewayName>,
     up: bool,
     reading: HashMap<StreamId, Vec<u8>>,
     /// What is written on streams that take no more for now, and letters that wait for a stream.
@@ -77,15 +77,15 @@
     waiting: usize,
 }
 
-pub struct Link {
+pub struct SiteTransport {
     endpoint: Endpoint,
     client: ClientConfig,
     other_site: String,
     roads: BTreeMap<usize, Road>,
-    by_no: BTreeMap<RoadNo, usize>,
-    last: RoadNo,
+    by_no: BTreeMap<PathId, usize>,
+    last: PathId,
     out: VecDeque<(SocketAddr, Vec<u8>)>,
-    heard: VecDeque<Heard>,
+    heard: VecDeque<TransportEvent>,
 }
 
 fn transport() -> Arc<TransportConfig> {
@@ -98,7 +98,7 @@
     // what is lost, still carries letters where a third of all datagrams are dropped.
     transport.congestion_controller_factory(Arc::new(BbrConfig::default()));
     // Guards against a peer that sends one endless letter, or many: what is not read is not taken in.
-    transport.stream_receive_window((MOST as u32 + 1).into());
+    transport.stream_receive_window((MAX_MESSAGE_BYTES as u32 + 1).into());
     transport.receive_window((WAITING_MOST as u32).into());
     Arc::new(transport)
 }
@@ -142,15 +142,15 @@
     Ok((server, client))
 }
 
-impl Link {
+impl SiteTransport {
     /// An end that shows these credentials and speaks to gateways of the other site.
     ///
     /// # Errors
     /// Says which of the credentials is of no use, and why.
-    pub fn new(credentials: &Credentials, other_site: &str) -> Result<Link, String> {
+    pub fn new(credentials: &Credentials, other_site: &str) -> Result<SiteTransport, String> {
         let (server, client) = ends(credentials)?;
         let own = Arc::new(EndpointConfig::default());
-        Ok(Link {
+        Ok(SiteTransport {
             endpoint: Endpoint::new(own, Some(Arc::new(server)), true, None),
             client,
             other_site: other_site.into(),
@@ -181,8 +181,8 @@
         &mut self,
         now: Instant,
         address: SocketAddr,
-        peer: &Party,
-    ) -> Result<RoadNo, String> {
+        peer: &GatewayName,
+    ) -> Result<PathId, String> {
         if self.roads.len() >= LINKS_MOST {
             return Err(format!("{LINKS_MOST} links already"));
         }
@@ -199,8 +199,8 @@
         now: Instant,
         handle: ConnectionHandle,
         connection: Connection,
-        peer: Option<Party>,
-    ) -> RoadNo {
+        peer: Option<GatewayName>,
+    ) -> PathId {
         self.last += 1;
         let road = Road {
             no: self.last,
@@ -218,7 +218,7 @@
         self.last
     }
 
-    pub fn hang_up(&mut self, now: Instant, road: RoadNo, why: &str) {
+    pub fn hang_up(&mut self, now: Instant, road: PathId, why: &str) {
         let Some(ix) = self.by_no.get(&road).copied() else {
             return;
         };
@@ -276,7 +276,7 @@
 
     /// Sends a letter. One that `may_be_lost` goes in a datagram if it fits; any other arrives, or its link goes
     /// down. Gives back whether there was room.
-    pub fn send(&mut self, now: Instant, road: RoadNo, bytes: Vec<u8>, may_be_lost: bool) -> bool {
+    pub fn send(&mut self, now: Instant, road: PathId, bytes: Vec<u8>, may_be_lost: bool) -> bool {
         let Some(ix) = self.by_no.get(&road).copied() else {
             return false;
         };
@@ -331,7 +331,7 @@
         self.out.pop_front()
     }
 
-    pub fn next_heard(&mut self) -> Option<Heard> {
+    pub fn next_heard(&mut self) -> Option<TransportEvent> {
         self.heard.pop_front()
     }
 
@@ -376,7 +376,8 @@
                         Bytes::from(why.clone().into_bytes()),
                     );
                     let remote = road.connection.remote_address();
-                    self.heard.push_back(Heard::Refused { remote, why });
+                    self.heard
+                        .push_back(TransportEvent::Refused { remote, why });
                     road.peer = None;
                 }
             }
@@ -384,7 +385,7 @@
                 let no = road.no;
                 if road.up || road.peer.is_some() {
                     let peer = road.peer.take();
-                    self.heard.push_back(Heard::Down {
+                    self.heard.push_back(TransportEvent::Closed {
                         road: no,
                         peer,
                         orderly: true,
@@ -408,7 +409,7 @@
         &mut self,
         event: Event,
         other_site: &str,
-        heard: &mut VecDeque<Heard>,
+        heard: &mut VecDeque<TransportEvent>,
     ) -> Option<String> {
         match event {
             Event::Connected => {
@@ -430,7 +431,7 @@
                 };
                 self.up = true;
                 self.peer = Some(named.clone());
-                heard.push_back(Heard::Up {
+                heard.push_back(TransportEvent::Opened {
                     road: self.no,
                     peer: named,
                 });
@@ -441,19 +442,19 @@
                 let orderly = matches!(&reason, ConnectionError::ApplicationClosed(c) if c.error_code == VarInt::from_u32(0));
                 let why = reason.to_string();
                 heard.push_back(match peer {
-                    Some(peer) => Heard::Down {
+                    Some(peer) => TransportEvent::Closed {
                         road: self.no,
                         peer: Some(peer),
                         orderly,
                         why,
                     },
-                    None if up => Heard::Down {
+                    None if up => TransportEvent::Closed {
                         road: self.no,
                         peer: None,
                         orderly,
                         why,
                     },
-                    None => Heard::Refused { remote, why },
+                    None => TransportEvent::Refused { remote, why },
                 });
             }
             Event::Stream(StreamEvent::Opened { dir: Dir::Uni }) => {
@@ -470,7 +471,7 @@
             }
             Event::DatagramReceived => {
                 while let Some(bytes) = self.connection.datagrams().recv() {
-                    heard.push_back(Heard::Letter {
+                    heard.push_back(TransportEvent::Message {
                         road: self.no,
                         bytes: bytes.into(),
                     });
@@ -481,7 +482,7 @@
         None
     }
 
-    fn read(&mut self, id: StreamId, heard: &mut VecDeque<Heard>) {
+    fn read(&mut self, id: StreamId, heard: &mut VecDeque<TransportEvent>) {
         let Some(letter) = self.reading.get_mut(&id) else {
             return;
         };
@@ -489,8 +490,10 @@
         let over = match stream.read(true) {
             Ok(mut chunks) => {
                 let over = loop {
-                    match chunks.next(MOST) {
-                        Ok(Some(chunk)) if letter.len() + chunk.bytes.len() <= MOST => {
+                    match chunks.next(MAX_MESSAGE_BYTES) {
+                        Ok(Some(chunk))
+                            if letter.len() + chunk.bytes.len() <= MAX_MESSAGE_BYTES =>
+                        {
                             letter.extend_from_slice(&chunk.bytes)
                         }
                         // Too long, or taken back: no letter.
@@ -512,7 +515,7 @@
             if letter.is_empty() {
                 let _ = self.connection.recv_stream(id).stop(VarInt::from_u32(2));
             } else {
-                heard.push_back(Heard::Letter {
+                heard.push_back(TransportEvent::Message {
                     road: self.no,
                     bytes: letter,
                 });
