--- a/crates/fault-injection/src/core.rs
+++ b/crates/fault-injection/src/core.rs
@@ -8,8 +8,8 @@
 use std::net::SocketAddr;
 
 use harrierdock_multi_site::{
-    Action, Change, Event, MultiSite, MultiSiteConfig, OperatorCommand, RequestClass, RequestEnd,
-    TrafficLocation,
+    Action, Change, Event, InboundId, MultiSite, MultiSiteConfig, OperatorCommand, PathId,
+    RequestClass, RequestEnd, TrafficLocation,
 };
 use harrierdock_site_messages::{ForwardingOutcome, GatewayName, SiteMessage};
 use harrierdock_types::{IdempotencyScope, RequestId, RetrySafety};
@@ -30,11 +30,11 @@
         let (name, latency_objective) = (name.to_string(), TimeDelta(400_000));
         RequestClass {
             name,
-            repeat,
+            retry_safety: repeat,
             latency_objective,
-            expiry: EXPIRY,
+            timeout: EXPIRY,
             priority_weight,
-            spans,
+            deduplicates_across_sites: spans,
         }
     };
     let referenced = RetrySafety::IdempotencyKey {
@@ -248,16 +248,16 @@
             .take(2);
         let gateway = &self.gateways[ix];
         let place = MultiSiteConfig {
-            own: gateway.party.clone(),
+            own_name: gateway.party.clone(),
             address: Some(gateway.address),
             incarnation: own_time(ix, self.now).0 as u64,
             other_site: SITES[other].into(),
             seeds: seeds.map(|g| (g.party.clone(), g.address)).collect(),
             classes: classes(),
-            warm: SECOND * 2.0,
+            slow_start_window: SECOND * 2.0,
             tick: TICK,
             retry_after: None,
-            memory: 1 << 16,
+            stored_response_bytes: 1 << 16,
             seed: self.now.0 as u64 ^ ix as u64,
         };
         let now = own_time(ix, self.now);
@@ -303,7 +303,7 @@
         let Some(sites) = &mut self.gateways[ix].sites else {
             return;
         };
-        for action in sites.take(now, event) {
+        for action in sites.handle(now, event) {
             self.obey(ix, action);
         }
     }
@@ -311,7 +311,10 @@
     fn obey(&mut self, ix: usize, action: Action) {
         let (now, life) = (self.now, self.gateways[ix].life);
         match action {
-            Action::ServeLocally { id, left } => {
+            Action::ServeLocally {
+                id,
+                remaining: left,
+            } => {
                 let txn = &mut self.txns[id.0 as usize];
                 txn.spent |= txn.across;
                 let class = txn.class;
@@ -319,11 +322,11 @@
             }
             Action::Forward {
                 id,
-                road,
-                crossing,
-                to,
-                beat,
-                left,
+                path,
+                forwarding_id,
+                receiver_incarnation,
+                heartbeat_sequence,
+                remaining: left,
             } => {
                 let txn = &mut self.txns[id.0 as usize];
                 assert!(
@@ -334,19 +337,19 @@
                 txn.across = true;
                 self.found.crossed += 1;
                 let handover = harrierdock_site_messages::ForwardedRequest {
-                    crossing,
-                    from: self.gateways[ix]
+                    forwarding_id,
+                    sender_incarnation: self.gateways[ix]
                         .sites
                         .as_ref()
                         .map_or(0, MultiSite::incarnation),
-                    to,
-                    beat,
+                    receiver_incarnation,
+                    heartbeat_sequence,
                     class: classes()[txn.class].name.clone(),
-                    left_ms: (left.0 / 1000) as u32,
-                    txn: id.0.to_string(),
+                    remaining_ms: (left.0 / 1000) as u32,
+                    request_id: id.0.to_string(),
                     ..Default::default()
                 };
-                self.send(ix, road, SiteMessage::Request(handover));
+                self.send(ix, path.0, SiteMessage::Request(handover));
             }
             Action::Succeed { id, .. } => {
                 self.found.crossed_settled += 1;
@@ -355,25 +358,27 @@
             Action::Reject { id, .. } => self.answer(id, ForwardingOutcome::NotAccepted),
             Action::Fail { id } => self.answer(id, ForwardingOutcome::Failed),
             Action::ServeInbound {
-                inward,
+                inbound: InboundId(inward),
                 class,
-                left,
-                handover,
+                remaining: left,
+                request: handover,
                 ..
             } => {
-                let txn = handover.txn.parse().unwrap_or(0);
+                let txn = handover.request_id.parse().unwrap_or(0);
                 self.found.taken_while_drained += u64::from(self.gateways[ix].drained);
                 self.gateways[ix].inward.insert(inward, txn);
                 self.serve(ix, Job::Inward(inward), txn, class.0, left);
             }
-            Action::AbandonInbound { inward } => {
+            Action::AbandonInbound {
+                inbound: InboundId(inward),
+            } => {
                 if self.gateways[ix].inward.remove(&inward).is_some() {
                     let (verdict, body) = (ForwardingOutcome::Failed, Vec::new());
                     self.tell(
                         ix,
                         Event::InboundCompleted {
-                            inward,
-                            verdict,
+                            inbound: InboundId(inward),
+                            outcome: verdict,
                             build: None,
                             body,
                         },
@@ -397,8 +402,8 @@
                     None => self.after(SECOND, Happening::Unreachable { gateway: ix, peer }),
                 }
             }
-            Action::ClosePath { road } => self.hang_up(road, ix, true),
-            Action::Send { road, letter } => self.send(ix, road, letter),
+            Action::ClosePath { path } => self.hang_up(path.0, ix, true),
+            Action::Send { path, message } => self.send(ix, path.0, message),
             Action::StatusChanged(Change::TrafficMoved { location: home, .. }) => {
                 if home != TrafficLocation::Local {
                     self.moves.entry(ix).or_default().push(now);
@@ -455,8 +460,8 @@
                     self.tell(
                         ix,
                         Event::InboundCompleted {
-                            inward,
-                            verdict,
+                            inbound: InboundId(inward),
+                            outcome: verdict,
                             build: None,
                             body: Vec::new(),
                         },
@@ -466,8 +471,8 @@
                         ix,
                         Event::RequestEnded {
                             class: ClassId(class),
-                            ending,
-                            took,
+                            end: ending,
+                            elapsed: took,
                         },
                     );
                 }
@@ -481,7 +486,7 @@
                             Event::LocallyRejected {
                                 id,
                                 class: ClassId(class),
-                                left,
+                                remaining: left,
                             },
                         );
                     }
@@ -544,8 +549,8 @@
                     self.tell(
                         ix,
                         Event::InboundCompleted {
-                            inward,
-                            verdict,
+                            inbound: InboundId(inward),
+                            outcome: verdict,
                             build: Some(BuildId(1)),
                             body,
                         },
@@ -570,8 +575,8 @@
             ix,
             Event::RequestEnded {
                 class: ClassId(class),
-                ending,
-                took: TimeDelta(100_000),
+                end: ending,
+                elapsed: TimeDelta(100_000),
             },
         );
     }
@@ -660,7 +665,7 @@
                         Event::RequestReceived {
                             id,
                             class: ClassId(class),
-                            left: EXPIRY,
+                            remaining: EXPIRY,
                         },
                     );
                 }
@@ -674,8 +679,8 @@
                     self.tell(
                         to,
                         Event::MessageReceived {
-                            road: link,
-                            letter: *letter,
+                            path: PathId(link),
+                            message: *letter,
                         },
                     );
                 }
@@ -692,11 +697,17 @@
                     return self.tell(from, Event::ConnectFailed { peer });
                 }
                 self.links.insert(link, (from, to));
-                self.tell(from, Event::PathOpened { road: link, peer });
+                self.tell(
+                    from,
+                    Event::PathOpened {
+                        path: PathId(link),
+                        peer,
+                    },
+                );
                 self.tell(
                     to,
                     Event::PathOpened {
-                        road: link,
+                        path: PathId(link),
                         peer: peer_of,
                     },
                 );
@@ -711,7 +722,7 @@
             } => self.tell(
                 gateway,
                 Event::PathClosed {
-                    road: link,
+                    path: PathId(link),
                     orderly,
                 },
             ),
@@ -766,7 +777,7 @@
         let found = &mut self.found;
         for txn in &self.txns {
             let lived = self.gateways[txn.gateway].life == txn.life;
-            let repeat = classes[txn.class].repeat;
+            let repeat = classes[txn.class].retry_safety;
             if lived {
                 found.taken += 1;
                 found.answered_once += u64::from(txn.answers.len() == 1);
@@ -781,7 +792,7 @@
                 let first = txn.runs.first().map(|r| r.1);
                 let apart = |r: &(usize, Timestamp)| first.is_some_and(|f| r.1 - f > MEMORY);
                 let sites: BTreeSet<usize> = txn.runs.iter().map(|r| r.0).collect();
-                let strays = sites.len() > 1 && !classes[txn.class].spans;
+                let strays = sites.len() > 1 && !classes[txn.class].deduplicates_across_sites;
                 found.repeats_outside_memory += u64::from(strays || txn.runs.iter().any(apart));
             }
             let first = txn.answers.first().map(|a| a.0);
@@ -790,7 +801,7 @@
             // A client may try again what was declined: that must not have run, once-only or outside a group.
             let harmless = match repeat {
                 RetrySafety::Idempotent => true,
-                RetrySafety::IdempotencyKey { .. } => classes[txn.class].spans,
+                RetrySafety::IdempotencyKey { .. } => classes[txn.class].deduplicates_across_sites,
                 RetrySafety::NonIdempotent => false,
             };
             let declined = first == Some(ForwardingOutcome::NotAccepted);
@@ -808,8 +819,9 @@
                 .max(points.iter().map(within).max().unwrap_or(0) as u64);
         }
         for gateway in &self.gateways {
-            let owed = gateway.sites.as_ref().map_or((0, 0), MultiSite::owed);
-            found.left_owed += (owed.0 + owed.1) as u64;
+            let open = gateway.sites.as_ref().map(MultiSite::open_requests);
+            let open = open.unwrap_or_default();
+            found.left_owed += (open.outbound + open.inbound) as u64;
         }
         self.found
     }
--- a/crates/fault-injection/src/flows.rs
+++ b/crates/fault-injection/src/flows.rs
@@ -92,7 +92,8 @@
         &read("authority.pem")?,
         &read("hobart-collector.pem")?,
         &read("hobart-collector.key")?,
-    )?;
+    )
+    .map_err(|e| e.to_string())?;
     let mut roots = RootCertStore::empty();
     own.authority
         .iter()
--- a/crates/fault-injection/src/membership.rs
+++ b/crates/fault-injection/src/membership.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use harrierdock_multi_site::{Membership, MembershipAction, ROUND};
+use harrierdock_multi_site::{Membership, MembershipAction, PathId, HEARTBEAT_INTERVAL};
 use harrierdock_site_messages::{
-    write, GatewayName, Heartbeat, MemberRecord, MemberState, SiteMessage,
+    encode, GatewayName, Heartbeat, MemberRecord, MemberState, SiteMessage,
 };
 use harrierdock_types::Timestamp;
 use nanorand::{Rng, WyRand};
@@ -89,11 +89,11 @@
             .collect();
         let (incarnation, address) = (self.now.0 as u64, Some(address(ix)));
         let own = MemberRecord {
-            party: party(ix),
+            gateway: party(ix),
             address,
             incarnation,
             version: 1,
-            standing: MemberState::Serving,
+            state: MemberState::Serving,
         };
         Membership::new(
             own,
@@ -111,10 +111,10 @@
                         continue;
                     };
                     self.last += 1;
-                    let (now, mut more) = (self.now, Vec::new());
+                    let (now, path) = (self.now, PathId(self.last));
                     self.links.insert(self.last, (ix, to));
-                    self.all[ix].up(now, self.last, peer, &mut more);
-                    self.all[to].up(now, self.last, party(ix), &mut more);
+                    let mut more = self.all[ix].path_opened(now, path, peer);
+                    more.extend(self.all[to].path_opened(now, path, party(ix)));
                     // One that holds as many roads as it may hangs up at once.
                     if more
                         .iter()
@@ -123,7 +123,7 @@
                         self.drop_link(self.last, true);
                     }
                 }
-                MembershipAction::ClosePath { road } => self.drop_link(road, true),
+                MembershipAction::ClosePath { path } => self.drop_link(path.0, true),
                 _ => {}
             }
         }
@@ -135,36 +135,35 @@
         };
         let now = self.now;
         for ix in [a, b] {
-            let mut asked = Vec::new();
-            self.all[ix].down(now, link, orderly, &mut asked);
+            let asked = self.all[ix].path_closed(now, PathId(link), orderly);
             self.obey(ix, asked);
         }
     }
 
     fn round(&mut self) {
-        self.now = self.now + ROUND;
+        self.now = self.now + HEARTBEAT_INTERVAL;
         self.bytes = 0;
         let mut beats: Vec<(usize, u64, Heartbeat)> = Vec::new();
         for ix in 0..self.all.len() {
-            let (now, mut asked) = (self.now, Vec::new());
-            let sent = self.all[ix].round(now, &mut asked);
-            self.obey(ix, asked);
-            beats.extend(sent.into_iter().map(|(link, beat)| (ix, link, beat)));
+            let interval = self.all[ix].start_interval(self.now);
+            self.obey(ix, interval.actions);
+            let sent = interval.heartbeats.into_iter();
+            beats.extend(sent.map(|sent| (ix, sent.path.0, sent.heartbeat)));
         }
         for (ix, link, beat) in beats {
             let Some((a, b)) = self.links.get(&link).copied() else {
                 continue;
             };
             let letter = SiteMessage::Heartbeat(beat);
-            self.bytes += write(&letter).map_or(0, |bytes| bytes.len());
+            self.bytes += encode(&letter).map_or(0, |bytes| bytes.len());
             if self.chance.generate::<f64>() < self.loss {
                 continue;
             }
-            let (to, mut asked) = (if a == ix { b } else { a }, Vec::new());
+            let to = if a == ix { b } else { a };
             if let SiteMessage::Heartbeat(beat) = &letter {
-                self.all[to].hear(self.now, link, beat, &mut asked);
+                let asked = self.all[to].heartbeat_received(self.now, PathId(link), beat);
+                self.obey(to, asked);
             }
-            self.obey(to, asked);
         }
     }
 
@@ -204,7 +203,7 @@
         } else {
             MemberState::Serving
         };
-        world.all[ix].stand(standing);
+        world.all[ix].set_own_state(standing);
         let version = world.all[ix].own().version;
         all_rounds.push(world.known(&[ix], |r| r.version >= version));
         progress();
@@ -233,18 +232,18 @@
     world.round();
     found.bytes_restart = world.per_gateway();
     found.rounds_after_restart = world.known(&again, |r| {
-        r.incarnation >= from && r.standing < MemberState::Suspected
+        r.incarnation >= from && r.state < MemberState::Suspected
     }) + 1;
     progress();
     (0..SETTLE).for_each(|_| world.round());
-    let roads: Vec<usize> = world.all.iter().map(|m| m.roads.len()).collect();
+    let roads: Vec<usize> = world.all.iter().map(|m| m.paths().len()).collect();
     found.roads_mean = roads.iter().sum::<usize>() as f64 / roads.len() as f64;
     found.roads_most = roads.iter().copied().max().unwrap_or(0);
     let wrong = world
         .all
         .iter()
         .flat_map(|m| m.records())
-        .filter(|(r, _)| r.standing >= MemberState::Suspected);
+        .filter(|(r, _)| r.state >= MemberState::Suspected);
     found.wrongly_suspected = wrong.count();
     found
 }
--- a/crates/gateway/src/cli/keys.rs
+++ b/crates/gateway/src/cli/keys.rs
@@ -7,18 +7,20 @@
 use std::time::{Duration, SystemTime};
 
 use harrierdock_site_messages::GatewayName;
-use harrierdock_site_transport::keys::{authority, issue, show, Pair};
+use harrierdock_site_transport::{
+    create_authority, describe_certificates, issue_certificate, CertificatePair, Validity,
+};
 
 /// Certificates count from a little before now, so that sites whose clocks differ believe them at once.
 const BEFORE: Duration = Duration::from_secs(3600);
 const AUTHORITY: &str = "authority";
 
-fn valid_for(days: u32) -> (SystemTime, SystemTime) {
+fn valid_for(days: u32) -> Validity {
     let now = SystemTime::now();
-    (
-        now - BEFORE,
-        now + Duration::from_secs(u64::from(days) * 86_400),
-    )
+    Validity {
+        from: now - BEFORE,
+        until: now + Duration::from_secs(u64::from(days) * 86_400),
+    }
 }
 
 /// Writes a new file; one that stands there stays as it is.
@@ -31,7 +33,7 @@
         .map_err(wrong)
 }
 
-fn write_pair(folder: &Path, name: &str, pair: &Pair) -> Result<Vec<PathBuf>, String> {
+fn write_pair(folder: &Path, name: &str, pair: &CertificatePair) -> Result<Vec<PathBuf>, String> {
     let paths = [
         folder.join(format!("{name}.pem")),
         folder.join(format!("{name}.key")),
@@ -53,12 +55,8 @@
 /// Makes an authority in the folder. Gives back the files written, a line each.
 pub fn make_authority(folder: &Path, name: &str, days: u32) -> Result<String, String> {
     fs::create_dir_all(folder).map_err(|e| format!("{}: {e}", folder.display()))?;
-    let (from, until) = valid_for(days);
-    Ok(said(&write_pair(
-        folder,
-        AUTHORITY,
-        &authority(name, from, until)?,
-    )?))
+    let pair = create_authority(name, valid_for(days)).map_err(|e| e.to_string())?;
+    Ok(said(&write_pair(folder, AUTHORITY, &pair)?))
 }
 
 /// Issues a certificate to each gateway, named `SITE/GATEWAY`, by the folder's authority.
@@ -67,11 +65,11 @@
         let path = folder.join(format!("{AUTHORITY}.{ending}"));
         fs::read_to_string(&path).map_err(|e| format!("{}: {e}", path.display()))
     };
-    let by = Pair {
+    let by = CertificatePair {
         certificate: read("pem")?,
         key: read("key")?,
     };
-    let (from, until) = valid_for(days);
+    let validity = valid_for(days);
     let mut written = Vec::new();
     for gateway in gateways {
         let (site, name) = gateway
@@ -81,7 +79,7 @@
             site: site.into(),
             gateway: name.into(),
         };
-        let pair = issue(&by, &party, from, until)?;
+        let pair = issue_certificate(&by, &party, validity).map_err(|e| e.to_string())?;
         written.extend(write_pair(folder, &format!("{site}-{name}"), &pair)?);
     }
     Ok(said(&written))
@@ -91,7 +89,7 @@
 pub fn show_file(path: &Path) -> Result<String, String> {
     let wrong = |e: &dyn std::fmt::Display| format!("{}: {e}", path.display());
     let pem = fs::read(path).map_err(|e| wrong(&e))?;
-    show(&pem, SystemTime::now())
+    describe_certificates(&pem, SystemTime::now())
         .map(|text| text.trim_end().to_string())
         .map_err(|e| wrong(&e))
 }
--- a/crates/gateway/src/config/extensions.rs
+++ b/crates/gateway/src/config/extensions.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 
 use harrierdock_site_messages::GatewayName;
-use harrierdock_site_transport::{keys, Credentials};
+use harrierdock_site_transport::{check_label, Credentials};
 use harrierdock_types::TimeDelta;
 use schemars::JsonSchema;
 use serde::Deserialize;
@@ -239,9 +239,10 @@
         };
         let own = sites.own(name);
         let field = |field: &str, e: String| format!("sites.{field}: {e}");
-        keys::label(&own.site).map_err(|e| field("site", e))?;
-        keys::label(&own.gateway).map_err(|e| field("gateway", e))?;
-        keys::label(&sites.other.site).map_err(|e| field("other.site", e))?;
+        let label = |at: &str, name: &str| check_label(name).map_err(|e| field(at, e.to_string()));
+        label("site", &own.site)?;
+        label("gateway", &own.gateway)?;
+        label("other.site", &sites.other.site)?;
         if sites.other.site == own.site {
             return Err(field(
                 "other.site",
@@ -255,8 +256,7 @@
             ));
         }
         for (at, told) in sites.other.gateways.iter().enumerate() {
-            keys::label(&told.gateway)
-                .map_err(|e| field(&format!("other.gateways[{at}].gateway"), e))?;
+            label(&format!("other.gateways[{at}].gateway"), &told.gateway)?;
         }
         if let Some(odd) = sites
             .groups_spanning
@@ -308,10 +308,10 @@
     pub fn credentials(&self, own: &GatewayName) -> Result<Credentials, String> {
         let credentials =
             self.read_keys(&self.sites.as_ref().ok_or("no sites")?.keys, "sites.keys")?;
-        if credentials.party != *own {
+        if credentials.gateway != *own {
             return Err(format!(
                 "sites.keys.certificate: names {}, not {own}",
-                credentials.party
+                credentials.gateway
             ));
         }
         Ok(credentials)
--- a/crates/gateway/src/dispatch/dispatcher.rs
+++ b/crates/gateway/src/dispatch/dispatcher.rs
@@ -139,7 +139,14 @@
                     export.taken();
                 }
                 if self.across.is_some() && inward.is_none() {
-                    self.sites(now, SiteEvent::RequestReceived { id, class, left });
+                    self.sites(
+                        now,
+                        SiteEvent::RequestReceived {
+                            id,
+                            class,
+                            remaining: left,
+                        },
+                    );
                 } else {
                     self.hand_in(now, id, left);
                 }
@@ -257,8 +264,8 @@
                 now,
                 SiteEvent::RequestEnded {
                     class,
-                    ending,
-                    took: now - taken,
+                    end: ending,
+                    elapsed: now - taken,
                 },
             );
         }
@@ -358,7 +365,14 @@
                 if let Some(entry) = self.driver.book.get_mut(&id) {
                     entry.whereabouts = Whereabouts::AtTheDoor;
                 }
-                self.sites(now, SiteEvent::LocallyRejected { id, class, left });
+                self.sites(
+                    now,
+                    SiteEvent::LocallyRejected {
+                        id,
+                        class,
+                        remaining: left,
+                    },
+                );
             }
             None => self.answer(id, Answer::Declined { retry_after }),
         }
--- a/crates/gateway/src/multi_site/forwarding.rs
+++ b/crates/gateway/src/multi_site/forwarding.rs
@@ -15,9 +15,9 @@
     RequestClass,
 };
 use harrierdock_site_messages::{
-    self as letters, ForwardedRequest, ForwardingOutcome, GatewayName, SiteMessage,
+    self as messages, ForwardedRequest, ForwardingOutcome, GatewayName, SiteMessage,
 };
-use harrierdock_site_transport::{PathId, SiteTransport, TransportEvent};
+use harrierdock_site_transport::{Delivery, PathId, SiteTransport, TransportEvent};
 use harrierdock_types::{BuildId, Event as ModuleEvent, Lifecycle, RequestId};
 use harrierdock_types::{TimeDelta, Timestamp};
 use socket2::{Domain, Protocol, Socket, Type};
@@ -85,11 +85,11 @@
         let address = socket.local_addr().map_err(listens)?;
         let class = |(name, told): (&str, &harrierdock_types::ClassParameters)| RequestClass {
             name: name.to_string(),
-            repeat: told.retry_safety,
+            retry_safety: told.retry_safety,
             latency_objective: told.latency_objective,
-            expiry: told.timeout,
+            timeout: told.timeout,
             priority_weight: told.priority_weight,
-            spans: between
+            deduplicates_across_sites: between
                 .groups_spanning
                 .iter()
                 .any(|spanning| spanning == name),
@@ -98,7 +98,7 @@
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
         let place = MultiSiteConfig {
-            own: own.clone(),
+            own_name: own.clone(),
             address: Some(between.reached_at.unwrap_or(address)),
             // Unix time serves only to stand above this gateway's earlier starts.
             incarnation: unix.as_micros() as u64,
@@ -110,10 +110,10 @@
                 .zip(&terms.classes)
                 .map(class)
                 .collect(),
-            warm: terms.safety.slow_start_window,
+            slow_start_window: terms.safety.slow_start_window,
             tick: terms.tick,
             retry_after: terms.limits.retry_after,
-            memory: told.limits.memory_mb * MEGABYTE / MEMORY_PART,
+            stored_response_bytes: told.limits.memory_mb * MEGABYTE / MEMORY_PART,
             seed: told.seed(),
         };
         let source = Generic::new(socket.clone(), Interest::READ, Mode::Level);
@@ -151,7 +151,9 @@
         let mut bytes = [0_u8; DATAGRAM_MOST];
         for _ in 0..READ_MOST {
             match self.socket.recv_from(&mut bytes) {
-                Ok((size, from)) => self.link.datagram(Instant::now(), from, &bytes[..size]),
+                Ok((size, from)) => self
+                    .link
+                    .handle_datagram(Instant::now(), from, &bytes[..size]),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
                 // An earlier datagram's word of failure.
                 Err(_) => continue,
@@ -165,20 +167,21 @@
         Some(with(Asked {
             method: &handover.method,
             target: &handover.target,
-            request: &handover.txn,
-            reference: handover.reference.as_deref(),
+            request: &handover.request_id,
+            reference: handover.idempotency_key.as_deref(),
             body: &handover.body,
         }))
     }
 
-    fn send(&mut self, room: &mut Room, road: PathId, letter: &SiteMessage) -> bool {
-        match letters::write(letter) {
-            Ok(bytes) => self.link.send(
-                Instant::now(),
-                road,
-                bytes,
-                matches!(letter, SiteMessage::Heartbeat(_)),
-            ),
+    fn send(&mut self, room: &mut Room, path: PathId, message: &SiteMessage) -> bool {
+        match messages::encode(message) {
+            Ok(bytes) => {
+                let delivery = match message {
+                    SiteMessage::Heartbeat(_) => Delivery::BestEffort,
+                    _ => Delivery::Reliable,
+                };
+                self.link.send(Instant::now(), path, bytes, delivery)
+            }
             Err(e) => {
                 room.counters
                     .must(false, &format!("a letter can be written: {e}"));
@@ -189,7 +192,7 @@
 
     /// Sends what the link has for the socket, and notes when it wants to be called.
     fn flush(&mut self, room: &mut Room) {
-        while let Some((to, bytes)) = self.link.next_out() {
+        while let Some((to, bytes)) = self.link.next_datagram() {
             // A datagram may be lost on its way as well.
             let _ = self.socket.send_to(&bytes, to);
         }
@@ -214,34 +217,34 @@
     pub fn renew(&mut self, with: &With) -> Result<(), String> {
         let credentials = with.credentials(&self.own)?;
         self.link
-            .renew(&credentials)
+            .replace_credentials(&credentials)
             .map_err(|e| format!("sites.keys: {e}"))
     }
 }
 
 fn plain(change: &Change) -> String {
     match change {
-        Change::Joined { party } => format!("{party} is known"),
+        Change::Joined { gateway } => format!("{gateway} is known"),
         Change::Member {
-            party,
-            standing,
-            back,
-            reborn,
+            gateway,
+            state,
+            returned,
+            restarted,
         } => {
-            let word = format!("{standing:?}").to_lowercase();
-            let more = match (back, reborn) {
+            let state = status::state_text(*state);
+            let more = match (returned, restarted) {
                 (_, true) => ", started anew",
                 (true, _) => ", returned",
                 _ => "",
             };
-            format!("{party} is {word}{more}")
+            format!("{gateway} is {state}{more}")
         }
         Change::TrafficMoved {
             location: home,
             reason: why,
         } => {
-            let home = status::home(*home);
-            format!("traffic is {home}: {}", status::why(*why))
+            let home = status::location_text(*home);
+            format!("traffic is {home}: {}", status::reason_text(*why))
         }
         Change::UnmatchedResponses { count: letters } => {
             format!("{letters} answers matched no crossing")
@@ -255,14 +258,14 @@
         let Some(across) = &mut self.across else {
             return;
         };
-        for action in across.sites.take(now, event) {
+        for action in across.sites.handle(now, event) {
             self.obey_sites(now, action);
         }
     }
 
     /// Lets the link speak and be heard, until nothing more is to be done for now.
     pub fn pump(&mut self) {
-        while let Some(heard) = self.across.as_mut().and_then(|a| a.link.next_heard()) {
+        while let Some(heard) = self.across.as_mut().and_then(|a| a.link.next_event()) {
             let now = self.room.now();
             self.link_heard(now, heard);
         }
@@ -274,7 +277,7 @@
     pub fn link_due(&mut self) {
         if let Some(across) = &mut self.across {
             across.link_due = None;
-            across.link.timeout(Instant::now());
+            across.link.handle_timeout(Instant::now());
         }
     }
 
@@ -291,18 +294,18 @@
             return;
         };
         match heard {
-            TransportEvent::Opened { road, peer } => {
-                across.dialled.remove(&road);
+            TransportEvent::Opened { path, peer } => {
+                across.dialled.remove(&path);
                 tracing::info!("sites: linked with {peer}");
-                self.sites(now, Event::PathOpened { road, peer });
+                self.sites(now, Event::PathOpened { path, peer });
             }
             TransportEvent::Closed {
-                road,
+                path,
                 peer,
                 orderly,
-                why,
+                reason: why,
             } => {
-                let dialled = across.dialled.remove(&road);
+                let dialled = across.dialled.remove(&path);
                 match (dialled, peer) {
                     (Some(peer), _) => {
                         tracing::debug!("sites: {peer} cannot be reached: {why}");
@@ -314,11 +317,14 @@
                     (None, peer) => {
                         let peer = peer.map_or("a gateway".to_string(), |p| p.to_string());
                         tracing::info!("sites: link with {peer} is down: {why}");
-                        self.sites(now, Event::PathClosed { road, orderly });
+                        self.sites(now, Event::PathClosed { path, orderly });
                     }
                 }
             }
-            TransportEvent::Refused { remote, why } => {
+            TransportEvent::Refused {
+                remote,
+                reason: why,
+            } => {
                 across.refused += 1;
                 // Guards against a log full of strangers: one line in a while says how many there were.
                 if across
@@ -330,8 +336,8 @@
                     tracing::warn!("sites: {many} refused lately, the last from {remote}: {why}");
                 }
             }
-            TransportEvent::Message { road, bytes } => match letters::read(&bytes) {
-                Ok(letter) => self.sites(now, Event::MessageReceived { road, letter }),
+            TransportEvent::Message { path, bytes } => match messages::decode(&bytes) {
+                Ok(message) => self.sites(now, Event::MessageReceived { path, message }),
                 Err(e) => {
                     self.room.counters.add(Count::LettersRefused);
                     tracing::debug!("sites: a letter cannot be read: {e}");
@@ -342,35 +348,35 @@
 
     fn obey_sites(&mut self, now: Timestamp, action: Action) {
         match action {
-            Action::ServeLocally { id, left } => self.hand_in(now, id, left),
+            Action::ServeLocally { id, remaining } => self.hand_in(now, id, remaining),
             Action::Forward {
                 id,
-                road,
-                crossing,
-                to,
-                beat,
-                left,
+                path,
+                forwarding_id,
+                receiver_incarnation,
+                heartbeat_sequence,
+                remaining,
             } => {
                 let blank = ForwardedRequest {
-                    crossing,
-                    to,
-                    beat,
+                    forwarding_id,
+                    receiver_incarnation,
+                    heartbeat_sequence,
                     ..ForwardedRequest::default()
                 };
-                self.hand_over(now, id, road, blank, left)
+                self.hand_over(now, id, path, blank, remaining)
             }
             Action::Succeed { id, body, build } => self.settled_across(now, id, &body, build),
             Action::Reject { id, retry_after } => self.answer(id, Answer::Declined { retry_after }),
             Action::Fail { id } => self.answer(id, Answer::Voided),
             Action::ServeInbound {
-                inward,
+                inbound: inward,
                 class,
                 key,
-                left,
-                handover,
+                remaining: left,
+                request: handover,
             } => {
                 let id = self.room.next_txn();
-                let (again, least) = (handover.again, handover.least_build);
+                let (again, least) = (handover.is_client_retry, handover.minimum_build);
                 if let Some(across) = &mut self.across {
                     across.held.insert(id, (inward, handover));
                     across.inward.insert(inward, id);
@@ -392,7 +398,7 @@
                     inward: Some(inward),
                 });
             }
-            Action::AbandonInbound { inward } => {
+            Action::AbandonInbound { inbound: inward } => {
                 if let Some(id) = self
                     .across
                     .as_ref()
@@ -406,9 +412,9 @@
                 let Some(across) = &mut self.across else {
                     return;
                 };
-                match across.link.dial(Instant::now(), address, &peer) {
-                    Ok(road) => {
-                        across.dialled.insert(road, peer);
+                match across.link.connect(Instant::now(), address, &peer) {
+                    Ok(path) => {
+                        across.dialled.insert(path, peer);
                     }
                     Err(e) => {
                         tracing::debug!("sites: {peer} cannot be dialled: {e}");
@@ -416,15 +422,15 @@
                     }
                 }
             }
-            Action::ClosePath { road } => {
+            Action::ClosePath { path } => {
                 if let Some(across) = &mut self.across {
-                    across.link.hang_up(Instant::now(), road, "no road");
+                    across.link.close(Instant::now(), path, "no path");
                 }
             }
-            Action::Send { road, letter } => {
+            Action::Send { path, message } => {
                 let Gateway { across, room, .. } = self;
                 if let Some(across) = across {
-                    across.send(room, road, &letter);
+                    across.send(room, path, &message);
                 }
             }
             Action::StatusChanged(change) => match change {
@@ -454,7 +460,7 @@
         &mut self,
         now: Timestamp,
         id: RequestId,
-        road: PathId,
+        path: PathId,
         blank: ForwardedRequest,
         left: TimeDelta,
     ) {
@@ -470,19 +476,19 @@
             ..
         } = self;
         let Some(across) = across else { return };
-        let (from, crossing) = (across.sites.incarnation(), blank.crossing);
+        let (from, crossing) = (across.sites.incarnation(), blank.forwarding_id);
         let name = driver.names.classes.name(class).to_string();
         let write = |asked: Asked<'_>| ForwardedRequest {
-            from,
+            sender_incarnation: from,
             class: name,
-            left_ms: (left.0 / 1000).clamp(0, i64::from(u32::MAX)) as u32,
-            again,
-            key: key.map(|k| k.0),
-            least_build,
+            remaining_ms: (left.0 / 1000).clamp(0, i64::from(u32::MAX)) as u32,
+            is_client_retry: again,
+            affinity_key: key.map(|k| k.0),
+            minimum_build: least_build,
             method: asked.method.into(),
             target: asked.target.into(),
-            txn: asked.request.into(),
-            reference: asked.reference.map(str::to_string),
+            request_id: asked.request.into(),
+            idempotency_key: asked.reference.map(str::to_string),
             body: asked.body.to_vec(),
             ..blank
         };
@@ -491,21 +497,21 @@
             return;
         };
         room.counters.add(Count::HandedOver);
-        if !across.send(room, road, &SiteMessage::Request(handover)) {
+        if !across.send(room, path, &SiteMessage::Request(handover)) {
             // Not sent, so not taken, for certain.
             let verdict = ForwardingOutcome::NotAccepted;
-            let answer = letters::ForwardingResponse {
-                crossing,
-                to: from,
-                verdict,
+            let answer = messages::ForwardingResponse {
+                forwarding_id: crossing,
+                sender_incarnation: from,
+                outcome: verdict,
                 build: None,
                 body: Vec::new(),
             };
             self.sites(
                 now,
                 Event::MessageReceived {
-                    road,
-                    letter: SiteMessage::Response(answer),
+                    path,
+                    message: SiteMessage::Response(answer),
                 },
             );
         }
@@ -561,8 +567,8 @@
         self.sites(
             now,
             Event::InboundCompleted {
-                inward,
-                verdict,
+                inbound: inward,
+                outcome: verdict,
                 build,
                 body,
             },
--- a/crates/multi-site/src/failover.rs
+++ b/crates/multi-site/src/failover.rs
@@ -1,352 +1,211 @@
-//! Where this gateway's requests go: to its own site's servers, or across, and on which road. It keeps the credit
-//! told on each road and what came of its use, and judges when this site is to be left and when to come home.
+//! Failover: whether this gateway's requests go to the local site's endpoints or to the other site.
 
-use std::collections::{BTreeMap, VecDeque};
+use std::collections::VecDeque;
 
-use harrierdock_site_messages::MemberState;
-use harrierdock_types::ClassId;
 use harrierdock_types::{TimeDelta, Timestamp};
 use nanorand::{Rng, WyRand};
 
-use crate::offered_capacity::KEPT;
-use crate::{
-    Change, Membership, MoveReason, PathId, RequestClass, RequestEnd, TrafficLocation, ROUND,
-};
-
-/// Rounds after which credit counts no more: half a second.
-const AGES: f64 = 5.0;
-/// Endings in a row of which none settled, within this many rounds, that show a site to have vanished.
-const VANISHED: usize = 8;
-const VANISHED_WITHIN: f64 = 30.0;
-/// The part of inquiry-like requests that still goes home while away, to see whether anything settles.
-const PROBES: f64 = 0.05;
-/// Probes looked at, and how many of them must have settled, to come home.
-const PROBED: usize = 5;
-const WELL: usize = 4;
-/// How long an excursion lasts at the least; doubled for each that follows another within a minute, up to the
-/// most. Thereby no more than five excursions begin in a minute, whatever the site does.
-pub const EXCURSION: TimeDelta = TimeDelta(2_000_000);
-const EXCURSION_MOST: TimeDelta = TimeDelta(30_000_000);
-const CALM: TimeDelta = TimeDelta(60_000_000);
-/// Times to become warm over which traffic comes home.
-const COMING_HOME: f64 = 1.0;
-/// Weight of a new answer in running means.
-const LEARN: f64 = 0.1;
-/// The part of what went on a road that may be refused before the road rests, and how long it does.
-const REFUSED: f64 = 0.08;
-const RESTS: TimeDelta = TimeDelta(1_000_000);
-/// Crossings out on a road: at first, and the bounds within which their number follows how they end.
-const WINDOW: f64 = 16.0;
-const WINDOW_LEAST: f64 = 4.0;
-const WINDOW_MOST: f64 = 512.0;
-/// Mean times of a crossing that must be left for one to begin.
-const TIMES_LEFT: f64 = 2.0;
-/// The part of the latency objective that a crossing is taken to need before any has come back.
-const FIRST_TIME: f64 = 0.25;
+use crate::{Change, MoveReason, RequestEnd, TrafficLocation, HEARTBEAT_INTERVAL};
+
+/// So many local requests in a row of which none succeeded, within this many intervals, show that the site fails.
+const FAILURES_TO_FAIL_OVER: usize = 8;
+const FAILURE_WINDOW_INTERVALS: f64 = 30.0;
+/// The share of idempotent requests that still goes to the local site during a failover, to see whether any succeeds.
+const PROBE_RATIO: f64 = 0.05;
+/// How many of the latest probes are looked at, and how many of them must have succeeded for traffic to return.
+const PROBES_CONSIDERED: usize = 5;
+const PROBE_SUCCESSES: usize = 4;
+/// The shortest time of a failover. It doubles with each failover that follows another within [`FLAPPING_WINDOW`], so that a site
+/// that keeps failing and recovering doesn't move all traffic each time: at most five failovers begin in a minute.
+const MIN_FAILOVER: TimeDelta = TimeDelta(2_000_000);
+const MAX_MIN_FAILOVER: TimeDelta = TimeDelta(30_000_000);
+const FLAPPING_WINDOW: TimeDelta = TimeDelta(60_000_000);
+/// Distinguishes the draws from those of membership, which have the same seed.
+const SEED_SALT: u64 = 0x5157;
+
+/// How a request at the local site's endpoints ended.
+struct LocalResult {
+    at: Timestamp,
+    succeeded: bool,
+}
 
-#[derive(Default)]
-struct Credit {
-    left: Vec<f64>,
-    told: Timestamp,
-    out: f64,
-    window: f64,
-    refused: f64,
-    rests_until: Timestamp,
+/// Where traffic goes, why, and since when.
+#[derive(Clone, Copy)]
+pub(crate) struct TrafficStatus {
+    pub(crate) location: TrafficLocation,
+    pub(crate) reason: MoveReason,
+    pub(crate) since: Timestamp,
 }
 
-pub struct Crossings {
-    chance: WyRand,
-    classes: usize,
-    /// The mean time of a crossing that settled.
-    times: Vec<TimeDelta>,
-    credit: BTreeMap<PathId, Credit>,
-    /// Requests in this round that would cross, and the mean of such.
-    asked: Vec<f64>,
-    wants: Vec<f64>,
-    roads: usize,
-    home: TrafficLocation,
-    why: MoveReason,
-    since: Timestamp,
-    /// Until when an excursion lasts at the least, how long the next will, and when the last began.
-    stays_until: Timestamp,
-    excursion: TimeDelta,
-    began: Option<Timestamp>,
-    by_hand: bool,
-    /// How the latest requests that went to this site's own servers ended.
-    endings: VecDeque<(Timestamp, bool)>,
-    warm: TimeDelta,
+pub(crate) struct Failover {
+    rng: WyRand,
+    status: TrafficStatus,
+    /// An operator has drained this site.
+    is_drained: bool,
+    /// The earliest end of the current failover, and how long it lasts at the least.
+    earliest_return: Timestamp,
+    min_duration: TimeDelta,
+    last_failover: Option<Timestamp>,
+    /// The latest results, oldest first.
+    results: VecDeque<LocalResult>,
+    /// How long traffic takes to return.
+    return_duration: TimeDelta,
     moves: u64,
     changes: Vec<Change>,
 }
 
-impl Crossings {
-    pub fn new(classes: &[RequestClass], warm: TimeDelta, seed: u64) -> Crossings {
-        Crossings {
-            chance: WyRand::new_seed(seed ^ 0x5157),
-            classes: classes.len(),
-            times: classes
-                .iter()
-                .map(|p| p.latency_objective * FIRST_TIME)
-                .collect(),
-            credit: BTreeMap::new(),
-            asked: vec![0.0; classes.len()],
-            wants: vec![0.0; classes.len()],
-            roads: 0,
-            home: TrafficLocation::Local,
-            why: MoveReason::RequestsSucceed,
-            since: Timestamp(0),
-            stays_until: Timestamp(0),
-            excursion: EXCURSION,
-            began: None,
-            by_hand: false,
-            endings: VecDeque::new(),
-            warm,
+impl Failover {
+    pub(crate) fn new(slow_start_window: TimeDelta, seed: u64) -> Failover {
+        Failover {
+            rng: WyRand::new_seed(seed ^ SEED_SALT),
+            status: TrafficStatus {
+                location: TrafficLocation::Local,
+                reason: MoveReason::RequestsSucceed,
+                since: Timestamp(0),
+            },
+            is_drained: false,
+            earliest_return: Timestamp(0),
+            min_duration: MIN_FAILOVER,
+            last_failover: None,
+            results: VecDeque::new(),
+            return_duration: slow_start_window,
             moves: 0,
             changes: Vec::new(),
         }
     }
 
-    // ---- which site ----
-
-    /// How much of the traffic is to go across at this point.
-    fn share_away(&self, now: Timestamp) -> f64 {
-        match self.home {
+    /// The share of the traffic that goes to the other site now.
+    fn forwarded_ratio(&self, now: Timestamp) -> f64 {
+        match self.status.location {
             TrafficLocation::Local => 0.0,
             TrafficLocation::FailedOver => 1.0,
             TrafficLocation::Returning => {
-                1.0 - (now - self.since)
-                    .ratio_to(self.warm * COMING_HOME)
+                1.0 - (now - self.status.since)
+                    .ratio_to(self.return_duration)
                     .clamp(0.0, 1.0)
             }
         }
     }
 
-    /// Whether this request is to go across. While away, a few that may run again still go home.
-    pub fn goes_away(&mut self, now: Timestamp, may_probe: bool) -> bool {
-        let share = self.share_away(now);
-        if share <= 0.0 {
+    /// Whether this request goes to the other site. During a failover a few that `may_probe` go to the local one.
+    pub(crate) fn should_forward(&mut self, now: Timestamp, may_probe: bool) -> bool {
+        let ratio = self.forwarded_ratio(now);
+        if ratio <= 0.0 {
             return false;
         }
-        let probes = may_probe
-            && self.home == TrafficLocation::FailedOver
-            && self.why != MoveReason::OperatorCommand;
-        if probes && self.chance.generate::<f64>() < PROBES {
+        let is_probing =
+            may_probe && self.is_failed_over() && self.status.reason != MoveReason::OperatorCommand;
+        if is_probing && self.rng.generate::<f64>() < PROBE_RATIO {
             return false;
         }
-        self.chance.generate::<f64>() < share
+        self.rng.generate::<f64>() < ratio
     }
 
-    pub fn is_away(&self) -> bool {
-        self.home == TrafficLocation::FailedOver
+    pub(crate) fn is_failed_over(&self) -> bool {
+        self.status.location == TrafficLocation::FailedOver
     }
 
-    pub fn home_is(&self) -> (TrafficLocation, MoveReason, Timestamp) {
-        (self.home, self.why, self.since)
+    pub(crate) fn status(&self) -> TrafficStatus {
+        self.status
     }
 
-    pub fn ended(&mut self, now: Timestamp, ending: RequestEnd) {
-        if ending != RequestEnd::ClientGone {
-            self.endings
-                .push_back((now, ending == RequestEnd::Succeeded));
-            if self.endings.len() > VANISHED {
-                self.endings.pop_front();
-            }
-        }
+    /// How often traffic has begun to go elsewhere.
+    pub(crate) fn moves(&self) -> u64 {
+        self.moves
     }
 
-    /// Discovery's word on how many servers are ready.
-    pub fn home(&mut self, now: Timestamp, ready: usize) {
-        if ready == 0 && self.home != TrafficLocation::FailedOver {
-            self.leave(now, MoveReason::NoReadyEndpoint);
+    /// A request at the local site's endpoints has ended.
+    pub(crate) fn request_ended(&mut self, now: Timestamp, end: RequestEnd) {
+        if end == RequestEnd::ClientGone {
+            return;
         }
-    }
-
-    pub fn by_hand(&mut self, now: Timestamp, drained: bool) {
-        self.by_hand = drained;
-        if drained {
-            if self.home == TrafficLocation::FailedOver {
-                self.why = MoveReason::OperatorCommand;
-            } else {
-                self.turn(
-                    now,
-                    TrafficLocation::FailedOver,
-                    MoveReason::OperatorCommand,
-                );
-            }
-        } else if self.home == TrafficLocation::FailedOver
-            && self.why == MoveReason::OperatorCommand
-        {
-            self.turn(now, TrafficLocation::Returning, MoveReason::OperatorCommand);
+        self.results.push_back(LocalResult {
+            at: now,
+            succeeded: end == RequestEnd::Succeeded,
+        });
+        if self.results.len() > FAILURES_TO_FAIL_OVER {
+            self.results.pop_front();
         }
     }
 
-    fn turn(&mut self, now: Timestamp, home: TrafficLocation, why: MoveReason) {
-        (self.home, self.why, self.since) = (home, why, now);
-        self.moves += u64::from(home != TrafficLocation::Local);
-        self.endings.clear();
-        self.changes.push(Change::TrafficMoved {
-            location: home,
-            reason: why,
-        });
+    pub(crate) fn endpoints_updated(&mut self, now: Timestamp, ready: usize) {
+        if ready == 0 && !self.is_failed_over() {
+            self.fail_over(now, MoveReason::NoReadyEndpoint);
+        }
     }
 
-    /// Guards against a site that comes and goes taking all traffic with it each time: an excursion that
-    /// follows another lasts longer. Harms by leaving a site that is well again unused for up to half a minute.
-    fn leave(&mut self, now: Timestamp, why: MoveReason) {
-        let soon = self.began.is_some_and(|at| now - at < CALM);
-        self.excursion = if soon {
-            (self.excursion * 2.0).min(EXCURSION_MOST)
-        } else {
-            EXCURSION
-        };
-        (self.began, self.stays_until) = (Some(now), now + self.excursion);
-        self.turn(now, TrafficLocation::FailedOver, why);
+    pub(crate) fn set_drained(&mut self, now: Timestamp, is_drained: bool) {
+        self.is_drained = is_drained;
+        let by_operator = MoveReason::OperatorCommand;
+        match (is_drained, self.is_failed_over()) {
+            (true, true) => self.status.reason = by_operator,
+            (true, false) => self.move_traffic(now, TrafficLocation::FailedOver, by_operator),
+            (false, true) if self.status.reason == by_operator => {
+                self.move_traffic(now, TrafficLocation::Returning, by_operator);
+            }
+            (false, _) => {}
+        }
     }
 
-    /// Looks whether the site has vanished, or is back.
-    pub fn judge(&mut self, now: Timestamp, ready: usize) -> Vec<Change> {
-        let none_settled = self.endings.len() >= VANISHED && self.endings.iter().all(|e| !e.1);
-        let lately = self
-            .endings
-            .front()
-            .is_some_and(|e| now - e.0 <= ROUND * VANISHED_WITHIN);
-        match self.home {
-            TrafficLocation::FailedOver if self.by_hand => {}
+    /// Looks whether the local site fails, or has recovered. Returns all changes since the last evaluation.
+    pub(crate) fn evaluate(&mut self, now: Timestamp, ready: usize) -> Vec<Change> {
+        match self.status.location {
             TrafficLocation::FailedOver => {
-                let latest = self.endings.iter().rev().take(PROBED);
-                let settled = latest.clone().filter(|e| e.1 && e.0 > self.since).count();
-                let proven = latest.count() >= PROBED && settled >= WELL;
-                if now >= self.stays_until && ready > 0 && proven {
-                    self.turn(now, TrafficLocation::Returning, MoveReason::RequestsSucceed);
+                let may_return = !self.is_drained && now >= self.earliest_return && ready > 0;
+                if may_return && self.probes_succeed() {
+                    let reason = MoveReason::RequestsSucceed;
+                    self.move_traffic(now, TrafficLocation::Returning, reason);
                 }
             }
-            _ if none_settled && lately => self.leave(now, MoveReason::NothingSucceeds),
-            TrafficLocation::Returning if self.share_away(now) <= 0.0 => {
-                self.turn(now, TrafficLocation::Local, MoveReason::SlowStartOver)
+            TrafficLocation::Local | TrafficLocation::Returning if self.nothing_succeeds(now) => {
+                self.fail_over(now, MoveReason::NothingSucceeds);
             }
-            _ => {}
+            TrafficLocation::Returning if self.forwarded_ratio(now) <= 0.0 => {
+                self.move_traffic(now, TrafficLocation::Local, MoveReason::SlowStartOver);
+            }
+            TrafficLocation::Local | TrafficLocation::Returning => {}
         }
         std::mem::take(&mut self.changes)
     }
 
-    pub fn moves(&self) -> u64 {
-        self.moves
+    fn probes_succeed(&self) -> bool {
+        let latest = self.results.iter().rev().take(PROBES_CONSIDERED);
+        let successes = latest
+            .clone()
+            .filter(|r| r.succeeded && r.at > self.status.since)
+            .count();
+        latest.count() >= PROBES_CONSIDERED && successes >= PROBE_SUCCESSES
     }
 
-    // ---- which road ----
-
-    /// Credit told on a road, which takes the place of what was told before.
-    pub fn granted(&mut self, now: Timestamp, road: PathId, grants: &[(ClassId, f64)]) {
-        let credit = self.credit.entry(road).or_insert_with(|| Credit {
-            window: WINDOW,
-            ..Credit::default()
-        });
-        credit.left.resize(self.classes, 0.0);
-        credit.told = now;
-        let mut told = vec![0.0; self.classes];
-        for (class, count) in grants {
-            told[class.0] = *count;
-        }
-        for (left, told) in credit.left.iter_mut().zip(told) {
-            *left = (*left + told).min(told * KEPT);
-        }
-    }
-
-    /// The road for one more of this request class: whole, serving, with credit told lately, and with the most left.
-    pub fn road(
-        &mut self,
-        now: Timestamp,
-        members: &Membership,
-        class: ClassId,
-        left: TimeDelta,
-    ) -> Option<PathId> {
-        self.asked[class.0] += 1.0;
-        if left < self.times[class.0] * TIMES_LEFT {
-            return None;
-        }
-        let open = self.credit.iter().filter(|(no, c)| {
-            let road = members.roads.get(no).filter(|r| r.whole);
-            road.is_some_and(|r| members.standing(&r.peer) == Some(MemberState::Serving))
-                && now - c.told <= ROUND * AGES
-                && now >= c.rests_until
-                && c.out < c.window
-                && c.left.get(class.0).is_some_and(|l| *l >= 1.0)
-        });
-        let most = open.max_by(|a, b| a.1.left[class.0].total_cmp(&b.1.left[class.0]));
-        most.map(|(no, _)| *no)
+    fn nothing_succeeds(&self, now: Timestamp) -> bool {
+        let window = HEARTBEAT_INTERVAL * FAILURE_WINDOW_INTERVALS;
+        self.results.len() >= FAILURES_TO_FAIL_OVER
+            && self.results.iter().all(|r| !r.succeeded)
+            && self.results.front().is_some_and(|r| now - r.at <= window)
     }
 
-    pub fn handed_over(&mut self, road: PathId, class: ClassId) {
-        if let Some(credit) = self.credit.get_mut(&road) {
-            credit.left[class.0] -= 1.0;
-            credit.out += 1.0;
-        }
-    }
-
-    /// A crossing has ended, `taken` if it was not refused there.
-    pub fn came_back(
-        &mut self,
-        now: Timestamp,
-        road: PathId,
-        class: ClassId,
-        taken: bool,
-        took: TimeDelta,
-    ) {
-        if taken {
-            let time = &mut self.times[class.0];
-            *time = TimeDelta(time.0 + ((took - *time).0 as f64 * LEARN) as i64);
-        }
-        let Some(credit) = self.credit.get_mut(&road) else {
-            return;
-        };
-        credit.out = (credit.out - 1.0).max(0.0);
-        credit.refused += LEARN / 2.0 * (f64::from(!taken) - credit.refused);
-        credit.window = if taken {
-            credit.window + 1.0 / credit.window
+    fn fail_over(&mut self, now: Timestamp, reason: MoveReason) {
+        let is_flapping = self
+            .last_failover
+            .is_some_and(|at| now - at < FLAPPING_WINDOW);
+        self.min_duration = if is_flapping {
+            (self.min_duration * 2.0).min(MAX_MIN_FAILOVER)
         } else {
-            credit.window * (1.0 - LEARN)
+            MIN_FAILOVER
         };
-        credit.window = credit.window.clamp(WINDOW_LEAST, WINDOW_MOST);
-        // Guards against requests that travel to be refused, whatever the other end has granted.
-        if credit.refused > REFUSED {
-            (credit.rests_until, credit.refused) = (now + RESTS, REFUSED / 2.0);
-        }
-    }
-
-    pub fn round(&mut self, roads: &[PathId]) {
-        for (asked, wants) in self.asked.iter_mut().zip(&mut self.wants) {
-            // What is wanted is told at once as it grows, and forgotten slowly.
-            *wants = asked.max(*wants * (1.0 - LEARN));
-            *asked = 0.0;
-        }
-        self.roads = roads.len();
-    }
-
-    /// What is told on a road that would cross: its part of all.
-    pub fn wants(&self) -> Vec<(ClassId, u16)> {
-        let part = 1.0 / self.roads.max(1) as f64;
-        let wants = self.wants.iter().enumerate().map(|(p, w)| {
-            (
-                ClassId(p),
-                (w * part).ceil().min(f64::from(u16::MAX)) as u16,
-            )
-        });
-        wants.filter(|w| w.1 > 0).collect()
+        self.last_failover = Some(now);
+        self.earliest_return = now + self.min_duration;
+        self.move_traffic(now, TrafficLocation::FailedOver, reason);
     }
 
-    /// How much credit is held in all, by request class.
-    pub fn credit(&self, now: Timestamp) -> Vec<f64> {
-        let fresh = self
-            .credit
-            .values()
-            .filter(|c| now - c.told <= ROUND * AGES);
-        fresh.fold(vec![0.0; self.classes], |mut all, c| {
-            all.iter_mut().zip(&c.left).for_each(|(a, l)| *a += l);
-            all
-        })
-    }
-
-    pub fn forget(&mut self, road: PathId) {
-        self.credit.remove(&road);
+    fn move_traffic(&mut self, now: Timestamp, location: TrafficLocation, reason: MoveReason) {
+        self.status = TrafficStatus {
+            location,
+            reason,
+            since: now,
+        };
+        self.moves += u64::from(location != TrafficLocation::Local);
+        self.results.clear();
+        self.changes.push(Change::TrafficMoved { location, reason });
     }
 }
--- /dev/null
+++ b/crates/multi-site/src/multi_site/inbound.rs
@@ -0,0 +1,166 @@
+//! Requests that the other site forwards to this gateway.
+
+use harrierdock_site_messages::{
+    ForwardedRequest, ForwardingOutcome, ForwardingResponse, PathId, SiteMessage,
+};
+use harrierdock_types::{AffinityKey, ClassId, RetrySafety, TimeDelta};
+
+use super::MultiSite;
+use crate::requests::{InboundCompletion, InboundKey, InboundState};
+use crate::{Action, InboundId};
+
+impl MultiSite {
+    /// A request runs at most once, whatever copies of it come. One that is not accepted never runs.
+    pub(super) fn inbound_received(&mut self, path: PathId, request: ForwardedRequest) {
+        let Some(sender) = self.peer(path) else {
+            return;
+        };
+        let key = InboundKey {
+            sender,
+            sender_incarnation: request.sender_incarnation,
+            forwarding_id: request.forwarding_id,
+        };
+        if let Some(state) = self.inbound.state(&key) {
+            self.counters.duplicates += 1;
+            if let InboundState::Completed(completion) = state.clone() {
+                self.respond(path, &key, completion);
+            }
+            return;
+        }
+        match self.admit(path, &request) {
+            Ok((class, remaining)) => {
+                self.counters.inbound_accepted += 1;
+                let inbound = self.inbound.accept(key, path);
+                self.actions.push(Action::ServeInbound {
+                    inbound,
+                    class,
+                    key: request.affinity_key.map(AffinityKey),
+                    remaining,
+                    request,
+                });
+            }
+            Err(outcome) => {
+                self.counters.inbound_refused += 1;
+                let completion = InboundCompletion::without_answer(outcome);
+                self.inbound
+                    .complete(self.now, key.clone(), completion.clone());
+                self.respond(path, &key, completion);
+            }
+        }
+    }
+
+    /// The class of a request and the time left for it, or what becomes of it if it is not accepted.
+    fn admit(
+        &mut self,
+        path: PathId,
+        request: &ForwardedRequest,
+    ) -> Result<(ClassId, TimeDelta), ForwardingOutcome> {
+        // What was meant for an earlier start may have run then.
+        if request.receiver_incarnation != self.incarnation() {
+            return Err(ForwardingOutcome::Unknown);
+        }
+        let is_closed = self.is_drained || self.is_shutting_down || self.ready_endpoints == 0;
+        if is_closed || self.inbound.is_full() {
+            return Err(ForwardingOutcome::NotAccepted);
+        }
+        let class = self.class_ids.get(&request.class).copied();
+        let class = class.ok_or(ForwardingOutcome::NotAccepted)?;
+        // The other end may not keep to its credit.
+        if !self.offered_capacity.admit(path, class) {
+            return Err(ForwardingOutcome::NotAccepted);
+        }
+        let remaining = self.remaining(path, class, request);
+        if remaining <= self.config.tick {
+            return Err(ForwardingOutcome::NotAccepted);
+        }
+        Ok((class, remaining))
+    }
+
+    /// The time left for a request. With an idempotency key, the time that it may have been under way is taken off: it may have run
+    /// at its own site meanwhile, and both runs must lie within the deduplication window.
+    fn remaining(&self, path: PathId, class: ClassId, request: &ForwardedRequest) -> TimeDelta {
+        let remaining = TimeDelta(i64::from(request.remaining_ms) * 1000);
+        match self.config.classes[class.0].retry_safety {
+            RetrySafety::IdempotencyKey { .. } => self
+                .membership
+                .age_at_most(self.now, path, request.heartbeat_sequence)
+                .map_or(TimeDelta::ZERO, |age| remaining - age),
+            RetrySafety::Idempotent | RetrySafety::NonIdempotent => remaining,
+        }
+    }
+
+    /// Answers a request that ran here.
+    pub(super) fn inbound_completed(&mut self, inbound: InboundId, completion: InboundCompletion) {
+        let completed = self
+            .inbound
+            .complete_running(self.now, inbound, completion.clone());
+        let Some((key, path)) = completed else {
+            return;
+        };
+        if let Some(path) = self.membership.usable_path_to(&key.sender, Some(path)) {
+            self.respond(path, &key, completion);
+        }
+    }
+
+    /// Answers what became of a request. One that has not come is not accepted any more from now on, however late it comes.
+    pub(super) fn status_queried(
+        &mut self,
+        path: PathId,
+        forwarding_id: u64,
+        sender_incarnation: u64,
+        receiver_incarnation: u64,
+    ) {
+        let Some(sender) = self.peer(path) else {
+            return;
+        };
+        let key = InboundKey {
+            sender,
+            sender_incarnation,
+            forwarding_id,
+        };
+        let completion = match self.inbound.state(&key) {
+            Some(InboundState::Running { .. }) => return,
+            Some(InboundState::Completed(completion)) => completion.clone(),
+            None if receiver_incarnation == self.incarnation() => {
+                let outcome = ForwardingOutcome::NotAccepted;
+                let completion = InboundCompletion::without_answer(outcome);
+                self.inbound
+                    .complete(self.now, key.clone(), completion.clone());
+                completion
+            }
+            None => InboundCompletion::without_answer(ForwardingOutcome::Unknown),
+        };
+        self.respond(path, &key, completion);
+    }
+
+    /// The client of a request at the other site went away.
+    pub(super) fn inbound_cancelled(
+        &mut self,
+        path: PathId,
+        forwarding_id: u64,
+        sender_incarnation: u64,
+    ) {
+        let Some(sender) = self.peer(path) else {
+            return;
+        };
+        let key = InboundKey {
+            sender,
+            sender_incarnation,
+            forwarding_id,
+        };
+        if let Some(inbound) = self.inbound.running(&key) {
+            self.actions.push(Action::AbandonInbound { inbound });
+        }
+    }
+
+    fn respond(&mut self, path: PathId, key: &InboundKey, completion: InboundCompletion) {
+        let response = ForwardingResponse {
+            forwarding_id: key.forwarding_id,
+            sender_incarnation: key.sender_incarnation,
+            outcome: completion.outcome,
+            build: completion.build.map(|build| build.0),
+            body: completion.body,
+        };
+        self.send(path, SiteMessage::Response(response));
+    }
+}
--- /dev/null
+++ b/crates/multi-site/src/path_selection.rs
@@ -0,0 +1,195 @@
+//! Which path a request is forwarded on: the credit granted on each path, and what came of its use.
+
+use std::collections::BTreeMap;
+
+use harrierdock_site_messages::MemberState;
+use harrierdock_types::{ClassId, TimeDelta, Timestamp};
+
+use crate::offered_capacity::CREDIT_SAVED_INTERVALS;
+use crate::{Membership, PathId, RequestClass, HEARTBEAT_INTERVAL};
+
+/// Intervals after which credit expires.
+const CREDIT_VALID_INTERVALS: f64 = 5.0;
+/// The weight of a new response in running means.
+const SMOOTHING: f64 = 0.1;
+/// The share of the requests forwarded on a path that may be refused before the path is paused, and for how long.
+const REFUSED_RATIO: f64 = 0.08;
+const PAUSE: TimeDelta = TimeDelta(1_000_000);
+/// Requests in flight on a path: at first, and the bounds within which the window follows the responses.
+const INITIAL_WINDOW: f64 = 16.0;
+const MIN_WINDOW: f64 = 4.0;
+const MAX_WINDOW: f64 = 512.0;
+/// The time that a request must have left to be forwarded, in mean response times.
+const RESPONSE_TIMES_LEFT: f64 = 2.0;
+/// The mean response time before any response, as a share of the latency objective.
+const INITIAL_RESPONSE_TIME_RATIO: f64 = 0.25;
+
+/// What may be sent on a path.
+#[derive(Default)]
+struct PathCredit {
+    /// By class, how many requests may still be forwarded.
+    available: Vec<f64>,
+    granted_at: Timestamp,
+    in_flight: f64,
+    window: f64,
+    refused_ratio: f64,
+    paused_until: Timestamp,
+}
+
+impl PathCredit {
+    fn is_valid(&self, now: Timestamp) -> bool {
+        now - self.granted_at <= HEARTBEAT_INTERVAL * CREDIT_VALID_INTERVALS
+    }
+
+    fn admits(&self, now: Timestamp, class: ClassId) -> bool {
+        let available = self.available.get(class.0);
+        self.is_valid(now)
+            && now >= self.paused_until
+            && self.in_flight < self.window
+            && available.is_some_and(|count| *count >= 1.0)
+    }
+}
+
+/// How a forwarded request came back.
+pub(crate) struct ForwardingResult {
+    pub(crate) path: PathId,
+    pub(crate) class: ClassId,
+    /// The other site has served it; otherwise it was refused there, or no response came.
+    pub(crate) was_served: bool,
+    pub(crate) elapsed: TimeDelta,
+}
+
+pub(crate) struct PathSelector {
+    class_count: usize,
+    /// By class, the mean time until a request that was served there came back.
+    response_times: Vec<TimeDelta>,
+    credit: BTreeMap<PathId, PathCredit>,
+    /// By class, how many requests of this interval were to be forwarded, and the running maximum of that.
+    requested: Vec<f64>,
+    demand: Vec<f64>,
+    path_count: usize,
+}
+
+impl PathSelector {
+    pub(crate) fn new(classes: &[RequestClass]) -> PathSelector {
+        PathSelector {
+            class_count: classes.len(),
+            response_times: classes
+                .iter()
+                .map(|class| class.latency_objective * INITIAL_RESPONSE_TIME_RATIO)
+                .collect(),
+            credit: BTreeMap::new(),
+            requested: vec![0.0; classes.len()],
+            demand: vec![0.0; classes.len()],
+            path_count: 0,
+        }
+    }
+
+    /// Takes over the credit granted on a path, beside a bounded part of what was not used of the last.
+    pub(crate) fn set_grants(&mut self, now: Timestamp, path: PathId, grants: &[(ClassId, f64)]) {
+        let credit = self.credit.entry(path).or_insert_with(|| PathCredit {
+            window: INITIAL_WINDOW,
+            ..PathCredit::default()
+        });
+        credit.available.resize(self.class_count, 0.0);
+        credit.granted_at = now;
+        let mut granted = vec![0.0; self.class_count];
+        for (class, count) in grants {
+            granted[class.0] = *count;
+        }
+        for (available, granted) in credit.available.iter_mut().zip(granted) {
+            *available = (*available + granted).min(granted * CREDIT_SAVED_INTERVALS);
+        }
+    }
+
+    /// Selects the path for one more request of this class: usable, to a serving gateway, and with the most credit.
+    pub(crate) fn select(
+        &mut self,
+        now: Timestamp,
+        membership: &Membership,
+        class: ClassId,
+        remaining: TimeDelta,
+    ) -> Option<PathId> {
+        self.requested[class.0] += 1.0;
+        if remaining < self.response_times[class.0] * RESPONSE_TIMES_LEFT {
+            return None;
+        }
+        let is_serving = |id: &PathId| {
+            let path = membership.paths().get(id).filter(|path| path.is_usable);
+            path.is_some_and(|p| membership.state(&p.peer) == Some(MemberState::Serving))
+        };
+        let candidates = self
+            .credit
+            .iter()
+            .filter(|(id, credit)| is_serving(id) && credit.admits(now, class));
+        let available = |credit: &PathCredit| credit.available[class.0];
+        let best = candidates.max_by(|a, b| available(a.1).total_cmp(&available(b.1)));
+        best.map(|(id, _)| *id)
+    }
+
+    pub(crate) fn request_forwarded(&mut self, path: PathId, class: ClassId) {
+        if let Some(credit) = self.credit.get_mut(&path) {
+            credit.available[class.0] -= 1.0;
+            credit.in_flight += 1.0;
+        }
+    }
+
+    pub(crate) fn request_finished(&mut self, now: Timestamp, result: &ForwardingResult) {
+        let was_served = result.was_served;
+        if was_served {
+            let mean = &mut self.response_times[result.class.0];
+            *mean = TimeDelta(mean.0 + ((result.elapsed - *mean).0 as f64 * SMOOTHING) as i64);
+        }
+        let Some(credit) = self.credit.get_mut(&result.path) else {
+            return;
+        };
+        credit.in_flight = (credit.in_flight - 1.0).max(0.0);
+        credit.refused_ratio += SMOOTHING / 2.0 * (f64::from(!was_served) - credit.refused_ratio);
+        credit.window = if was_served {
+            credit.window + 1.0 / credit.window
+        } else {
+            credit.window * (1.0 - SMOOTHING)
+        };
+        credit.window = credit.window.clamp(MIN_WINDOW, MAX_WINDOW);
+        // Whatever the other end has granted, requests must not travel only to be refused.
+        if credit.refused_ratio > REFUSED_RATIO {
+            credit.paused_until = now + PAUSE;
+            credit.refused_ratio = REFUSED_RATIO / 2.0;
+        }
+    }
+
+    pub(crate) fn start_interval(&mut self, path_count: usize) {
+        for (requested, demand) in self.requested.iter_mut().zip(&mut self.demand) {
+            // Demand follows a rise at once, and a fall slowly.
+            *demand = requested.max(*demand * (1.0 - SMOOTHING));
+            *requested = 0.0;
+        }
+        self.path_count = path_count;
+    }
+
+    /// The demand that is told on each path: its part of the whole.
+    pub(crate) fn demand(&self) -> Vec<(ClassId, u16)> {
+        let part = 1.0 / self.path_count.max(1) as f64;
+        let most = f64::from(u16::MAX);
+        let classes = self.demand.iter().enumerate();
+        classes
+            .map(|(class, demand)| (ClassId(class), (demand * part).ceil().min(most) as u16))
+            .filter(|(_, count)| *count > 0)
+            .collect()
+    }
+
+    /// By class, the valid credit on all paths together.
+    pub(crate) fn total_credit(&self, now: Timestamp) -> Vec<f64> {
+        let mut total = vec![0.0; self.class_count];
+        for credit in self.credit.values().filter(|credit| credit.is_valid(now)) {
+            for (sum, available) in total.iter_mut().zip(&credit.available) {
+                *sum += available;
+            }
+        }
+        total
+    }
+
+    pub(crate) fn forget_path(&mut self, path: PathId) {
+        self.credit.remove(&path);
+    }
+}
--- /dev/null
+++ b/crates/multi-site/src/requests/inbound.rs
@@ -0,0 +1,200 @@
+//! Inbound requests: those that run here for the other site, and the remembered completions of earlier ones, so that no copy runs.
+
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+
+use harrierdock_site_messages::{ForwardingOutcome, GatewayName};
+use harrierdock_types::{BuildId, TimeDelta, Timestamp};
+
+use crate::{InboundId, PathId};
+
+/// For how many of the longest timeouts a completion is remembered, against copies that come late.
+const REMEMBERED_TIMEOUTS: f64 = 2.0;
+/// The most inbound requests that run at once.
+const MAX_RUNNING: usize = 4096;
+/// The most completions remembered; beyond, the oldest are forgotten.
+const MAX_COMPLETED: usize = 65_536;
+
+/// Identifies an inbound request for the gateway that has forwarded it.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct InboundKey {
+    pub(crate) sender: GatewayName,
+    pub(crate) sender_incarnation: u64,
+    pub(crate) forwarding_id: u64,
+}
+
+/// What became of an inbound request.
+#[derive(Clone, Debug, PartialEq)]
+pub(crate) struct InboundCompletion {
+    pub(crate) outcome: ForwardingOutcome,
+    pub(crate) build: Option<BuildId>,
+    pub(crate) body: Vec<u8>,
+}
+
+impl InboundCompletion {
+    /// A completion without an answer.
+    pub(crate) fn without_answer(outcome: ForwardingOutcome) -> InboundCompletion {
+        InboundCompletion {
+            outcome,
+            build: None,
+            body: Vec::new(),
+        }
+    }
+}
+
+/// The state of an inbound request.
+#[derive(Clone, Debug, PartialEq)]
+pub(crate) enum InboundState {
+    /// It runs here.
+    Running {
+        /// Its number.
+        inbound: InboundId,
+        /// The path it came on.
+        path: PathId,
+    },
+    /// It has ended, or was never accepted.
+    Completed(InboundCompletion),
+}
+
+pub(crate) struct InboundRequests {
+    last_id: u64,
+    states: BTreeMap<InboundKey, InboundState>,
+    running: BTreeMap<InboundId, InboundKey>,
+    /// When each remembered request was completed.
+    completed: BTreeSet<(Timestamp, InboundKey)>,
+    remembered_for: TimeDelta,
+    stored_bytes: usize,
+    max_stored_bytes: usize,
+    /// Those whose bodies are stored, oldest first.
+    with_body: VecDeque<InboundKey>,
+}
+
+impl InboundRequests {
+    pub(crate) fn new(longest_timeout: TimeDelta, max_stored_bytes: usize) -> InboundRequests {
+        InboundRequests {
+            last_id: 0,
+            states: BTreeMap::new(),
+            running: BTreeMap::new(),
+            completed: BTreeSet::new(),
+            remembered_for: longest_timeout * REMEMBERED_TIMEOUTS,
+            stored_bytes: 0,
+            max_stored_bytes,
+            with_body: VecDeque::new(),
+        }
+    }
+
+    pub(crate) fn is_full(&self) -> bool {
+        self.running.len() >= MAX_RUNNING
+    }
+
+    pub(crate) fn running_count(&self) -> usize {
+        self.running.len()
+    }
+
+    pub(crate) fn state(&self, key: &InboundKey) -> Option<&InboundState> {
+        self.states.get(key)
+    }
+
+    /// Accepts a request that came on this path.
+    pub(crate) fn accept(&mut self, key: InboundKey, path: PathId) -> InboundId {
+        self.last_id += 1;
+        let inbound = InboundId(self.last_id);
+        self.running.insert(inbound, key.clone());
+        self.states
+            .insert(key, InboundState::Running { inbound, path });
+        inbound
+    }
+
+    /// The number of a request that still runs.
+    pub(crate) fn running(&self, key: &InboundKey) -> Option<InboundId> {
+        match self.states.get(key) {
+            Some(InboundState::Running { inbound, .. }) => Some(*inbound),
+            Some(InboundState::Completed(_)) | None => None,
+        }
+    }
+
+    /// Those that still run for an earlier incarnation of this gateway.
+    pub(crate) fn running_for_earlier(
+        &self,
+        sender: &GatewayName,
+        incarnation: u64,
+    ) -> Vec<InboundId> {
+        let is_earlier =
+            |key: &InboundKey| key.sender == *sender && key.sender_incarnation < incarnation;
+        let earlier = self.running.iter().filter(|(_, key)| is_earlier(key));
+        earlier.map(|(inbound, _)| *inbound).collect()
+    }
+
+    /// Completes a request that runs, and returns whose it is and the path it came on.
+    pub(crate) fn complete_running(
+        &mut self,
+        now: Timestamp,
+        inbound: InboundId,
+        completion: InboundCompletion,
+    ) -> Option<(InboundKey, PathId)> {
+        let key = self.running.remove(&inbound)?;
+        let Some(InboundState::Running { path, .. }) = self.states.get(&key) else {
+            return None;
+        };
+        let path = *path;
+        self.complete(now, key.clone(), completion);
+        Some((key, path))
+    }
+
+    /// Remembers a completion, also of a request that was never accepted, so that no copy of it runs.
+    pub(crate) fn complete(
+        &mut self,
+        now: Timestamp,
+        key: InboundKey,
+        completion: InboundCompletion,
+    ) {
+        self.stored_bytes += completion.body.len();
+        self.completed.insert((now, key.clone()));
+        if !completion.body.is_empty() {
+            self.with_body.push_back(key.clone());
+        }
+        self.states.insert(key, InboundState::Completed(completion));
+        self.drop_oldest_bodies();
+        while self.completed.len() > MAX_COMPLETED {
+            self.forget_oldest();
+        }
+    }
+
+    /// Keeps the stored bodies within their memory. Of a request without its body it can only be said that it may have run.
+    fn drop_oldest_bodies(&mut self) {
+        while self.stored_bytes > self.max_stored_bytes {
+            let Some(key) = self.with_body.pop_front() else {
+                break;
+            };
+            if let Some(InboundState::Completed(completion)) = self.states.get_mut(&key) {
+                self.stored_bytes -= completion.body.len();
+                completion.outcome = ForwardingOutcome::Unknown;
+                completion.body = Vec::new();
+            }
+        }
+    }
+
+    fn forget_oldest(&mut self) {
+        let Some((_, key)) = self.completed.pop_first() else {
+            return;
+        };
+        if self.with_body.front() == Some(&key) {
+            self.with_body.pop_front();
+        }
+        if let Some(InboundState::Completed(completion)) = self.states.remove(&key) {
+            self.stored_bytes -= completion.body.len();
+        }
+    }
+
+    /// When the next completion is forgotten.
+    pub(crate) fn next_forgotten(&self) -> Option<Timestamp> {
+        let oldest = self.completed.first();
+        oldest.map(|(completed, _)| *completed + self.remembered_for)
+    }
+
+    /// Forgets the completions that were remembered for long enough.
+    pub(crate) fn forget_old(&mut self, now: Timestamp) {
+        while self.next_forgotten().is_some_and(|at| at <= now) {
+            self.forget_oldest();
+        }
+    }
+}
--- /dev/null
+++ b/crates/multi-site/tests/multi_site/main.rs
@@ -0,0 +1,6 @@
+//! One gateway's decisions between two sites, event by event.
+
+mod failover;
+mod fixture;
+mod forwarding;
+mod inbound;
--- /dev/null
+++ b/crates/site-transport/src/authority.rs
@@ -0,0 +1,91 @@
+//! A small private certificate authority.
+
+use std::time::SystemTime;
+
+use harrierdock_site_messages::GatewayName;
+use rcgen::{
+    BasicConstraints, CertificateParams, DnType, ExtendedKeyUsagePurpose, IsCa, Issuer, KeyPair,
+    KeyUsagePurpose,
+};
+
+use crate::certificate::{check_label, dns_name};
+use crate::AuthorityError;
+
+/// A certificate and its private key, as PEM texts.
+pub struct CertificatePair {
+    /// The certificate.
+    pub certificate: String,
+    /// The private key.
+    pub key: String,
+}
+
+/// The time in which a certificate is valid.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Validity {
+    /// Its begin.
+    pub from: SystemTime,
+    /// Its end.
+    pub until: SystemTime,
+}
+
+impl Validity {
+    fn apply(self, params: &mut CertificateParams) {
+        params.not_before = self.from.into();
+        params.not_after = self.until.into();
+    }
+}
+
+/// Creates an authority: a self-signed certificate that may sign others.
+///
+/// # Errors
+/// The key or the certificate cannot be made.
+pub fn create_authority(name: &str, validity: Validity) -> Result<CertificatePair, AuthorityError> {
+    let create = || -> Result<CertificatePair, rcgen::Error> {
+        let key = KeyPair::generate()?;
+        let mut params = CertificateParams::new(Vec::<String>::new())?;
+        params.distinguished_name.push(DnType::CommonName, name);
+        params.is_ca = IsCa::Ca(BasicConstraints::Constrained(0));
+        params.key_usages = vec![KeyUsagePurpose::KeyCertSign, KeyUsagePurpose::CrlSign];
+        validity.apply(&mut params);
+        Ok(CertificatePair {
+            certificate: params.self_signed(&key)?.pem(),
+            key: key.serialize_pem(),
+        })
+    };
+    create().map_err(AuthorityError::Generate)
+}
+
+/// Issues a gateway's certificate, signed by the authority.
+///
+/// # Errors
+/// The gateway's name cannot stand in a certificate, or the authority cannot sign.
+pub fn issue_certificate(
+    authority: &CertificatePair,
+    gateway: &GatewayName,
+    validity: Validity,
+) -> Result<CertificatePair, AuthorityError> {
+    check_label(&gateway.site)?;
+    check_label(&gateway.gateway)?;
+    let signing_key = KeyPair::from_pem(&authority.key).map_err(AuthorityError::Key)?;
+    let issuer = Issuer::from_ca_cert_pem(&authority.certificate, signing_key)
+        .map_err(AuthorityError::Certificate)?;
+    let issue = || -> Result<CertificatePair, rcgen::Error> {
+        let key = KeyPair::generate()?;
+        let mut params = CertificateParams::new(vec![dns_name(gateway)])?;
+        params
+            .distinguished_name
+            .push(DnType::CommonName, gateway.to_string());
+        params.key_usages = vec![KeyUsagePurpose::DigitalSignature];
+        params.extended_key_usages = vec![
+            ExtendedKeyUsagePurpose::ServerAuth,
+            ExtendedKeyUsagePurpose::ClientAuth,
+        ];
+        params.use_authority_key_identifier_extension = true;
+        validity.apply(&mut params);
+        Ok(CertificatePair {
+            certificate: params.signed_by(&key, &issuer)?.pem(),
+            key: key.serialize_pem(),
+        })
+    };
+    issue().map_err(AuthorityError::Generate)
+}
--- /dev/null
+++ b/crates/site-transport/tests/transport/delivery.rs
@@ -0,0 +1,140 @@
+//! Messages arrive once or their path is closed, whatever the network does.
+
+use std::time::Duration;
+
+use harrierdock_site_messages::MAX_MESSAGE_BYTES;
+use harrierdock_site_transport::{Delivery, SiteTransport, TransportEvent};
+use nanorand::Rng;
+
+use crate::network::{address, gateway_name, Network, ACCEPTING, CONNECTING};
+
+const MESSAGES: usize = 200;
+
+/// A message of a size of its own; one is as long as a message may be.
+fn numbered_message(n: usize) -> Vec<u8> {
+    let length = if n == 7 {
+        MAX_MESSAGE_BYTES
+    } else {
+        1 + n * 37
+    };
+    vec![n as u8; length]
+}
+
+fn wait_until_both_opened(network: &mut Network) {
+    for _ in 0..200 {
+        if !(network.has_opened(CONNECTING) && network.has_opened(ACCEPTING)) {
+            network.pass(Duration::from_millis(100));
+        }
+    }
+}
+
+#[test]
+fn every_reliable_message_arrives_once_though_datagrams_are_lost_repeated_and_reordered() {
+    for (seed, loss) in [(1, 0.0), (2, 0.05), (3, 0.3)] {
+        let mut network = Network::of_two_sites(seed, loss);
+        network.connect();
+        wait_until_both_opened(&mut network);
+        assert!(
+            matches!(&network.events[ACCEPTING][0], TransportEvent::Opened { peer, .. } if *peer == gateway_name("hobart", "h0"))
+        );
+        let paths = [network.path(CONNECTING), network.path(ACCEPTING)];
+        for n in 0..MESSAGES {
+            let now = network.now;
+            for end in [CONNECTING, ACCEPTING] {
+                let message = numbered_message(n);
+                assert!(network.ends[end].send(now, paths[end], message, Delivery::Reliable));
+            }
+            network.pass(Duration::from_millis(5));
+        }
+        for _ in 0..120 {
+            if (0..2).any(|end| network.messages(end).len() < MESSAGES) {
+                network.pass(Duration::from_secs(1));
+            }
+        }
+        for end in 0..2 {
+            let mut received = network.messages(end);
+            received.sort();
+            let mut sent: Vec<Vec<u8>> = (0..MESSAGES).map(numbered_message).collect();
+            sent.sort();
+            let missing: Vec<usize> = sent
+                .iter()
+                .filter(|message| !received.contains(message))
+                .map(Vec::len)
+                .collect();
+            assert!(
+                received == sent,
+                "loss {loss}: end {end} received {}, not those of {missing:?} bytes; {}",
+                received.len(),
+                network.reasons(end).len()
+            );
+        }
+    }
+}
+
+#[test]
+fn a_path_that_is_cut_one_way_closes_at_both_ends_and_can_be_opened_again() {
+    let mut network = Network::of_two_sites(4, 0.0);
+    network.connect();
+    network.pass(Duration::from_secs(1));
+    network.is_cut_one_way = true;
+    let now = network.now;
+    let path = network.path(CONNECTING);
+    network.ends[CONNECTING].send(now, path, vec![1], Delivery::Reliable);
+    network.pass(Duration::from_secs(8));
+    assert!(
+        network
+            .events
+            .iter()
+            .all(|events| matches!(events.last(), Some(TransportEvent::Closed { .. }))),
+        "{:?}",
+        network.events
+    );
+    assert!(network.ends.iter().all(SiteTransport::is_empty));
+    network.is_cut_one_way = false;
+    network.forget_events();
+    network.connect();
+    network.pass(Duration::from_secs(1));
+    assert!(
+        network
+            .events
+            .iter()
+            .all(|events| matches!(events[..], [TransportEvent::Opened { .. }])),
+        "{:?}",
+        network.events
+    );
+}
+
+#[test]
+fn noise_and_replayed_datagrams_change_nothing() {
+    let mut network = Network::of_two_sites(6, 0.0);
+    network.connect();
+    network.pass(Duration::from_secs(1));
+    let now = network.now;
+    let path = network.path(CONNECTING);
+    network.ends[CONNECTING].send(now, path, vec![9; 300], Delivery::Reliable);
+    let mut datagrams = Vec::new();
+    while let Some((_, bytes)) = network.ends[CONNECTING].next_datagram() {
+        datagrams.push(bytes);
+    }
+    for bytes in datagrams.iter().cycle().take(datagrams.len() * 50) {
+        network.ends[ACCEPTING].handle_datagram(now, address(CONNECTING), bytes);
+    }
+    for _ in 0..20_000 {
+        let mut noise = vec![0; network.rng.generate_range(0..1400_usize)];
+        network.rng.fill_bytes(&mut noise);
+        network.ends[ACCEPTING].handle_datagram(now, address(5), &noise);
+    }
+    network.pass(Duration::from_secs(1));
+    assert_eq!(network.messages(ACCEPTING), vec![vec![9; 300]]);
+    assert!(
+        network.ends[ACCEPTING].len() < 64,
+        "{} connections",
+        network.ends[ACCEPTING].len()
+    );
+    network.pass(Duration::from_secs(10));
+    assert_eq!(
+        network.ends[ACCEPTING].len(),
+        0,
+        "what noise began is over, and so is the silent path"
+    );
+}
--- /dev/null
+++ b/crates/site-transport/tests/transport/main.rs
@@ -0,0 +1,5 @@
+//! Two transports on a simulated network, in simulated time.
+
+mod credentials;
+mod delivery;
+mod network;
