--- a/crates/fault-injection/src/core.rs
+++ b/crates/fault-injection/src/core.rs
@@ -8,9 +8,10 @@
 use std::net::SocketAddr;
 
 use harrierdock_multi_site::{
-    Action, Change, Ending, Event, Hand, Home, Place, RequestClass, Sites,
+    Action, Change, Event, InboundId, MultiSite, MultiSiteConfig, OperatorCommand, PathId,
+    RequestClass, RequestEnd, TrafficLocation,
 };
-use harrierdock_site_messages::{Letter, Party, Verdict};
+use harrierdock_site_messages::{ForwardingOutcome, GatewayName, SiteMessage};
 use harrierdock_types::{IdempotencyScope, RequestId, RetrySafety};
 use harrierdock_types::{TimeDelta, Timestamp};
 use nanorand::{Rng, WyRand};
@@ -29,11 +30,11 @@
         let (name, latency_objective) = (name.to_string(), TimeDelta(400_000));
         RequestClass {
             name,
-            repeat,
+            retry_safety: repeat,
             latency_objective,
-            expiry: EXPIRY,
+            timeout: EXPIRY,
             priority_weight,
-            spans,
+            deduplicates_across_sites: spans,
         }
     };
     let referenced = RetrySafety::IdempotencyKey {
@@ -90,10 +91,10 @@
     Arrive {
         gateway: usize,
     },
-    Letter {
+    SiteMessage {
         to: usize,
         link: u64,
-        letter: Box<Letter>,
+        letter: Box<SiteMessage>,
     },
     Up {
         from: usize,
@@ -102,7 +103,7 @@
     },
     Unreachable {
         gateway: usize,
-        peer: Party,
+        peer: GatewayName,
     },
     Down {
         gateway: usize,
@@ -135,9 +136,9 @@
 }
 
 struct Gateway {
-    party: Party,
+    party: GatewayName,
     address: SocketAddr,
-    sites: Option<Sites>,
+    sites: Option<MultiSite>,
     life: u32,
     drained: bool,
     wake: Option<Timestamp>,
@@ -150,7 +151,7 @@
     life: u32,
     class: usize,
     expiry: Timestamp,
-    answers: Vec<(Verdict, Timestamp)>,
+    answers: Vec<(ForwardingOutcome, Timestamp)>,
     runs: Vec<(usize, Timestamp)>,
     across: bool,
     /// The module here declined it, or it came back: it does not cross (again).
@@ -189,7 +190,7 @@
     fn new(seed: u64, each: usize) -> World {
         let chance = WyRand::new_seed(seed);
         let gateway = |ix: usize| Gateway {
-            party: Party {
+            party: GatewayName {
                 site: SITES[site(ix)].into(),
                 gateway: format!("g{}", ix / 2),
             },
@@ -246,25 +247,25 @@
             .filter(|g| g.party.site == SITES[other])
             .take(2);
         let gateway = &self.gateways[ix];
-        let place = Place {
-            own: gateway.party.clone(),
+        let place = MultiSiteConfig {
+            own_name: gateway.party.clone(),
             address: Some(gateway.address),
             incarnation: own_time(ix, self.now).0 as u64,
             other_site: SITES[other].into(),
             seeds: seeds.map(|g| (g.party.clone(), g.address)).collect(),
             classes: classes(),
-            warm: SECOND * 2.0,
+            slow_start_window: SECOND * 2.0,
             tick: TICK,
             retry_after: None,
-            memory: 1 << 16,
+            stored_response_bytes: 1 << 16,
             seed: self.now.0 as u64 ^ ix as u64,
         };
         let now = own_time(ix, self.now);
         let gateway = &mut self.gateways[ix];
-        gateway.sites = Some(Sites::new(now, place));
+        gateway.sites = Some(MultiSite::new(now, place));
         (gateway.life, gateway.drained, gateway.wake) = (gateway.life + 1, false, None);
         gateway.inward.clear();
-        self.tell(ix, Event::Home { ready: 4 });
+        self.tell(ix, Event::EndpointsUpdated { ready: 4 });
     }
 
     fn kill(&mut self, ix: usize) {
@@ -302,7 +303,7 @@
         let Some(sites) = &mut self.gateways[ix].sites else {
             return;
         };
-        for action in sites.take(now, event) {
+        for action in sites.handle(now, event) {
             self.obey(ix, action);
         }
     }
@@ -310,19 +311,22 @@
     fn obey(&mut self, ix: usize, action: Action) {
         let (now, life) = (self.now, self.gateways[ix].life);
         match action {
-            Action::Here { id, left } => {
+            Action::ServeLocally {
+                id,
+                remaining: left,
+            } => {
                 let txn = &mut self.txns[id.0 as usize];
                 txn.spent |= txn.across;
                 let class = txn.class;
                 self.serve(ix, Job::Client(id), id.0, class, left);
             }
-            Action::Across {
+            Action::Forward {
                 id,
-                road,
-                crossing,
-                to,
-                beat,
-                left,
+                path,
+                forwarding_id,
+                receiver_incarnation,
+                heartbeat_sequence,
+                remaining: left,
             } => {
                 let txn = &mut self.txns[id.0 as usize];
                 assert!(
@@ -332,54 +336,56 @@
                 );
                 txn.across = true;
                 self.found.crossed += 1;
-                let handover = harrierdock_site_messages::Handover {
-                    crossing,
-                    from: self.gateways[ix]
+                let handover = harrierdock_site_messages::ForwardedRequest {
+                    forwarding_id,
+                    sender_incarnation: self.gateways[ix]
                         .sites
                         .as_ref()
-                        .map_or(0, Sites::incarnation),
-                    to,
-                    beat,
+                        .map_or(0, MultiSite::incarnation),
+                    receiver_incarnation,
+                    heartbeat_sequence,
                     class: classes()[txn.class].name.clone(),
-                    left_ms: (left.0 / 1000) as u32,
-                    txn: id.0.to_string(),
+                    remaining_ms: (left.0 / 1000) as u32,
+                    request_id: id.0.to_string(),
                     ..Default::default()
                 };
-                self.send(ix, road, Letter::Handover(handover));
+                self.send(ix, path.0, SiteMessage::Request(handover));
             }
-            Action::Settle { id, .. } => {
+            Action::Succeed { id, .. } => {
                 self.found.crossed_settled += 1;
-                self.answer(id, Verdict::Settled);
+                self.answer(id, ForwardingOutcome::Succeeded);
             }
-            Action::Decline { id, .. } => self.answer(id, Verdict::NotTaken),
-            Action::Void { id } => self.answer(id, Verdict::Voided),
-            Action::TakeIn {
-                inward,
+            Action::Reject { id, .. } => self.answer(id, ForwardingOutcome::NotAccepted),
+            Action::Fail { id } => self.answer(id, ForwardingOutcome::Failed),
+            Action::ServeInbound {
+                inbound: InboundId(inward),
                 class,
-                left,
-                handover,
+                remaining: left,
+                request: handover,
                 ..
             } => {
-                let txn = handover.txn.parse().unwrap_or(0);
+                let txn = handover.request_id.parse().unwrap_or(0);
                 self.found.taken_while_drained += u64::from(self.gateways[ix].drained);
                 self.gateways[ix].inward.insert(inward, txn);
                 self.serve(ix, Job::Inward(inward), txn, class.0, left);
             }
-            Action::Abandon { inward } => {
+            Action::AbandonInbound {
+                inbound: InboundId(inward),
+            } => {
                 if self.gateways[ix].inward.remove(&inward).is_some() {
-                    let (verdict, body) = (Verdict::Voided, Vec::new());
+                    let (verdict, body) = (ForwardingOutcome::Failed, Vec::new());
                     self.tell(
                         ix,
-                        Event::Answered {
-                            inward,
-                            verdict,
+                        Event::InboundCompleted {
+                            inbound: InboundId(inward),
+                            outcome: verdict,
                             build: None,
                             body,
                         },
                     );
                 }
             }
-            Action::Dial { peer, address } => {
+            Action::Connect { peer, address } => {
                 let to = self
                     .gateways
                     .iter()
@@ -396,15 +402,15 @@
                     None => self.after(SECOND, Happening::Unreachable { gateway: ix, peer }),
                 }
             }
-            Action::HangUp { road } => self.hang_up(road, ix, true),
-            Action::Send { road, letter } => self.send(ix, road, letter),
-            Action::Changed(Change::Home { home, .. }) => {
-                if home != Home::Here {
+            Action::ClosePath { path } => self.hang_up(path.0, ix, true),
+            Action::Send { path, message } => self.send(ix, path.0, message),
+            Action::StatusChanged(Change::TrafficMoved { location: home, .. }) => {
+                if home != TrafficLocation::Local {
                     self.moves.entry(ix).or_default().push(now);
                 }
             }
-            Action::Changed(_) => {}
-            Action::Wake { after } => {
+            Action::StatusChanged(_) => {}
+            Action::SetTimer { after } => {
                 let at = now + after;
                 if self.gateways[ix].wake.is_none_or(|w| at < w || w <= now) {
                     self.gateways[ix].wake = Some(at);
@@ -414,7 +420,7 @@
         }
     }
 
-    fn send(&mut self, ix: usize, link: u64, letter: Letter) {
+    fn send(&mut self, ix: usize, link: u64, letter: SiteMessage) {
         let Some((a, b)) = self.links.get(&link).copied() else {
             return;
         };
@@ -423,7 +429,7 @@
         if self.cut[site(ix)] {
             return;
         }
-        let (lossy, loss) = (matches!(letter, Letter::Beat(_)), self.loss);
+        let (lossy, loss) = (matches!(letter, SiteMessage::Heartbeat(_)), self.loss);
         if lossy && self.draw(loss) {
             return;
         }
@@ -438,7 +444,7 @@
                 took = took + self.span(100_000, 2_500_000);
             }
             let letter = Box::new(letter.clone());
-            self.after(took, Happening::Letter { to, link, letter });
+            self.after(took, Happening::SiteMessage { to, link, letter });
         }
     }
 
@@ -450,37 +456,37 @@
             return match job {
                 Job::Inward(inward) => {
                     self.gateways[ix].inward.remove(&inward);
-                    let verdict = Verdict::NotTaken;
+                    let verdict = ForwardingOutcome::NotAccepted;
                     self.tell(
                         ix,
-                        Event::Answered {
-                            inward,
-                            verdict,
+                        Event::InboundCompleted {
+                            inbound: InboundId(inward),
+                            outcome: verdict,
                             build: None,
                             body: Vec::new(),
                         },
                     );
-                    let (ending, took) = (Ending::Declined, TimeDelta::ZERO);
+                    let (ending, took) = (RequestEnd::Rejected, TimeDelta::ZERO);
                     self.tell(
                         ix,
-                        Event::Ended {
+                        Event::RequestEnded {
                             class: ClassId(class),
-                            ending,
-                            took,
+                            end: ending,
+                            elapsed: took,
                         },
                     );
                 }
                 Job::Client(id) => {
                     let spent = std::mem::replace(&mut self.txns[id.0 as usize].spent, true);
                     if spent {
-                        self.answer(id, Verdict::NotTaken);
+                        self.answer(id, ForwardingOutcome::NotAccepted);
                     } else {
                         self.tell(
                             ix,
-                            Event::Spared {
+                            Event::LocallyRejected {
                                 id,
                                 class: ClassId(class),
-                                left,
+                                remaining: left,
                             },
                         );
                     }
@@ -535,16 +541,16 @@
             Job::Inward(inward) => {
                 if self.gateways[ix].inward.remove(&inward).is_some() {
                     let verdict = if settled {
-                        Verdict::Settled
+                        ForwardingOutcome::Succeeded
                     } else {
-                        Verdict::Voided
+                        ForwardingOutcome::Failed
                     };
                     let body = vec![7; 50];
                     self.tell(
                         ix,
-                        Event::Answered {
-                            inward,
-                            verdict,
+                        Event::InboundCompleted {
+                            inbound: InboundId(inward),
+                            outcome: verdict,
                             build: Some(BuildId(1)),
                             body,
                         },
@@ -554,28 +560,28 @@
             Job::Client(id) => self.answer(
                 id,
                 if settled {
-                    Verdict::Settled
+                    ForwardingOutcome::Succeeded
                 } else {
-                    Verdict::Voided
+                    ForwardingOutcome::Failed
                 },
             ),
         }
         let ending = if settled {
-            Ending::Settled
+            RequestEnd::Succeeded
         } else {
-            Ending::Failed
+            RequestEnd::Failed
         };
         self.tell(
             ix,
-            Event::Ended {
+            Event::RequestEnded {
                 class: ClassId(class),
-                ending,
-                took: TimeDelta(100_000),
+                end: ending,
+                elapsed: TimeDelta(100_000),
             },
         );
     }
 
-    fn answer(&mut self, id: RequestId, verdict: Verdict) {
+    fn answer(&mut self, id: RequestId, verdict: ForwardingOutcome) {
         let now = self.now;
         self.txns[id.0 as usize].answers.push((verdict, now));
     }
@@ -585,9 +591,9 @@
             (self.loss, self.cut, self.vanished) = (0.0, [false; 2], [false; 2]);
             for ix in 0..self.gateways.len() {
                 if std::mem::take(&mut self.gateways[ix].drained) {
-                    self.tell(ix, Event::Hand(Hand::Resume));
+                    self.tell(ix, Event::OperatorCommand(OperatorCommand::Resume));
                 }
-                self.tell(ix, Event::Home { ready: 4 });
+                self.tell(ix, Event::EndpointsUpdated { ready: 4 });
             }
             return;
         }
@@ -615,7 +621,7 @@
                     .filter(|ix| site(*ix) == which)
                     .collect::<Vec<_>>()
                 {
-                    self.tell(ix, Event::Home { ready });
+                    self.tell(ix, Event::EndpointsUpdated { ready });
                 }
             }
             6 if self.gateways[some].sites.is_some() => {
@@ -623,7 +629,11 @@
                 self.gateways[some].drained = drained;
                 self.tell(
                     some,
-                    Event::Hand(if drained { Hand::Drain } else { Hand::Resume }),
+                    Event::OperatorCommand(if drained {
+                        OperatorCommand::Drain
+                    } else {
+                        OperatorCommand::Resume
+                    }),
                 );
             }
             _ => {}
@@ -652,10 +662,10 @@
                     });
                     self.tell(
                         gateway,
-                        Event::Txn {
+                        Event::RequestReceived {
                             id,
                             class: ClassId(class),
-                            left: EXPIRY,
+                            remaining: EXPIRY,
                         },
                     );
                 }
@@ -664,13 +674,13 @@
                     self.after(next, Happening::Arrive { gateway });
                 }
             }
-            Happening::Letter { to, link, letter } => {
+            Happening::SiteMessage { to, link, letter } => {
                 if self.links.contains_key(&link) {
                     self.tell(
                         to,
-                        Event::Heard {
-                            road: link,
-                            letter: *letter,
+                        Event::MessageReceived {
+                            path: PathId(link),
+                            message: *letter,
                         },
                     );
                 }
@@ -684,20 +694,26 @@
                     self.gateways[from].party.clone(),
                 );
                 if !both {
-                    return self.tell(from, Event::Unreachable { peer });
+                    return self.tell(from, Event::ConnectFailed { peer });
                 }
                 self.links.insert(link, (from, to));
-                self.tell(from, Event::Up { road: link, peer });
+                self.tell(
+                    from,
+                    Event::PathOpened {
+                        path: PathId(link),
+                        peer,
+                    },
+                );
                 self.tell(
                     to,
-                    Event::Up {
-                        road: link,
+                    Event::PathOpened {
+                        path: PathId(link),
                         peer: peer_of,
                     },
                 );
             }
             Happening::Unreachable { gateway, peer } => {
-                self.tell(gateway, Event::Unreachable { peer })
+                self.tell(gateway, Event::ConnectFailed { peer })
             }
             Happening::Down {
                 gateway,
@@ -705,8 +721,8 @@
                 orderly,
             } => self.tell(
                 gateway,
-                Event::Down {
-                    road: link,
+                Event::PathClosed {
+                    path: PathId(link),
                     orderly,
                 },
             ),
@@ -736,7 +752,7 @@
             Happening::Wake { gateway, life } => {
                 if self.gateways[gateway].life == life {
                     self.gateways[gateway].wake = None;
-                    self.tell(gateway, Event::Wake);
+                    self.tell(gateway, Event::TimerFired);
                 }
             }
             Happening::Start { gateway } => self.start(gateway),
@@ -761,7 +777,7 @@
         let found = &mut self.found;
         for txn in &self.txns {
             let lived = self.gateways[txn.gateway].life == txn.life;
-            let repeat = classes[txn.class].repeat;
+            let repeat = classes[txn.class].retry_safety;
             if lived {
                 found.taken += 1;
                 found.answered_once += u64::from(txn.answers.len() == 1);
@@ -776,19 +792,19 @@
                 let first = txn.runs.first().map(|r| r.1);
                 let apart = |r: &(usize, Timestamp)| first.is_some_and(|f| r.1 - f > MEMORY);
                 let sites: BTreeSet<usize> = txn.runs.iter().map(|r| r.0).collect();
-                let strays = sites.len() > 1 && !classes[txn.class].spans;
+                let strays = sites.len() > 1 && !classes[txn.class].deduplicates_across_sites;
                 found.repeats_outside_memory += u64::from(strays || txn.runs.iter().any(apart));
             }
             let first = txn.answers.first().map(|a| a.0);
             found.settled_without_run +=
-                u64::from(first == Some(Verdict::Settled) && txn.runs.is_empty());
+                u64::from(first == Some(ForwardingOutcome::Succeeded) && txn.runs.is_empty());
             // A client may try again what was declined: that must not have run, once-only or outside a group.
             let harmless = match repeat {
                 RetrySafety::Idempotent => true,
-                RetrySafety::IdempotencyKey { .. } => classes[txn.class].spans,
+                RetrySafety::IdempotencyKey { .. } => classes[txn.class].deduplicates_across_sites,
                 RetrySafety::NonIdempotent => false,
             };
-            let declined = first == Some(Verdict::NotTaken);
+            let declined = first == Some(ForwardingOutcome::NotAccepted);
             found.declined_but_ran += u64::from(declined && !harmless && !txn.runs.is_empty());
         }
         for points in self.moves.values() {
@@ -803,8 +819,9 @@
                 .max(points.iter().map(within).max().unwrap_or(0) as u64);
         }
         for gateway in &self.gateways {
-            let owed = gateway.sites.as_ref().map_or((0, 0), Sites::owed);
-            found.left_owed += (owed.0 + owed.1) as u64;
+            let open = gateway.sites.as_ref().map(MultiSite::open_requests);
+            let open = open.unwrap_or_default();
+            found.left_owed += (open.outbound + open.inbound) as u64;
         }
         self.found
     }
--- a/crates/gateway/src/multi_site/forwarding.rs
+++ b/crates/gateway/src/multi_site/forwarding.rs
@@ -11,10 +11,13 @@
 use calloop::{Interest, Mode, PostAction};
 use harrierdock_event_loop::ResourceClass;
 use harrierdock_multi_site::{
-    status, Action, Change, Event, Hand, InwardNo, Place, RequestClass, Sites,
+    status, Action, Change, Event, InboundId, MultiSite, MultiSiteConfig, OperatorCommand,
+    RequestClass,
 };
-use harrierdock_site_messages::{self as letters, Handover, Letter, Party, Verdict};
-use harrierdock_site_transport::{Heard, Link, RoadNo};
+use harrierdock_site_messages::{
+    self as messages, ForwardedRequest, ForwardingOutcome, GatewayName, SiteMessage,
+};
+use harrierdock_site_transport::{Delivery, PathId, SiteTransport, TransportEvent};
 use harrierdock_types::{BuildId, Event as ModuleEvent, Lifecycle, RequestId};
 use harrierdock_types::{TimeDelta, Timestamp};
 use socket2::{Domain, Protocol, Socket, Type};
@@ -37,16 +40,16 @@
 const MEGABYTE: usize = 1 << 20;
 
 pub struct Across {
-    pub sites: Sites,
-    link: Link,
-    own: Party,
+    pub sites: MultiSite,
+    link: SiteTransport,
+    own: GatewayName,
     other_site: String,
     socket: Rc<UdpSocket>,
     /// Those that were dialled and have not come up.
-    dialled: BTreeMap<RoadNo, Party>,
+    dialled: BTreeMap<PathId, GatewayName>,
     /// The requests taken in from the other site, as they were written there.
-    held: BTreeMap<RequestId, (InwardNo, Handover)>,
-    inward: BTreeMap<InwardNo, RequestId>,
+    held: BTreeMap<RequestId, (InboundId, ForwardedRequest)>,
+    inward: BTreeMap<InboundId, RequestId>,
     link_due: Option<Timestamp>,
     sites_due: Option<Timestamp>,
     refused: u64,
@@ -75,18 +78,18 @@
         let (terms, names) = told.terms()?;
         let own = between.own(&told.name);
         let credentials = with.credentials(&own)?;
-        let link =
-            Link::new(&credentials, &between.other.site).map_err(|e| format!("sites.keys: {e}"))?;
+        let link = SiteTransport::new(&credentials, &between.other.site)
+            .map_err(|e| format!("sites.keys: {e}"))?;
         let listens = |e: io::Error| format!("sites.listen: {}: {e}", between.listen);
         let socket = Rc::new(bind(between.listen).map_err(listens)?);
         let address = socket.local_addr().map_err(listens)?;
         let class = |(name, told): (&str, &harrierdock_types::ClassParameters)| RequestClass {
             name: name.to_string(),
-            repeat: told.retry_safety,
+            retry_safety: told.retry_safety,
             latency_objective: told.latency_objective,
-            expiry: told.timeout,
+            timeout: told.timeout,
             priority_weight: told.priority_weight,
-            spans: between
+            deduplicates_across_sites: between
                 .groups_spanning
                 .iter()
                 .any(|spanning| spanning == name),
@@ -94,8 +97,8 @@
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
-        let place = Place {
-            own: own.clone(),
+        let place = MultiSiteConfig {
+            own_name: own.clone(),
             address: Some(between.reached_at.unwrap_or(address)),
             // Unix time serves only to stand above this gateway's earlier starts.
             incarnation: unix.as_micros() as u64,
@@ -107,10 +110,10 @@
                 .zip(&terms.classes)
                 .map(class)
                 .collect(),
-            warm: terms.safety.slow_start_window,
+            slow_start_window: terms.safety.slow_start_window,
             tick: terms.tick,
             retry_after: terms.limits.retry_after,
-            memory: told.limits.memory_mb * MEGABYTE / MEMORY_PART,
+            stored_response_bytes: told.limits.memory_mb * MEGABYTE / MEMORY_PART,
             seed: told.seed(),
         };
         let source = Generic::new(socket.clone(), Interest::READ, Mode::Level);
@@ -129,7 +132,7 @@
             between.other.site
         );
         Ok(Some(Across {
-            sites: Sites::new(room.now(), place),
+            sites: MultiSite::new(room.now(), place),
             link,
             own,
             other_site: between.other.site.clone(),
@@ -148,7 +151,9 @@
         let mut bytes = [0_u8; DATAGRAM_MOST];
         for _ in 0..READ_MOST {
             match self.socket.recv_from(&mut bytes) {
-                Ok((size, from)) => self.link.datagram(Instant::now(), from, &bytes[..size]),
+                Ok((size, from)) => self
+                    .link
+                    .handle_datagram(Instant::now(), from, &bytes[..size]),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
                 // An earlier datagram's word of failure.
                 Err(_) => continue,
@@ -162,20 +167,21 @@
         Some(with(Asked {
             method: &handover.method,
             target: &handover.target,
-            request: &handover.txn,
-            reference: handover.reference.as_deref(),
+            request: &handover.request_id,
+            reference: handover.idempotency_key.as_deref(),
             body: &handover.body,
         }))
     }
 
-    fn send(&mut self, room: &mut Room, road: RoadNo, letter: &Letter) -> bool {
-        match letters::write(letter) {
-            Ok(bytes) => self.link.send(
-                Instant::now(),
-                road,
-                bytes,
-                matches!(letter, Letter::Beat(_)),
-            ),
+    fn send(&mut self, room: &mut Room, path: PathId, message: &SiteMessage) -> bool {
+        match messages::encode(message) {
+            Ok(bytes) => {
+                let delivery = match message {
+                    SiteMessage::Heartbeat(_) => Delivery::BestEffort,
+                    _ => Delivery::Reliable,
+                };
+                self.link.send(Instant::now(), path, bytes, delivery)
+            }
             Err(e) => {
                 room.counters
                     .must(false, &format!("a letter can be written: {e}"));
@@ -186,7 +192,7 @@
 
     /// Sends what the link has for the socket, and notes when it wants to be called.
     fn flush(&mut self, room: &mut Room) {
-        while let Some((to, bytes)) = self.link.next_out() {
+        while let Some((to, bytes)) = self.link.next_datagram() {
             // A datagram may be lost on its way as well.
             let _ = self.socket.send_to(&bytes, to);
         }
@@ -211,33 +217,38 @@
     pub fn renew(&mut self, with: &With) -> Result<(), String> {
         let credentials = with.credentials(&self.own)?;
         self.link
-            .renew(&credentials)
+            .replace_credentials(&credentials)
             .map_err(|e| format!("sites.keys: {e}"))
     }
 }
 
 fn plain(change: &Change) -> String {
     match change {
-        Change::Joined { party } => format!("{party} is known"),
+        Change::Joined { gateway } => format!("{gateway} is known"),
         Change::Member {
-            party,
-            standing,
-            back,
-            reborn,
+            gateway,
+            state,
+            returned,
+            restarted,
         } => {
-            let word = format!("{standing:?}").to_lowercase();
-            let more = match (back, reborn) {
+            let state = status::state_text(*state);
+            let more = match (returned, restarted) {
                 (_, true) => ", started anew",
                 (true, _) => ", returned",
                 _ => "",
             };
-            format!("{party} is {word}{more}")
+            format!("{gateway} is {state}{more}")
         }
-        Change::Home { home, why } => {
-            let home = status::home(*home);
-            format!("traffic is {home}: {}", status::why(*why))
+        Change::TrafficMoved {
+            location: home,
+            reason: why,
+        } => {
+            let home = status::location_text(*home);
+            format!("traffic is {home}: {}", status::reason_text(*why))
+        }
+        Change::UnmatchedResponses { count: letters } => {
+            format!("{letters} answers matched no crossing")
         }
-        Change::Strange { letters } => format!("{letters} answers matched no crossing"),
     }
 }
 
@@ -247,14 +258,14 @@
         let Some(across) = &mut self.across else {
             return;
         };
-        for action in across.sites.take(now, event) {
+        for action in across.sites.handle(now, event) {
             self.obey_sites(now, action);
         }
     }
 
     /// Lets the link speak and be heard, until nothing more is to be done for now.
     pub fn pump(&mut self) {
-        while let Some(heard) = self.across.as_mut().and_then(|a| a.link.next_heard()) {
+        while let Some(heard) = self.across.as_mut().and_then(|a| a.link.next_event()) {
             let now = self.room.now();
             self.link_heard(now, heard);
         }
@@ -266,7 +277,7 @@
     pub fn link_due(&mut self) {
         if let Some(across) = &mut self.across {
             across.link_due = None;
-            across.link.timeout(Instant::now());
+            across.link.handle_timeout(Instant::now());
         }
     }
 
@@ -275,42 +286,45 @@
         if let Some(across) = &mut self.across {
             across.sites_due = None;
         }
-        self.sites(now, Event::Wake);
+        self.sites(now, Event::TimerFired);
     }
 
-    fn link_heard(&mut self, now: Timestamp, heard: Heard) {
+    fn link_heard(&mut self, now: Timestamp, heard: TransportEvent) {
         let Some(across) = &mut self.across else {
             return;
         };
         match heard {
-            Heard::Up { road, peer } => {
-                across.dialled.remove(&road);
+            TransportEvent::Opened { path, peer } => {
+                across.dialled.remove(&path);
                 tracing::info!("sites: linked with {peer}");
-                self.sites(now, Event::Up { road, peer });
+                self.sites(now, Event::PathOpened { path, peer });
             }
-            Heard::Down {
-                road,
+            TransportEvent::Closed {
+                path,
                 peer,
                 orderly,
-                why,
+                reason: why,
             } => {
-                let dialled = across.dialled.remove(&road);
+                let dialled = across.dialled.remove(&path);
                 match (dialled, peer) {
                     (Some(peer), _) => {
                         tracing::debug!("sites: {peer} cannot be reached: {why}");
                         if why.contains("certificate") {
                             tracing::warn!("sites: {peer} refused: {why}");
                         }
-                        self.sites(now, Event::Unreachable { peer });
+                        self.sites(now, Event::ConnectFailed { peer });
                     }
                     (None, peer) => {
                         let peer = peer.map_or("a gateway".to_string(), |p| p.to_string());
                         tracing::info!("sites: link with {peer} is down: {why}");
-                        self.sites(now, Event::Down { road, orderly });
+                        self.sites(now, Event::PathClosed { path, orderly });
                     }
                 }
             }
-            Heard::Refused { remote, why } => {
+            TransportEvent::Refused {
+                remote,
+                reason: why,
+            } => {
                 across.refused += 1;
                 // Guards against a log full of strangers: one line in a while says how many there were.
                 if across
@@ -322,8 +336,8 @@
                     tracing::warn!("sites: {many} refused lately, the last from {remote}: {why}");
                 }
             }
-            Heard::Letter { road, bytes } => match letters::read(&bytes) {
-                Ok(letter) => self.sites(now, Event::Heard { road, letter }),
+            TransportEvent::Message { path, bytes } => match messages::decode(&bytes) {
+                Ok(message) => self.sites(now, Event::MessageReceived { path, message }),
                 Err(e) => {
                     self.room.counters.add(Count::LettersRefused);
                     tracing::debug!("sites: a letter cannot be read: {e}");
@@ -334,37 +348,35 @@
 
     fn obey_sites(&mut self, now: Timestamp, action: Action) {
         match action {
-            Action::Here { id, left } => self.hand_in(now, id, left),
-            Action::Across {
+            Action::ServeLocally { id, remaining } => self.hand_in(now, id, remaining),
+            Action::Forward {
                 id,
-                road,
-                crossing,
-                to,
-                beat,
-                left,
+                path,
+                forwarding_id,
+                receiver_incarnation,
+                heartbeat_sequence,
+                remaining,
             } => {
-                let blank = Handover {
-                    crossing,
-                    to,
-                    beat,
-                    ..Handover::default()
+                let blank = ForwardedRequest {
+                    forwarding_id,
+                    receiver_incarnation,
+                    heartbeat_sequence,
+                    ..ForwardedRequest::default()
                 };
-                self.hand_over(now, id, road, blank, left)
-            }
-            Action::Settle { id, body, build } => self.settled_across(now, id, &body, build),
-            Action::Decline { id, retry_after } => {
-                self.answer(id, Answer::Declined { retry_after })
+                self.hand_over(now, id, path, blank, remaining)
             }
-            Action::Void { id } => self.answer(id, Answer::Voided),
-            Action::TakeIn {
-                inward,
+            Action::Succeed { id, body, build } => self.settled_across(now, id, &body, build),
+            Action::Reject { id, retry_after } => self.answer(id, Answer::Declined { retry_after }),
+            Action::Fail { id } => self.answer(id, Answer::Voided),
+            Action::ServeInbound {
+                inbound: inward,
                 class,
                 key,
-                left,
-                handover,
+                remaining: left,
+                request: handover,
             } => {
                 let id = self.room.next_txn();
-                let (again, least) = (handover.again, handover.least_build);
+                let (again, least) = (handover.is_client_retry, handover.minimum_build);
                 if let Some(across) = &mut self.across {
                     across.held.insert(id, (inward, handover));
                     across.inward.insert(inward, id);
@@ -386,7 +398,7 @@
                     inward: Some(inward),
                 });
             }
-            Action::Abandon { inward } => {
+            Action::AbandonInbound { inbound: inward } => {
                 if let Some(id) = self
                     .across
                     .as_ref()
@@ -396,39 +408,39 @@
                     self.room.tell(Notice::Left { id });
                 }
             }
-            Action::Dial { peer, address } => {
+            Action::Connect { peer, address } => {
                 let Some(across) = &mut self.across else {
                     return;
                 };
-                match across.link.dial(Instant::now(), address, &peer) {
-                    Ok(road) => {
-                        across.dialled.insert(road, peer);
+                match across.link.connect(Instant::now(), address, &peer) {
+                    Ok(path) => {
+                        across.dialled.insert(path, peer);
                     }
                     Err(e) => {
                         tracing::debug!("sites: {peer} cannot be dialled: {e}");
-                        self.sites(now, Event::Unreachable { peer });
+                        self.sites(now, Event::ConnectFailed { peer });
                     }
                 }
             }
-            Action::HangUp { road } => {
+            Action::ClosePath { path } => {
                 if let Some(across) = &mut self.across {
-                    across.link.hang_up(Instant::now(), road, "no road");
+                    across.link.close(Instant::now(), path, "no path");
                 }
             }
-            Action::Send { road, letter } => {
+            Action::Send { path, message } => {
                 let Gateway { across, room, .. } = self;
                 if let Some(across) = across {
-                    across.send(room, road, &letter);
+                    across.send(room, path, &message);
                 }
             }
-            Action::Changed(change) => match change {
+            Action::StatusChanged(change) => match change {
                 Change::Joined { .. } => tracing::debug!("sites: {}", plain(&change)),
-                Change::Home { .. } | Change::Strange { .. } => {
+                Change::TrafficMoved { .. } | Change::UnmatchedResponses { .. } => {
                     tracing::warn!("sites: {}", plain(&change))
                 }
                 Change::Member { .. } => tracing::info!("sites: {}", plain(&change)),
             },
-            Action::Wake { after } => {
+            Action::SetTimer { after } => {
                 let Gateway { across, room, .. } = self;
                 if let Some(across) = across {
                     let at = now + after;
@@ -448,8 +460,8 @@
         &mut self,
         now: Timestamp,
         id: RequestId,
-        road: RoadNo,
-        blank: Handover,
+        path: PathId,
+        blank: ForwardedRequest,
         left: TimeDelta,
     ) {
         let Some((class, key, again)) = self.crosses(id) else {
@@ -464,19 +476,19 @@
             ..
         } = self;
         let Some(across) = across else { return };
-        let (from, crossing) = (across.sites.incarnation(), blank.crossing);
+        let (from, crossing) = (across.sites.incarnation(), blank.forwarding_id);
         let name = driver.names.classes.name(class).to_string();
-        let write = |asked: Asked<'_>| Handover {
-            from,
+        let write = |asked: Asked<'_>| ForwardedRequest {
+            sender_incarnation: from,
             class: name,
-            left_ms: (left.0 / 1000).clamp(0, i64::from(u32::MAX)) as u32,
-            again,
-            key: key.map(|k| k.0),
-            least_build,
+            remaining_ms: (left.0 / 1000).clamp(0, i64::from(u32::MAX)) as u32,
+            is_client_retry: again,
+            affinity_key: key.map(|k| k.0),
+            minimum_build: least_build,
             method: asked.method.into(),
             target: asked.target.into(),
-            txn: asked.request.into(),
-            reference: asked.reference.map(str::to_string),
+            request_id: asked.request.into(),
+            idempotency_key: asked.reference.map(str::to_string),
             body: asked.body.to_vec(),
             ..blank
         };
@@ -485,21 +497,21 @@
             return;
         };
         room.counters.add(Count::HandedOver);
-        if !across.send(room, road, &Letter::Handover(handover)) {
+        if !across.send(room, path, &SiteMessage::Request(handover)) {
             // Not sent, so not taken, for certain.
-            let verdict = Verdict::NotTaken;
-            let answer = letters::Answer {
-                crossing,
-                to: from,
-                verdict,
+            let verdict = ForwardingOutcome::NotAccepted;
+            let answer = messages::ForwardingResponse {
+                forwarding_id: crossing,
+                sender_incarnation: from,
+                outcome: verdict,
                 build: None,
                 body: Vec::new(),
             };
             self.sites(
                 now,
-                Event::Heard {
-                    road,
-                    letter: Letter::Answer(answer),
+                Event::MessageReceived {
+                    path,
+                    message: SiteMessage::Response(answer),
                 },
             );
         }
@@ -541,7 +553,7 @@
         &mut self,
         now: Timestamp,
         id: RequestId,
-        verdict: Verdict,
+        verdict: ForwardingOutcome,
         build: Option<BuildId>,
         body: Vec<u8>,
     ) {
@@ -554,9 +566,9 @@
         across.inward.remove(&inward);
         self.sites(
             now,
-            Event::Answered {
-                inward,
-                verdict,
+            Event::InboundCompleted {
+                inbound: inward,
+                outcome: verdict,
                 build,
                 body,
             },
@@ -567,7 +579,7 @@
     pub fn look_home(&mut self, now: Timestamp) {
         if self.across.is_some() {
             let ready = self.driver.count(Lifecycle::Ready);
-            self.sites(now, Event::Home { ready });
+            self.sites(now, Event::EndpointsUpdated { ready });
         }
     }
 
@@ -575,8 +587,8 @@
     pub fn by_hand(&mut self, word: &str) -> String {
         let now = self.room.now();
         let hand = match word {
-            "drain" => Some(Hand::Drain),
-            "resume" => Some(Hand::Resume),
+            "drain" => Some(OperatorCommand::Drain),
+            "resume" => Some(OperatorCommand::Resume),
             "status" => None,
             odd => {
                 return format!(
@@ -587,7 +599,7 @@
         };
         if let Some(hand) = hand {
             tracing::warn!("sites: told by hand to {word}");
-            self.sites(now, Event::Hand(hand));
+            self.sites(now, Event::OperatorCommand(hand));
             self.settle();
         }
         let status = self
