--- a/crates/multi-site/src/action.rs
+++ b/crates/multi-site/src/action.rs
@@ -45,7 +45,7 @@
     Reject {
         /// The request.
         id: RequestId,
-        /// What the client is told to wait.
+        /// What the client is asked to wait.
         retry_after: Option<TimeDelta>,
     },
     /// Fail a client's request, whose effect is unknown.
@@ -90,7 +90,7 @@
         /// The message.
         message: SiteMessage,
     },
-    /// Tell operators.
+    /// Report a change to operators.
     StatusChanged(Change),
     /// Send [`crate::Event::TimerFired`] after this time, in place of any timer asked for before.
     SetTimer {
@@ -99,7 +99,7 @@
     },
 }
 
-/// A change that operators are told.
+/// A change to report to operators.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
     /// A gateway was heard of for the first time.
--- a/crates/multi-site/src/config.rs
+++ b/crates/multi-site/src/config.rs
@@ -44,7 +44,7 @@
     pub slow_start_window: TimeDelta,
     /// The tick of the event loop: no timer is more exact.
     pub tick: TimeDelta,
-    /// What a rejected client is told to wait.
+    /// What a rejected client is asked to wait.
     pub retry_after: Option<TimeDelta>,
     /// The most bytes that stored responses may take.
     pub stored_response_bytes: usize,
--- a/crates/multi-site/src/event.rs
+++ b/crates/multi-site/src/event.rs
@@ -1,4 +1,4 @@
-//! What the decisions are told.
+//! The events that the decisions handle.
 
 use harrierdock_site_messages::{ForwardingOutcome, GatewayName, PathId, SiteMessage};
 use harrierdock_types::{BuildId, ClassId, RequestId, TimeDelta};
--- a/crates/multi-site/src/membership/member.rs
+++ b/crates/multi-site/src/membership/member.rs
@@ -1,4 +1,4 @@
-//! One known gateway: its record, and this gateway's dealings with it.
+//! One known gateway: its record, and the state of connecting to it.
 
 use harrierdock_site_messages::{GatewayName, MemberRecord, MemberState};
 use harrierdock_types::Timestamp;
@@ -16,7 +16,7 @@
     pub(super) failed_connects: u32,
     pub(super) next_connect: Timestamp,
     pub(super) is_connecting: bool,
-    /// Its place among those that this gateway may open paths to; the lowest come first.
+    /// Its rank among those that this gateway may open paths to; the lowest come first.
     pub(super) rank: u64,
 }
 
--- a/crates/multi-site/src/membership/mod.rs
+++ b/crates/multi-site/src/membership/mod.rs
@@ -38,7 +38,7 @@
         /// The path.
         path: PathId,
     },
-    /// Tell operators.
+    /// Report a change to operators.
     Changed(Change),
     /// A path has become usable.
     PathUsable {
--- a/crates/multi-site/src/membership/path.rs
+++ b/crates/multi-site/src/membership/path.rs
@@ -8,7 +8,7 @@
 use super::member::Member;
 use super::HEARTBEATS_REMEMBERED;
 
-/// The most records of the whole table in one heartbeat on a path that was just opened.
+/// The most records of the table in one heartbeat on a path that was just opened.
 const TABLE_RECORDS_PER_HEARTBEAT: usize = 32;
 
 /// A heartbeat that was received.
@@ -38,7 +38,7 @@
     pub(super) newest_sequence: u32,
     /// The latest heartbeats received, oldest first.
     received: VecDeque<ReceivedHeartbeat>,
-    /// Where the sending of the whole table continues; none once it is complete.
+    /// Where the sending of all records continues; none once it is complete.
     table_position: Option<GatewayName>,
 }
 
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Notes a heartbeat. False if it is a copy or was overtaken by a newer one: then it tells nothing.
+    /// Notes a heartbeat. False if it is a copy or was overtaken by a newer one: then it has no news.
     pub(super) fn note_received(&mut self, now: Timestamp, heartbeat: &Heartbeat) -> bool {
         if (heartbeat.incarnation, heartbeat.sequence) <= (self.incarnation, self.newest_sequence) {
             return false;
@@ -96,7 +96,7 @@
         Some(now - before.at + self.round_trip)
     }
 
-    /// Adds the next part of the whole table, so that a gateway that has just started soon knows all others.
+    /// Adds the next part of the table, so that a gateway that has just started soon knows all others.
     pub(super) fn add_table_records(
         &mut self,
         members: &BTreeMap<GatewayName, Member>,
--- a/crates/multi-site/src/multi_site/outbound.rs
+++ b/crates/multi-site/src/multi_site/outbound.rs
@@ -8,7 +8,7 @@
 use crate::requests::OutboundRequest;
 use crate::{Action, RequestClass, RequestEnd};
 
-/// The shortest time that the receiver of a forwarded request is given: its clock of the wire counts milliseconds.
+/// The shortest time that the receiver of a forwarded request is given: the wire counts in milliseconds.
 const MIN_REMAINING: TimeDelta = TimeDelta(1000);
 
 impl MultiSite {
--- a/crates/multi-site/src/offered_capacity.rs
+++ b/crates/multi-site/src/offered_capacity.rs
@@ -96,7 +96,7 @@
         self.current.troubled += f64::from(!succeeded || is_late);
     }
 
-    /// The other end of a path tells how much it would forward in an interval.
+    /// The other end of a path reports how much it would forward in an interval.
     pub(crate) fn set_demand(&mut self, path: PathId, demand: &[(ClassId, f64)]) {
         let grant = self.grants.entry(path).or_default();
         grant.demand = vec![0.0; self.class_count];
@@ -194,7 +194,7 @@
         rest
     }
 
-    /// The whole requests granted on a path in this interval.
+    /// The number of requests granted on a path in this interval.
     pub(crate) fn grants(&self, path: PathId) -> Vec<(ClassId, u16)> {
         let Some(grant) = self.grants.get(&path) else {
             return Vec::new();
--- a/crates/multi-site/src/path_selection.rs
+++ b/crates/multi-site/src/path_selection.rs
@@ -167,7 +167,7 @@
         self.path_count = path_count;
     }
 
-    /// The demand that is told on each path: its part of the whole.
+    /// The demand that is reported on each path: its part of the total.
     pub(crate) fn demand(&self) -> Vec<(ClassId, u16)> {
         let part = 1.0 / self.path_count.max(1) as f64;
         let most = f64::from(u16::MAX);
--- a/crates/multi-site/tests/multi_site/fixture.rs
+++ b/crates/multi-site/tests/multi_site/fixture.rs
@@ -184,7 +184,7 @@
         (0..count).for_each(|_| self.heartbeat(PEER_INCARNATION, true));
     }
 
-    /// Lets time pass without a word from the other end.
+    /// Lets time pass without a message from the other end.
     pub fn pass(&mut self, ms: i64) {
         let until = self.now + MS * ms as f64;
         while self.now < until {
--- a/crates/site-transport/src/connection.rs
+++ b/crates/site-transport/src/connection.rs
@@ -158,7 +158,7 @@
         }
     }
 
-    /// Collects the datagrams that the connection has for the socket, as far as there is room. True if there was any.
+    /// Collects the datagrams that the connection has for the socket, as far as the queue takes them. True if there was any.
     pub(crate) fn collect_datagrams(&mut self, now: Instant, out: &mut OutgoingDatagrams) -> bool {
         let mut progressed = false;
         let mut buffer = Vec::new();
