--- a/crates/site-transport/src/connection.rs
+++ b/crates/site-transport/src/connection.rs
@@ -1,40 +1,24 @@
-//! One QUIC connection: its handshake, and the messages on it. A message is a stream of its own, or a datagram.
+//! One QUIC connection: from its handshake to its end, with the datagrams on it.
 
-use std::collections::{BTreeMap, HashMap, VecDeque};
+use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::time::Instant;
 
 use bytes::Bytes;
-use harrierdock_site_messages::{GatewayName, PathId, MAX_MESSAGE_BYTES};
+use harrierdock_site_messages::{GatewayName, PathId};
 use quinn_proto::{
-    Chunks, Connection, ConnectionError, ConnectionEvent, ConnectionHandle, Dir, Endpoint, Event,
-    FinishError, ReadError, ReadableError, StreamEvent, StreamId, VarInt, WriteError,
+    Connection, ConnectionError, ConnectionEvent, ConnectionHandle, Endpoint, Event, VarInt,
 };
 use rustls_pki_types::CertificateDer;
 
 use crate::certificate::gateway_name;
+use crate::streams::MessageStreams;
 use crate::transport::OutgoingDatagrams;
 use crate::{HandshakeError, TransportEvent};
 
-/// The most bytes that wait to be sent on a connection.
-pub(crate) const MAX_UNSENT_BYTES: usize = 4 << 20;
-
-/// The error codes with which this program closes connections and stops streams.
+/// The error codes with which this program closes connections.
 const CLOSE_ORDERLY: u32 = 0;
 const CLOSE_REFUSED: u32 = 1;
-const STOP_NO_MESSAGE: u32 = 2;
-
-/// A message on its stream.
-struct OutgoingMessage {
-    bytes: Bytes,
-    sent_bytes: usize,
-}
-
-impl OutgoingMessage {
-    fn unsent_bytes(&self) -> usize {
-        self.bytes.len() - self.sent_bytes
-    }
-}
 
 pub(crate) struct PathConnection {
     pub(crate) path: PathId,
@@ -42,13 +26,7 @@
     /// The gateway that this end has connected to, or that has shown its certificate.
     peer: Option<GatewayName>,
     pub(crate) is_open: bool,
-    receiving: HashMap<StreamId, Vec<u8>>,
-    /// Messages whose streams take no more bytes for now.
-    sending: BTreeMap<StreamId, OutgoingMessage>,
-    /// Messages that wait for a stream.
-    queued: VecDeque<Bytes>,
-    /// The bytes of both.
-    unsent_bytes: usize,
+    streams: MessageStreams,
 }
 
 impl PathConnection {
@@ -58,10 +36,7 @@
             connection,
             peer,
             is_open: false,
-            receiving: HashMap::new(),
-            sending: BTreeMap::new(),
-            queued: VecDeque::new(),
-            unsent_bytes: 0,
+            streams: MessageStreams::default(),
         }
     }
 
@@ -98,64 +73,14 @@
         self.connection.datagrams().send(bytes.into(), true).is_ok()
     }
 
-    /// Queues a message for a stream. False if too much waits already: the other end may take in nothing.
+    /// Queues a message for a stream. False if too much waits already.
     pub(crate) fn queue_message(&mut self, bytes: Vec<u8>) -> bool {
-        if self.unsent_bytes + bytes.len() > MAX_UNSENT_BYTES {
-            return false;
-        }
-        self.unsent_bytes += bytes.len();
-        self.queued.push_back(bytes.into());
-        true
+        self.streams.queue(bytes)
     }
 
     /// Writes waiting messages, as far as the other end takes them. True if any was written.
     pub(crate) fn write_messages(&mut self) -> bool {
-        self.open_streams();
-        let mut progressed = false;
-        let mut finished = Vec::new();
-        for (id, message) in &mut self.sending {
-            let mut stream = self.connection.send_stream(*id);
-            while message.unsent_bytes() > 0 {
-                match stream.write(&message.bytes[message.sent_bytes..]) {
-                    Ok(count) => {
-                        message.sent_bytes += count;
-                        self.unsent_bytes -= count;
-                        progressed = true;
-                    }
-                    Err(WriteError::Blocked) => break,
-                    Err(WriteError::Stopped(_) | WriteError::ClosedStream) => {
-                        self.unsent_bytes -= message.unsent_bytes();
-                        message.sent_bytes = message.bytes.len();
-                    }
-                }
-            }
-            if message.unsent_bytes() == 0 {
-                match stream.finish() {
-                    Ok(()) | Err(FinishError::Stopped(_) | FinishError::ClosedStream) => {
-                        finished.push(*id);
-                    }
-                }
-            }
-        }
-        for id in &finished {
-            self.sending.remove(id);
-        }
-        progressed || !finished.is_empty()
-    }
-
-    fn open_streams(&mut self) {
-        while !self.queued.is_empty() {
-            let Some(id) = self.connection.streams().open(Dir::Uni) else {
-                return;
-            };
-            if let Some(bytes) = self.queued.pop_front() {
-                let message = OutgoingMessage {
-                    bytes,
-                    sent_bytes: 0,
-                };
-                self.sending.insert(id, message);
-            }
-        }
+        self.streams.write(&mut self.connection)
     }
 
     /// Collects the datagrams that the connection has for the socket, as far as the queue takes them. True if there was any.
@@ -205,13 +130,14 @@
                     Err(error) => self.refuse(now, &error, events),
                 },
                 Event::ConnectionLost { reason } => self.lose(&reason, events),
-                Event::Stream(event) => self.handle_stream_event(event, events),
+                Event::Stream(event) => {
+                    for bytes in self.streams.handle_event(&mut self.connection, event) {
+                        events.push_back(self.message(bytes));
+                    }
+                }
                 Event::DatagramReceived => {
                     while let Some(bytes) = self.connection.datagrams().recv() {
-                        events.push_back(TransportEvent::Message {
-                            path: self.path,
-                            bytes: bytes.into(),
-                        });
+                        events.push_back(self.message(bytes.into()));
                     }
                 }
                 Event::HandshakeDataReady | Event::DatagramsUnblocked => {}
@@ -299,77 +225,14 @@
         })
     }
 
-    fn remote(&self) -> SocketAddr {
-        self.connection.remote_address()
-    }
-
-    fn handle_stream_event(&mut self, event: StreamEvent, events: &mut VecDeque<TransportEvent>) {
-        match event {
-            StreamEvent::Opened { dir: Dir::Uni } => {
-                while let Some(id) = self.connection.streams().accept(Dir::Uni) {
-                    self.receiving.insert(id, Vec::new());
-                    self.read_stream(id, events);
-                }
-            }
-            StreamEvent::Readable { id } => self.read_stream(id, events),
-            StreamEvent::Stopped { id, .. } => {
-                if let Some(message) = self.sending.remove(&id) {
-                    self.unsent_bytes -= message.unsent_bytes();
-                }
-            }
-            StreamEvent::Opened { dir: Dir::Bi }
-            | StreamEvent::Writable { .. }
-            | StreamEvent::Finished { .. }
-            | StreamEvent::Available { .. } => {}
-        }
-    }
-
-    fn read_stream(&mut self, id: StreamId, events: &mut VecDeque<TransportEvent>) {
-        let Some(message) = self.receiving.get_mut(&id) else {
-            return;
-        };
-        let mut stream = self.connection.recv_stream(id);
-        let is_over = match stream.read(true) {
-            Ok(mut chunks) => {
-                let is_over = read_chunks(&mut chunks, message);
-                // Timeouts and datagrams are polled after every event in any case.
-                let _ = chunks.finalize();
-                is_over
-            }
-            Err(ReadableError::ClosedStream | ReadableError::IllegalOrderedRead) => true,
-        };
-        if !is_over {
-            return;
-        }
-        let message = self.receiving.remove(&id).unwrap_or_default();
-        if message.is_empty() {
-            // The stream may be gone already.
-            let _ = self
-                .connection
-                .recv_stream(id)
-                .stop(VarInt::from_u32(STOP_NO_MESSAGE));
-        } else {
-            events.push_back(TransportEvent::Message {
-                path: self.path,
-                bytes: message,
-            });
+    fn message(&self, bytes: Vec<u8>) -> TransportEvent {
+        TransportEvent::Message {
+            path: self.path,
+            bytes,
         }
     }
-}
 
-/// Reads what has come of a message. True if nothing more comes; a message that is too long, or was reset, is then empty.
-fn read_chunks(chunks: &mut Chunks, message: &mut Vec<u8>) -> bool {
-    loop {
-        match chunks.next(MAX_MESSAGE_BYTES) {
-            Ok(Some(chunk)) if message.len() + chunk.bytes.len() <= MAX_MESSAGE_BYTES => {
-                message.extend_from_slice(&chunk.bytes);
-            }
-            Ok(Some(_)) | Err(ReadError::Reset(_)) => {
-                message.clear();
-                return true;
-            }
-            Ok(None) => return true,
-            Err(ReadError::Blocked) => return false,
-        }
+    fn remote(&self) -> SocketAddr {
+        self.connection.remote_address()
     }
 }
--- a/crates/site-transport/src/lib.rs
+++ b/crates/site-transport/src/lib.rs
@@ -12,6 +12,7 @@
 mod credentials;
 mod error;
 mod event;
+mod streams;
 mod tls;
 mod transport;
 
--- a/crates/site-transport/src/tls.rs
+++ b/crates/site-transport/src/tls.rs
@@ -10,7 +10,7 @@
 use rustls::server::WebPkiClientVerifier;
 use rustls::RootCertStore;
 
-use crate::connection::MAX_UNSENT_BYTES;
+use crate::streams::MAX_UNSENT_BYTES;
 use crate::{Credentials, SetupError};
 
 /// The application protocol that both ends speak (ALPN, RFC 7301).
