--- a/crates/policy/src/exposure_limiter.rs
+++ b/crates/policy/src/exposure_limiter.rs
@@ -7,45 +7,44 @@
 
 /// An attempt at a build that is not released.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct CanaryAttempt {
-    pub(crate) class: ClassId,
-    pub(crate) build: BuildId,
+pub struct CanaryAttempt {
+    /// The class of the request.
+    pub class: ClassId,
+    /// The build of the endpoint.
+    pub build: BuildId,
 }
 
 /// Keeps each build's share of attempts within its exposure limit.
 #[derive(Debug, Default)]
-pub(crate) struct ExposureLimiter {
+pub struct ExposureLimiter {
     received: SlidingWindow<ClassId>,
     attempts: SlidingWindow<CanaryAttempt>,
 }
 
 impl ExposureLimiter {
-    pub(crate) fn record_request(&mut self, now: Timestamp, class: ClassId) {
+    /// Counts a request.
+    pub fn record_request(&mut self, now: Timestamp, class: ClassId) {
         self.received.push(now, class);
     }
 
     /// How many requests the window holds.
-    pub(crate) fn received_count(&self) -> usize {
+    pub fn received_count(&self) -> usize {
         self.received.len()
     }
 
-    pub(crate) fn record_attempt(&mut self, now: Timestamp, attempt: CanaryAttempt) {
+    /// Counts an attempt.
+    pub fn record_attempt(&mut self, now: Timestamp, attempt: CanaryAttempt) {
         self.attempts.push(now, attempt);
     }
 
     /// Takes back an attempt that was counted at this time.
-    pub(crate) fn withdraw_attempt(&mut self, at: Timestamp, attempt: CanaryAttempt) {
+    pub fn withdraw_attempt(&mut self, at: Timestamp, attempt: CanaryAttempt) {
         self.attempts.remove(at, &attempt);
     }
 
     /// Whether one more attempt fits. It must fit the window that ends now, and those that end a tick of the platform's clock
     /// before or after.
-    pub(crate) fn allows(
-        &self,
-        context: &Context,
-        attempt: CanaryAttempt,
-        exposure_limit: f64,
-    ) -> bool {
+    pub fn allows(&self, context: &Context, attempt: CanaryAttempt, exposure_limit: f64) -> bool {
         if exposure_limit <= 0.0 {
             return false;
         }
@@ -64,7 +63,8 @@
         sent + 1.0 <= rollout.exposure_allowance + exposure_limit * received
     }
 
-    pub(crate) fn drop_before(&mut self, edge: Timestamp) {
+    /// Forgets what was counted before this time.
+    pub fn drop_before(&mut self, edge: Timestamp) {
         self.received.drop_before(edge);
         self.attempts.drop_before(edge);
     }
--- a/crates/policy/src/latency.rs
+++ b/crates/policy/src/latency.rs
@@ -11,14 +11,15 @@
 
 /// The usual answer times of the baseline.
 #[derive(Debug, Default)]
-pub(crate) struct UsualLatency {
+pub struct UsualLatency {
     class_means: Vec<TimeDelta>,
     /// By machine model: answer times over the class's mean.
     model_ratios: BTreeMap<usize, f64>,
 }
 
 impl UsualLatency {
-    pub(crate) fn new(parameters: &Parameters) -> UsualLatency {
+    /// Means that no answer has changed yet.
+    pub fn new(parameters: &Parameters) -> UsualLatency {
         let class_means = parameters
             .classes
             .iter()
@@ -31,12 +32,12 @@
     }
 
     /// The mean answer time of a class, or `None` if the class is not configured.
-    pub(crate) fn class_mean(&self, class: ClassId) -> Option<TimeDelta> {
+    pub fn class_mean(&self, class: ClassId) -> Option<TimeDelta> {
         self.class_means.get(class.0).copied()
     }
 
     /// The longest mean answer time of all classes.
-    pub(crate) fn longest_mean(&self) -> TimeDelta {
+    pub fn longest_mean(&self) -> TimeDelta {
         self.class_means
             .iter()
             .copied()
@@ -45,18 +46,18 @@
     }
 
     /// How answer times of a machine model compare to the class's mean.
-    pub(crate) fn model_ratio(&self, model: usize) -> f64 {
+    pub fn model_ratio(&self, model: usize) -> f64 {
         self.model_ratios.get(&model).copied().unwrap_or(1.0)
     }
 
     /// The latency estimate of an endpoint that has not answered yet. A new build's endpoints of a slow model would otherwise be
     /// overloaded before they have shown that they are slow.
-    pub(crate) fn initial_estimate(&self, model: usize) -> f64 {
+    pub fn initial_estimate(&self, model: usize) -> f64 {
         self.model_ratio(model).max(1.0)
     }
 
     /// Learns from an answer of the baseline while no rollout is in question.
-    pub(crate) fn record(&mut self, class: ClassId, model: usize, duration: TimeDelta) {
+    pub fn record(&mut self, class: ClassId, model: usize, duration: TimeDelta) {
         let Some(mean) = self.class_means.get_mut(class.0) else {
             return;
         };
--- a/crates/policy/src/load_shedder.rs
+++ b/crates/policy/src/load_shedder.rs
@@ -21,13 +21,13 @@
 
 /// The queue of a gossip group's attempts.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct GroupLoad {
+pub struct GroupLoad {
     /// The group's attempts in flight.
-    pub(crate) in_flight: f64,
+    pub in_flight: f64,
     /// The group's traffic in the last latency objective.
-    pub(crate) recent: TrafficCounts,
+    pub recent: TrafficCounts,
     /// Whether there has been traffic for a latency objective.
-    pub(crate) is_settled: bool,
+    pub is_settled: bool,
 }
 
 /// Sheds load of the lowest priority weight first.
@@ -36,14 +36,15 @@
 /// as many requests as are answered is admitted. Endpoints that need half the latency objective by nature look as though they
 /// had queues.
 #[derive(Debug, Default)]
-pub(crate) struct LoadShedder {
+pub struct LoadShedder {
     shed_ratio: f64,
     raised_at: Timestamp,
     class_ratios: Vec<f64>,
 }
 
 impl LoadShedder {
-    pub(crate) fn new(parameters: &Parameters) -> LoadShedder {
+    /// Sheds nothing yet; all classes count alike until requests come.
+    pub fn new(parameters: &Parameters) -> LoadShedder {
         let class_count = parameters.classes.len();
         LoadShedder {
             class_ratios: vec![1.0 / class_count.max(1) as f64; class_count],
@@ -52,17 +53,17 @@
     }
 
     /// The share of all requests that is shed.
-    pub(crate) fn shed_ratio(&self) -> f64 {
+    pub fn shed_ratio(&self) -> f64 {
         self.shed_ratio
     }
 
     /// Sheds what the group's aggregator sheds.
-    pub(crate) fn follow(&mut self, shed_ratio: f64) {
+    pub fn follow(&mut self, shed_ratio: f64) {
         self.shed_ratio = shed_ratio.min(MAX_SHED_RATIO);
     }
 
     /// Notes a request's class.
-    pub(crate) fn record_request(&mut self, class: ClassId) {
+    pub fn record_request(&mut self, class: ClassId) {
         for (index, ratio) in self.class_ratios.iter_mut().enumerate() {
             *ratio += SLOW_LEARNING_RATE * (f64::from(index == class.0) - *ratio);
         }
@@ -70,7 +71,7 @@
 
     /// Sheds more while the group has a queue, at most once in a latency objective, as it takes that long to show; else less.
     /// Without `load`, as at a member, it sheds ever less until the aggregator is heard again.
-    pub(crate) fn update(&mut self, context: &Context, load: Option<&GroupLoad>) {
+    pub fn update(&mut self, context: &Context, load: Option<&GroupLoad>) {
         let headroom = match load {
             Some(load) => self.raise(context, load),
             None => 1.0,
@@ -95,7 +96,7 @@
     }
 
     /// The share of a class's requests that is shed.
-    pub(crate) fn class_shed_ratio(&self, context: &Context, class: ClassId) -> f64 {
+    pub fn class_shed_ratio(&self, context: &Context, class: ClassId) -> f64 {
         let weight = context.class(class).priority_weight;
         let lower_ratio = self.traffic_ratio(context, |other| other < weight);
         let equal_ratio = self.traffic_ratio(context, |other| other == weight);
--- a/crates/policy/src/request_table.rs
+++ b/crates/policy/src/request_table.rs
@@ -9,34 +9,43 @@
 
 /// Where an attempt stands.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum AttemptState {
+pub enum AttemptState {
     /// To be started.
     Wanted,
+    /// Started, and not ended.
     Started,
     /// To be cancelled.
     Unwanted,
+    /// Cancelled, and not ended yet.
     Cancelled,
+    /// Ended.
     Finished {
+        /// Whether it may have had its effect.
         may_have_run: bool,
     },
 }
 
 /// An attempt of a request.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Attempt {
-    pub(crate) endpoint: EndpointId,
-    pub(crate) build: BuildId,
-    pub(crate) started: Timestamp,
-    pub(crate) state: AttemptState,
+pub struct Attempt {
+    /// Where it goes.
+    pub endpoint: EndpointId,
+    /// The build of the endpoint.
+    pub build: BuildId,
+    /// When it started.
+    pub started: Timestamp,
+    /// Where it stands.
+    pub state: AttemptState,
 }
 
 impl Attempt {
-    pub(crate) fn is_finished(&self) -> bool {
+    /// Whether it has ended.
+    pub fn is_finished(&self) -> bool {
         matches!(self.state, AttemptState::Finished { .. })
     }
 
     /// Whether it may have had its effect, or may yet have it.
-    pub(crate) fn may_have_run(&self) -> bool {
+    pub fn may_have_run(&self) -> bool {
         self.state
             != AttemptState::Finished {
                 may_have_run: false,
@@ -46,7 +55,8 @@
 
 /// How a request is answered.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum Answer {
+pub enum Answer {
+    /// Not answered yet.
     Owed,
     /// An attempt's answer has begun to reach the client.
     Streaming,
@@ -54,23 +64,32 @@
     Reject,
     /// To be failed.
     Fail,
+    /// Answered, or in no need of an answer.
     Given,
 }
 
 /// A request of a client.
 #[derive(Clone, Debug)]
-pub(crate) struct Request {
-    pub(crate) class: ClassId,
-    pub(crate) key: Option<AffinityKey>,
-    pub(crate) received: Timestamp,
-    pub(crate) deadline: Timestamp,
-    pub(crate) attempts: Vec<Attempt>,
-    pub(crate) answer: Answer,
-    pub(crate) retry_at: Option<Timestamp>,
+pub struct Request {
+    /// Its class.
+    pub class: ClassId,
+    /// Its affinity key, if it has one.
+    pub key: Option<AffinityKey>,
+    /// When it came.
+    pub received: Timestamp,
+    /// When its client stops waiting.
+    pub deadline: Timestamp,
+    /// Its attempts, oldest first.
+    pub attempts: Vec<Attempt>,
+    /// How it is answered.
+    pub answer: Answer,
+    /// When an endpoint is looked for again, if that is to be.
+    pub retry_at: Option<Timestamp>,
 }
 
 impl Request {
-    pub(crate) fn new(
+    /// A request without attempts.
+    pub fn new(
         class: ClassId,
         key: Option<AffinityKey>,
         received: Timestamp,
@@ -89,7 +108,7 @@
 
     /// Whether it waits for an endpoint. No second copy goes out while one runs: where work isn't stopped, copies fill endpoints
     /// that are slow already.
-    pub(crate) fn needs_endpoint(&self) -> bool {
+    pub fn needs_endpoint(&self) -> bool {
         self.answer == Answer::Owed && self.attempts.iter().all(Attempt::is_finished)
     }
 
@@ -150,7 +169,7 @@
 
 /// All requests.
 #[derive(Debug, Default)]
-pub(crate) struct RequestTable {
+pub struct RequestTable {
     requests: BTreeMap<RequestId, Request>,
     /// Those that may differ from what was emitted.
     changed: BTreeSet<RequestId>,
@@ -158,16 +177,18 @@
 }
 
 impl RequestTable {
-    pub(crate) fn insert(&mut self, id: RequestId, request: Request) {
+    /// Adds a request.
+    pub fn insert(&mut self, id: RequestId, request: Request) {
         self.requests.insert(id, request);
     }
 
-    pub(crate) fn get(&self, id: RequestId) -> Option<&Request> {
+    /// A request, unless it is over.
+    pub fn get(&self, id: RequestId) -> Option<&Request> {
         self.requests.get(&id)
     }
 
     /// Adds an attempt to a request.
-    pub(crate) fn start_attempt(&mut self, id: RequestId, attempt: Attempt) {
+    pub fn start_attempt(&mut self, id: RequestId, attempt: Attempt) {
         self.changed.insert(id);
         if let Some(request) = self.requests.get_mut(&id) {
             request.attempts.push(attempt);
@@ -175,7 +196,7 @@
     }
 
     /// Notes that an attempt has ended, and returns it with its request's class and key. `None` if there is no such attempt.
-    pub(crate) fn finish_attempt(
+    pub fn finish_attempt(
         &mut self,
         id: RequestId,
         index: usize,
@@ -193,12 +214,12 @@
     }
 
     /// Marks a request as one to look at when actions are emitted.
-    pub(crate) fn mark_changed(&mut self, id: RequestId) {
+    pub fn mark_changed(&mut self, id: RequestId) {
         self.changed.insert(id);
     }
 
     /// Looks for an endpoint again at this time, or at the request's deadline if that is earlier.
-    pub(crate) fn schedule_retry(&mut self, id: RequestId, at: Timestamp) {
+    pub fn schedule_retry(&mut self, id: RequestId, at: Timestamp) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
@@ -210,12 +231,12 @@
     }
 
     /// The earliest retry timer.
-    pub(crate) fn next_retry(&self) -> Option<Timestamp> {
+    pub fn next_retry(&self) -> Option<Timestamp> {
         self.retry_timers.first().map(|timer| timer.at)
     }
 
     /// Takes the earliest retry timer that is due, and returns its request.
-    pub(crate) fn pop_due_retry(&mut self, now: Timestamp) -> Option<RequestId> {
+    pub fn pop_due_retry(&mut self, now: Timestamp) -> Option<RequestId> {
         let timer = *self.retry_timers.first().filter(|timer| timer.at <= now)?;
         self.retry_timers.remove(&timer);
         if let Some(request) = self.requests.get_mut(&timer.id) {
@@ -226,7 +247,7 @@
 
     /// Ends a request with this answer: attempts that are out are cancelled if they can be, and its retry timer is removed.
     /// Returns whether its client is left without an endpoint's answer.
-    pub(crate) fn finish(&mut self, id: RequestId, answer: Answer, can_cancel: bool) -> bool {
+    pub fn finish(&mut self, id: RequestId, answer: Answer, can_cancel: bool) -> bool {
         let Some(request) = self.requests.get_mut(&id) else {
             return false;
         };
@@ -250,7 +271,7 @@
     }
 
     /// The newest build that an attempt of this key is out at, other than the one that is rolled back.
-    pub(crate) fn newest_build_in_flight(
+    pub fn newest_build_in_flight(
         &self,
         key: AffinityKey,
         rolled_back: Option<BuildId>,
@@ -265,7 +286,7 @@
     }
 
     /// Emits what the changed requests want and has not been asked for, and removes those that are over.
-    pub(crate) fn emit(&mut self, retry_after: Option<TimeDelta>, actions: &mut Vec<Action>) {
+    pub fn emit(&mut self, retry_after: Option<TimeDelta>, actions: &mut Vec<Action>) {
         for id in std::mem::take(&mut self.changed) {
             let Some(request) = self.requests.get_mut(&id) else {
                 continue;
@@ -281,9 +302,13 @@
 
 /// What is known of an attempt that has ended.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct FinishedAttempt {
-    pub(crate) build: BuildId,
-    pub(crate) started: Timestamp,
-    pub(crate) class: ClassId,
-    pub(crate) key: Option<AffinityKey>,
+pub struct FinishedAttempt {
+    /// The build of the endpoint.
+    pub build: BuildId,
+    /// When it started.
+    pub started: Timestamp,
+    /// The request's class.
+    pub class: ClassId,
+    /// The request's affinity key, if it has one.
+    pub key: Option<AffinityKey>,
 }
--- a/crates/policy/src/rollout_state.rs
+++ b/crates/policy/src/rollout_state.rs
@@ -11,17 +11,20 @@
 
 /// One stage of a rollout.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct RolloutStage {
-    pub(crate) build: BuildId,
-    pub(crate) index: usize,
-    pub(crate) since: Timestamp,
+pub struct RolloutStage {
+    /// The build that is rolled out.
+    pub build: BuildId,
+    /// The stage, counted from 0.
+    pub index: usize,
+    /// When it began.
+    pub since: Timestamp,
     /// Whether the platform has stated it while the build was the canary.
-    pub(crate) was_canary: bool,
+    pub was_canary: bool,
 }
 
 /// What a valid update begins.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum StageChange {
+pub enum StageChange {
     /// The stage goes on.
     None,
     /// A later stage of the same build.
@@ -32,7 +35,7 @@
 
 /// The newest rollout.
 #[derive(Debug, Default)]
-pub(crate) struct RolloutState {
+pub struct RolloutState {
     update: Option<RolloutUpdate>,
     stage: RolloutStage,
     phase_since: Timestamp,
@@ -40,16 +43,17 @@
 
 impl RolloutState {
     /// What the platform stated last, if anything.
-    pub(crate) fn update(&self) -> Option<&RolloutUpdate> {
+    pub fn update(&self) -> Option<&RolloutUpdate> {
         self.update.as_ref()
     }
 
-    pub(crate) fn stage(&self) -> &RolloutStage {
+    /// The latest stage. An update about an earlier one changes nothing of it.
+    pub fn stage(&self) -> &RolloutStage {
         &self.stage
     }
 
     /// Applies a valid update. One that is out of date binds the exposure limit but takes no stage back.
-    pub(crate) fn apply(&mut self, now: Timestamp, update: RolloutUpdate) -> StageChange {
+    pub fn apply(&mut self, now: Timestamp, update: RolloutUpdate) -> StageChange {
         let mut change = StageChange::None;
         if (update.build, update.stage) > (self.stage.build, self.stage.index) {
             change = match update.build == self.stage.build {
@@ -89,17 +93,17 @@
     }
 
     /// The arm of a build that is not newer than the stage's.
-    pub(crate) fn arm_of(&self, build: BuildId) -> Arm {
+    pub fn arm_of(&self, build: BuildId) -> Arm {
         arm_if_canary(build == self.stage.build)
     }
 
     /// Whether outcomes of a build belong to one of the two arms.
-    pub(crate) fn compares(&self, build: BuildId) -> bool {
+    pub fn compares(&self, build: BuildId) -> bool {
         self.update.is_some() && build <= self.stage.build
     }
 
     /// The stage that a build is in, if the last update is about it.
-    pub(crate) fn stage_index_of(&self, build: BuildId) -> usize {
+    pub fn stage_index_of(&self, build: BuildId) -> usize {
         self.update
             .as_ref()
             .filter(|update| update.build == build)
@@ -107,7 +111,7 @@
     }
 
     /// The build that is, or was, rolled back.
-    pub(crate) fn rolled_back_build(&self) -> Option<BuildId> {
+    pub fn rolled_back_build(&self) -> Option<BuildId> {
         self.update
             .as_ref()
             .filter(|update| is_rollback(update.phase))
@@ -115,14 +119,14 @@
     }
 
     /// Whether a build is the newest that the platform has stated, or newer.
-    pub(crate) fn is_newest(&self, build: BuildId) -> bool {
+    pub fn is_newest(&self, build: BuildId) -> bool {
         self.update
             .as_ref()
             .is_none_or(|update| build >= update.build)
     }
 
     /// The exposure limit of a build; 1 for one that is released. A build that no update has named has the first stage's.
-    pub(crate) fn exposure_limit(&self, build: BuildId, parameters: &RolloutParameters) -> f64 {
+    pub fn exposure_limit(&self, build: BuildId, parameters: &RolloutParameters) -> f64 {
         match &self.update {
             Some(update) if build == update.build && update.phase != RolloutPhase::Released => {
                 update.exposure_limit
@@ -133,7 +137,7 @@
     }
 
     /// Whether there is a canary, or was one so lately that its load has just come.
-    pub(crate) fn in_question(&self, context: &Context) -> bool {
+    pub fn in_question(&self, context: &Context) -> bool {
         let since = context.now - self.phase_since;
         let slow_start_window = context.parameters.safety.slow_start_window;
         match self.phase() {
--- a/crates/policy/src/timer.rs
+++ b/crates/policy/src/timer.rs
@@ -11,19 +11,19 @@
 
 /// The one timer of a policy.
 #[derive(Debug, Default)]
-pub(crate) struct PolicyTimer {
+pub struct PolicyTimer {
     next_tick: Timestamp,
     set_to: Option<Timestamp>,
 }
 
 impl PolicyTimer {
     /// The timer has fired. One that is set to a later time stays set.
-    pub(crate) fn fired(&mut self, now: Timestamp) {
+    pub fn fired(&mut self, now: Timestamp) {
         self.set_to = self.set_to.filter(|at| now < *at);
     }
 
     /// Sets the timer to the next tick, or to the next retry if that is earlier, unless it is set to an earlier time already.
-    pub(crate) fn emit(
+    pub fn emit(
         &mut self,
         context: &Context,
         next_retry: Option<Timestamp>,
--- /dev/null
+++ b/crates/policy/tests/parts/concurrency_limit.rs
@@ -0,0 +1,53 @@
+//! The concurrency limit of one endpoint.
+
+use harrierdock_policy::concurrency_limit::ConcurrencyLimit;
+use harrierdock_types::AttemptOutcome;
+
+use crate::{at, ms};
+
+/// Starts attempts until the limit is reached, and returns how many are then in flight.
+fn fill(limit: &mut ConcurrencyLimit) -> usize {
+    while limit.has_capacity() {
+        limit.attempt_started();
+    }
+    limit.in_flight()
+}
+
+#[test]
+fn a_new_endpoint_takes_three_attempts() {
+    assert_eq!(fill(&mut ConcurrencyLimit::default()), 3);
+}
+
+#[test]
+fn the_limit_grows_with_quick_answers_while_it_is_reached() {
+    let mut limit = ConcurrencyLimit::default();
+    for _ in 0..30 {
+        fill(&mut limit);
+        limit.attempt_finished(AttemptOutcome::Succeeded, at(0), 0.05);
+    }
+    assert!(fill(&mut limit) > 3);
+}
+
+#[test]
+fn the_limit_shrinks_with_rejections_but_leaves_one_attempt() {
+    let mut limit = ConcurrencyLimit::default();
+    for _ in 0..50 {
+        limit.attempt_started();
+        limit.attempt_finished(AttemptOutcome::Rejected, at(0), 0.05);
+    }
+    assert_eq!(fill(&mut limit), 1);
+}
+
+#[test]
+fn abandoned_attempts_count_until_a_later_one_succeeds_or_the_timeout_passes() {
+    let mut limit = ConcurrencyLimit::default();
+    for _ in 0..3 {
+        limit.attempt_started();
+        limit.attempt_finished(AttemptOutcome::Cancelled, at(10), 0.05);
+    }
+    assert!(!limit.has_capacity());
+    limit.forget_abandoned(at(309), ms(300));
+    assert!(!limit.has_capacity());
+    limit.forget_abandoned(at(310), ms(300));
+    assert!(limit.has_capacity());
+}
