--- a/crates/policy/src/context.rs
+++ b/crates/policy/src/context.rs
@@ -74,9 +74,10 @@
     /// The gossip group of a gateway, which is also the number of the group's aggregator (departure H in docs/design.md).
     pub fn gossip_group_of(&self, peer: PeerId) -> PeerId {
         let gateways = self.parameters.gateway_count;
-        let groups = match self.parameters.limits.gossip_enabled {
-            true => MAX_GOSSIP_GROUPS.min(gateways),
-            false => gateways,
+        let groups = if self.parameters.limits.gossip_enabled {
+            MAX_GOSSIP_GROUPS.min(gateways)
+        } else {
+            gateways
         };
         PeerId(peer.0 % groups)
     }
@@ -93,9 +94,10 @@
 
     /// How many groups cast elimination votes that this gateway can hear, itself included.
     pub fn voting_group_count(&self) -> usize {
-        match self.parameters.limits.gossip_enabled {
-            true => MAX_GOSSIP_GROUPS.min(self.parameters.gateway_count),
-            false => 1,
+        if self.parameters.limits.gossip_enabled {
+            MAX_GOSSIP_GROUPS.min(self.parameters.gateway_count)
+        } else {
+            1
         }
     }
 }
--- a/crates/policy/src/endpoint_selection.rs
+++ b/crates/policy/src/endpoint_selection.rs
@@ -117,8 +117,8 @@
             let endpoint = &self.fleet.endpoints[candidate.id];
             let build = endpoint.record.build;
             let is_canary = self.fleet.is_canary(build);
-            let is_exposed = is_canary && !self.has_exposure(build, &mut exposures);
-            if is_exposed || !self.may_take(endpoint, is_canary) {
+            let is_over_limit = is_canary && !self.has_exposure(build, &mut exposures);
+            if is_over_limit || !self.may_take(endpoint, is_canary) {
                 continue;
             }
             let rank = self.rank(candidate.id, endpoint, is_canary == prefers_canary);
--- a/crates/policy/src/gossip_group.rs
+++ b/crates/policy/src/gossip_group.rs
@@ -183,9 +183,12 @@
 
 /// The endpoints that are slower than usual or ejected.
 fn latency_reports(endpoints: &EndpointTable, now: Timestamp) -> Vec<LatencyReport> {
-    let latency_ratio = |endpoint: &Endpoint| match endpoint.health.is_ejected(now) {
-        true => EJECTED_LATENCY_RATIO,
-        false => endpoint.latency_estimate,
+    let latency_ratio = |endpoint: &Endpoint| {
+        if endpoint.health.is_ejected(now) {
+            EJECTED_LATENCY_RATIO
+        } else {
+            endpoint.latency_estimate
+        }
     };
     endpoints
         .iter()
--- a/crates/policy/src/per_arm.rs
+++ b/crates/policy/src/per_arm.rs
@@ -27,8 +27,9 @@
 
 /// The arm of a build that is, or is not, the canary.
 pub(crate) fn arm_if_canary(is_canary: bool) -> Arm {
-    match is_canary {
-        true => Arm::Canary,
-        false => Arm::Baseline,
+    if is_canary {
+        Arm::Canary
+    } else {
+        Arm::Baseline
     }
 }
--- a/crates/policy/src/request_flow.rs
+++ b/crates/policy/src/request_flow.rs
@@ -151,9 +151,10 @@
         let Some(request) = self.requests.get(id) else {
             return;
         };
-        let answer = match may_reject(&self.context, request) {
-            true => Answer::Reject,
-            false => Answer::Fail,
+        let answer = if may_reject(&self.context, request) {
+            Answer::Reject
+        } else {
+            Answer::Fail
         };
         if request.attempts.is_empty() {
             let class = request.class;
--- a/crates/policy/src/rollout_state.rs
+++ b/crates/policy/src/rollout_state.rs
@@ -56,9 +56,10 @@
     pub fn apply(&mut self, now: Timestamp, update: RolloutUpdate) -> StageChange {
         let mut change = StageChange::None;
         if (update.build, update.stage) > (self.stage.build, self.stage.index) {
-            change = match update.build == self.stage.build {
-                true => StageChange::NextStage,
-                false => StageChange::NewBuild,
+            change = if update.build == self.stage.build {
+                StageChange::NextStage
+            } else {
+                StageChange::NewBuild
             };
             self.stage = RolloutStage {
                 build: update.build,
--- a/crates/policy/src/traffic.rs
+++ b/crates/policy/src/traffic.rs
@@ -41,9 +41,10 @@
 impl TrafficMonitor {
     /// Counts a request. Where clients don't mark their retries, each unanswered request is taken to come back once.
     pub fn record_request(&mut self, context: &Context, is_marked_retry: bool) {
-        let is_client_retry = match context.parameters.clients_mark_retries {
-            true => is_marked_retry,
-            false => self.expected_retries >= 1.0,
+        let is_client_retry = if context.parameters.clients_mark_retries {
+            is_marked_retry
+        } else {
+            self.expected_retries >= 1.0
         };
         self.unreported.received += 1;
         self.unreported.first_tries += usize::from(!is_client_retry);
