--- a/crates/gateway/src/config/gateway.rs
+++ b/crates/gateway/src/config/gateway.rs
@@ -10,8 +10,8 @@
 
 use crate::config::extensions::With;
 use crate::config::lease::Beside;
-use crate::control_plane::discovery::ListTold;
-use crate::control_plane::rollout_platform::NewsTold;
+use crate::control_plane::discovery_messages::EndpointListMessage;
+use crate::control_plane::rollout_messages::RolloutMessage;
 
 #[derive(Deserialize)]
 pub struct Told {
@@ -31,7 +31,7 @@
     pub peers_all: Option<SocketAddr>,
     pub rollouts: Option<RolloutsTold>,
     #[serde(default)]
-    pub known: ListTold,
+    pub known: EndpointListMessage,
     settings: Value,
 }
 
@@ -55,7 +55,7 @@
 #[derive(Deserialize)]
 pub struct RolloutsTold {
     pub address: SocketAddr,
-    pub news: Option<NewsTold>,
+    pub news: Option<RolloutMessage>,
 }
 
 impl Told {
--- a/crates/gateway/src/control_plane/discovery.rs
+++ b/crates/gateway/src/control_plane/discovery.rs
@@ -1,382 +1,382 @@
-//! Discovery: a watch of the list of endpoints, from the version held on.
+//! The discovery client: it fetches an endpoint list if it has none, and then watches the changes that follow its version.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
 use calloop::Readiness;
 use harrierdock_attempt_guard::{Backoff, ListFreshness, NOTIFICATION_DEADLINE};
-use harrierdock_config::{gossip_id, Names};
-use harrierdock_event_loop::{Clock, LineStream, ResponseMode, StreamEvent};
+use harrierdock_config::Names;
+use harrierdock_event_loop::{LineStream, ResponseMode, StreamEvent};
 use harrierdock_http::MAX_BODY_BYTES;
-use harrierdock_types::{
-    BuildId, EndpointId, EndpointRecord, Event, Lifecycle, Parameters, UpdateKind,
-};
-use harrierdock_types::{TimeDelta, Timestamp};
-use serde::Deserialize;
+use harrierdock_types::{EndpointId, Event, Parameters, TimeDelta, Timestamp, UpdateKind};
 
-use crate::metrics::Count;
-use crate::runtime::context::{Notice, Room};
-use crate::runtime::gateway::Gateway;
-use crate::upstream::{Machine, Upstream};
+use crate::control_plane::discovery_messages::{watch_path, EndpointListMessage, SNAPSHOT_PATH};
+use crate::metrics::Counter;
+use crate::runtime::context::{Context, InternalEvent};
+use crate::upstream::Upstream;
 
-/// A stream in order says something, if only an empty line, this often.
-const SIGN_OF_LIFE: TimeDelta = TimeDelta(2_000_000);
-/// Signs of life that may be missed before a stream counts as silent.
-const MISSED: f64 = 2.5;
+/// A working stream sends something, if only an empty line, this often.
+const KEEPALIVE_INTERVAL: TimeDelta = TimeDelta(2_000_000);
+/// Keepalive intervals without a line after which a stream counts as unresponsive.
+const MISSED_KEEPALIVES: f64 = 2.5;
+/// Maintenance intervals that are needed to notice a silent stream, to give up a connection and to open the next one.
+const RECOVERY_INTERVALS: f64 = 3.0;
 
-/// A list as discovery writes it. The page's names end here.
-#[derive(Clone, Default, Deserialize)]
-pub struct ListTold {
-    #[serde(default)]
-    revision: i64,
-    #[serde(default)]
-    complete: bool,
-    #[serde(default)]
-    members: Vec<MemberTold>,
+/// Where the names and connections of endpoints are kept.
+struct EndpointTables<'a> {
+    names: &'a mut Names,
+    upstream: &'a mut Upstream,
 }
 
-#[derive(Clone, Deserialize)]
-struct MemberTold {
-    id: String,
-    host_port: SocketAddr,
-    #[serde(default)]
-    locality: String,
-    #[serde(default)]
-    flavor: String,
-    #[serde(default)]
-    cell: u64,
-    phase: PhaseTold,
-    #[serde(default = "one")]
-    size: f64,
-    #[serde(default)]
-    up_since_ms: i64,
-    revision_no: u32,
+/// What is known of the request or stream that was opened last.
+#[derive(Clone, Copy)]
+struct Watch {
+    opened_at: Timestamp,
+    has_received: bool,
+    /// Whether it has brought a list, or has stood for longer than a call may take.
+    has_succeeded: bool,
 }
 
-#[derive(Clone, Copy, Deserialize)]
-#[serde(rename_all = "lowercase")]
-enum PhaseTold {
-    Ready,
-    Draining,
-    Gone,
+impl Watch {
+    fn opened(now: Timestamp) -> Watch {
+        Watch {
+            opened_at: now,
+            has_received: false,
+            has_succeeded: false,
+        }
+    }
 }
 
-fn one() -> f64 {
-    1.0
+/// The lines received so far of a list that is written over several.
+#[derive(Default)]
+struct PartialList {
+    bytes: Vec<u8>,
+    /// When the first line came, if the list is known to be incomplete.
+    since: Option<Timestamp>,
 }
 
-impl MemberTold {
-    fn listed(&self, names: &mut Names, clock: &Clock, now: Timestamp) -> EndpointRecord {
-        EndpointRecord {
-            build: BuildId(self.revision_no),
-            endpoint: names.endpoints.get_or_assign(&self.id),
-            zone: names.get_or_assign_zone(&self.locality),
-            model: names.get_or_assign_model(&self.flavor),
-            cell: self.cell,
-            lifecycle: match self.phase {
-                PhaseTold::Ready => Lifecycle::Ready,
-                PhaseTold::Draining => Lifecycle::Draining,
-                PhaseTold::Gone => Lifecycle::Removed,
-            },
-            weight: self.size,
-            // The start is one point however often it is told, so the module sees one start.
-            age: (self.up_since_ms > 0).then(|| now - clock.at_unix_ms(self.up_since_ms)),
-            gossip_id: gossip_id(&self.id),
-        }
+impl PartialList {
+    fn clear(&mut self) {
+        self.bytes.clear();
+        self.since = None;
     }
 }
 
+/// What was received next.
+enum Received {
+    List {
+        message: EndpointListMessage,
+        /// Whether it answers a call for the whole list, after which the watch is to be opened.
+        is_response: bool,
+    },
+    /// Nothing to be applied, and the stream goes on.
+    Nothing,
+    /// The stream was renewed; what was received after this belongs to the former one.
+    Renewed,
+}
+
+/// The discovery client.
 pub struct Discovery {
-    feed: LineStream,
-    revision: Option<i64>,
-    pause: TimeDelta,
-    /// Where discovery is one for all gateways.
+    stream: LineStream,
+    /// The version of the list that is held.
+    version: Option<i64>,
+    retry_interval: TimeDelta,
+    /// Set if all gateways share the discovery service, so that they must not overload it.
     backoff: Option<Backoff>,
     freshness: ListFreshness,
-    stale: bool,
-    /// From when on it may be opened again.
-    again: Timestamp,
-    /// When it was opened last, whether anything has been said since, and whether it works.
-    opened: Timestamp,
-    said: bool,
-    worked: bool,
-    /// The lines so far of a list that is written over several, and when its first came.
-    part: Vec<u8>,
-    begun: Option<Timestamp>,
-}
-
-fn on_ready(gateway: &mut Gateway, readiness: Readiness) {
-    let Gateway {
-        room,
-        discovery,
-        driver,
-        servers,
-        ..
-    } = gateway;
-    for heard in discovery.feed.handle_readiness(room, readiness) {
-        if !discovery.hear(room, &mut driver.names, servers, heard) {
-            break;
-        }
-    }
-    gateway.look_ready();
-    gateway.settle();
+    was_stale: bool,
+    reopen_at: Timestamp,
+    watch: Watch,
+    partial: PartialList,
 }
 
 impl Discovery {
-    /// `pause`: how often it is looked after, and how long its connection may take to come up.
+    /// A client that has not connected yet. `retry_interval` is the interval of `run_maintenance`, and how long a connection
+    /// may take to come up.
     pub fn new(
         now: Timestamp,
         address: SocketAddr,
-        pause: TimeDelta,
-        terms: &Parameters,
+        retry_interval: TimeDelta,
+        parameters: &Parameters,
         seed: u64,
     ) -> Discovery {
-        // Guards what is told anyway, whatever is told of endpoints' connections: there is time for a look, for a
-        // connection that does not come up, and for the next one.
-        let silence = (SIGN_OF_LIFE * MISSED).min(NOTIFICATION_DEADLINE - pause * 3.0);
-        let feed = LineStream::new("discovery", address, silence);
-        let backoff = Backoff::of_discovery(terms, pause, seed);
-        let (freshness, revision) = (ListFreshness::new(terms, now), None);
-        let (again, opened, part, begun) = (now, now, Vec::new(), None);
-        let (said, worked) = (false, false);
-        let stale = false;
+        // A silent stream is noticed early enough to be replaced before the notification deadline.
+        let max_silence = (KEEPALIVE_INTERVAL * MISSED_KEEPALIVES)
+            .min(NOTIFICATION_DEADLINE - retry_interval * RECOVERY_INTERVALS);
         Discovery {
-            feed,
-            revision,
-            pause,
-            backoff,
-            freshness,
-            stale,
-            again,
-            opened,
-            said,
-            worked,
-            part,
-            begun,
+            stream: LineStream::new("discovery", address, max_silence),
+            version: None,
+            retry_interval,
+            backoff: Backoff::of_discovery(parameters, retry_interval, seed),
+            freshness: ListFreshness::new(parameters, now),
+            was_stale: false,
+            reopen_at: now,
+            watch: Watch::opened(now),
+            partial: PartialList::default(),
         }
     }
 
-    /// Whether the list held may not be acted on any more.
+    /// Whether the list may not be acted on any more.
     pub fn is_stale(&self, now: Timestamp) -> bool {
         self.freshness.is_stale(now)
     }
 
-    /// The list as this gateway had it last.
-    pub fn recall(
+    /// Whether there is a list.
+    pub fn has_list(&self) -> bool {
+        self.version.is_some()
+    }
+
+    /// Applies the list that the configuration has kept from an earlier start. An empty one is none.
+    pub fn apply_cached(
         &mut self,
-        room: &mut Room,
+        context: &mut Context,
         names: &mut Names,
-        servers: &mut Upstream,
-        list: &ListTold,
+        upstream: &mut Upstream,
+        list: &EndpointListMessage,
     ) {
-        if !list.members.is_empty() {
-            self.revision = Some(list.revision);
-            // The list kept serves meanwhile.
-            let spread = self.backoff.as_mut().map(|backoff| backoff.spread());
-            self.again = self.again + spread.unwrap_or_default();
-            self.apply(room, names, servers, list, UpdateKind::Cached);
+        if list.endpoints.is_empty() {
+            return;
         }
+        self.version = Some(list.version);
+        // The cached list serves meanwhile, so there is time to spread the calls of many gateways.
+        let delay = self.backoff.as_mut().map(Backoff::spread);
+        self.reopen_at = self.reopen_at + delay.unwrap_or_default();
+        let mut tables = EndpointTables { names, upstream };
+        apply(context, &mut tables, list, UpdateKind::Cached);
     }
 
-    pub fn knows(&self) -> bool {
-        self.revision.is_some()
+    /// Opens the watch, or calls for the whole list if there is none that changes could apply to.
+    fn open(&mut self, context: &mut Context) {
+        self.partial.clear();
+        self.watch = Watch::opened(context.now());
+        let handler = context.handlers.discovery;
+        match self.version {
+            Some(version) => {
+                let path = watch_path(version);
+                self.stream
+                    .open(context, &path, ResponseMode::Lines, handler);
+            }
+            None => self
+                .stream
+                .open(context, SNAPSHOT_PATH, ResponseMode::Single, handler),
+        }
     }
 
-    /// Opens the watch, or asks for a whole list first if none is held that changes could apply to.
-    fn open(&mut self, room: &mut Room) {
-        self.part.clear();
-        (self.begun, self.opened) = (None, room.now());
-        (self.said, self.worked) = (false, false);
-        match self.revision {
-            Some(revision) => self
-                .feed
-                .open(room, &watch(revision), ResponseMode::Lines, on_ready),
-            None => self
-                .feed
-                .open(room, "/v1/endpoints", ResponseMode::Single, on_ready),
+    /// Switches to another address at once. The list stays.
+    pub fn set_address(&mut self, context: &mut Context, address: SocketAddr) {
+        if self.stream.set_address(context, address) {
+            self.reset_backoff();
+            self.open(context);
         }
     }
 
-    /// A reload has told another address: it is asked at once for what follows the version held.
-    pub fn turn_to(&mut self, room: &mut Room, address: SocketAddr) {
-        if self.feed.set_address(room, address) {
-            self.backoff.iter_mut().for_each(Backoff::reset);
-            self.open(room);
+    fn reset_backoff(&mut self) {
+        if let Some(backoff) = &mut self.backoff {
+            backoff.reset();
         }
     }
 
-    /// What was opened last has ended. Guards against a discovery that is asked by hundreds: one that has brought
-    /// nothing is asked again later and later.
-    fn back_off(&mut self, now: Timestamp) {
-        let worked = std::mem::take(&mut self.worked);
-        self.again = match &mut self.backoff {
-            Some(backoff) if !worked => now + backoff.next_wait(now - self.opened),
+    /// Decides when to open the stream again after it has ended. A shared service that has brought nothing is called later and
+    /// later.
+    fn schedule_reopening(&mut self, now: Timestamp) {
+        let has_succeeded = std::mem::take(&mut self.watch.has_succeeded);
+        self.reopen_at = match &mut self.backoff {
+            Some(backoff) if !has_succeeded => now + backoff.next_wait(now - self.watch.opened_at),
             Some(backoff) => now + backoff.spread(),
-            None => self.opened + self.pause,
+            None => self.watch.opened_at + self.retry_interval,
         };
     }
 
-    /// Something has come, or the watch has been looked at. Guards against taking the first words of a call for its
-    /// success: one that fails late has said that nothing has changed before. A watch that has told a list, or has stood
-    /// for longer than a call may wait, works.
-    fn stands(&mut self, now: Timestamp) {
-        self.worked |= ListFreshness::has_succeeded(self.opened, now);
-        if self.worked {
+    /// Confirms the list if the watch works. A call that fails late has sent keepalive lines before, so the first of them do
+    /// not count as success.
+    fn confirm_if_working(&mut self, now: Timestamp) {
+        self.watch.has_succeeded |= ListFreshness::has_succeeded(self.watch.opened_at, now);
+        if self.watch.has_succeeded {
             self.freshness.confirm(now);
-            self.backoff.iter_mut().for_each(Backoff::reset);
+            self.reset_backoff();
         }
     }
 
-    pub fn tend(&mut self, room: &mut Room) {
-        let now = room.now();
-        let stale = self.is_stale(now);
-        if stale != std::mem::replace(&mut self.stale, stale) {
-            let what = if stale {
-                "too old, nothing is sent by it"
-            } else {
-                "confirmed again"
-            };
-            tracing::warn!("discovery: the list held is {what}");
+    /// Reopens a stream that has ended or is unresponsive, and notes whether the list is stale. To be called at the retry
+    /// interval.
+    pub fn run_maintenance(&mut self, context: &mut Context) {
+        let now = context.now();
+        self.log_staleness(now);
+        // A list may stop between two of its lines while keepalives go on.
+        let is_list_stalled = self
+            .partial
+            .since
+            .is_some_and(|since| now - since > self.retry_interval);
+        let is_open = self.stream.is_open();
+        // A whole list comes at once or not at all, and sends no keepalives.
+        let is_call_unanswered =
+            !self.has_list() && is_open && now - self.watch.opened_at >= KEEPALIVE_INTERVAL;
+        if is_list_stalled
+            || is_call_unanswered
+            || self.stream.is_unresponsive(now, self.retry_interval)
+        {
+            self.renew(context);
+        } else if !is_open && now >= self.reopen_at {
+            self.open(context);
+        } else if is_open && self.watch.has_received && !self.watch.has_succeeded {
+            self.confirm_if_working(now);
         }
-        // Guards against a list that stops between two lines, while signs of life go on.
-        let stalled = self.begun.is_some_and(|since| now - since > self.pause);
-        // A whole list comes at once or not at all. Guards against a start that waits for the signs of life of a watch
-        // where none is to come, as while discovery is down.
-        let unanswered = !self.knows() && now - self.opened >= SIGN_OF_LIFE;
-        let is_open = self.feed.is_open();
-        if stalled || unanswered && is_open || self.feed.is_unresponsive(now, self.pause) {
-            self.renew(room);
-        } else if !is_open && now >= self.again {
-            self.open(room);
-        } else if is_open && self.said && !self.worked {
-            self.stands(now);
+    }
+
+    fn log_staleness(&mut self, now: Timestamp) {
+        let is_stale = self.is_stale(now);
+        if is_stale == std::mem::replace(&mut self.was_stale, is_stale) {
+            return;
         }
+        let state = if is_stale {
+            "too old, nothing is sent by it"
+        } else {
+            "confirmed again"
+        };
+        tracing::warn!("discovery: the list held is {state}");
     }
 
-    /// At once where it has stood for a while; else `tend` will, so that a torrent of bad answers costs little.
-    fn renew(&mut self, room: &mut Room) {
-        self.part.clear();
-        self.begun = None;
-        self.feed.close(room);
-        self.back_off(room.now());
-        if room.now() >= self.again {
-            self.open(room);
+    /// Closes the stream, and opens it again if it is time; else `run_maintenance` will, so that many malformed responses cost
+    /// little.
+    fn renew(&mut self, context: &mut Context) {
+        self.partial.clear();
+        self.stream.close(context);
+        self.schedule_reopening(context.now());
+        if context.now() >= self.reopen_at {
+            self.open(context);
         }
     }
 
-    /// Takes in what discovery says. Gives back whether what was heard behind it still counts.
-    fn hear(
+    /// Reads what the stream is ready for, and applies the lists that come.
+    pub fn handle_readiness(
         &mut self,
-        room: &mut Room,
+        context: &mut Context,
         names: &mut Names,
-        servers: &mut Upstream,
-        heard: StreamEvent,
-    ) -> bool {
-        let (text, once) = match heard {
+        upstream: &mut Upstream,
+        readiness: Readiness,
+    ) {
+        let mut tables = EndpointTables { names, upstream };
+        for event in self.stream.handle_readiness(context, readiness) {
+            match self.receive(context, event) {
+                Received::List {
+                    message,
+                    is_response,
+                } => self.handle_list(context, &mut tables, &message, is_response),
+                Received::Nothing => {}
+                Received::Renewed => break,
+            }
+        }
+    }
+
+    fn receive(&mut self, context: &mut Context, event: StreamEvent) -> Received {
+        match event {
             StreamEvent::Disconnected => {
-                self.renew(room);
-                return false;
+                self.renew(context);
+                Received::Renewed
             }
             StreamEvent::Refused(status) => {
-                // Guards against asking for ever for what follows a version that discovery no longer knows. One that
-                // is full says nothing of the version, and a whole list would cost it more.
-                let full = status.is_none_or(|status| matches!(status, 408 | 425 | 429 | 500..));
-                tracing::warn!("discovery: refuses with {}", status.unwrap_or_default());
-                self.revision = self.revision.filter(|_| full);
-                return true;
+                self.handle_refusal(status);
+                Received::Nothing
             }
             StreamEvent::Line(line) if line.is_empty() => {
-                self.said = true;
-                self.stands(room.now());
-                return true;
+                self.watch.has_received = true;
+                self.confirm_if_working(context.now());
+                Received::Nothing
             }
-            StreamEvent::Line(text) => (text, false),
-            StreamEvent::Response(text) => (text, true),
-        };
-        self.part.extend(text);
-        let list: ListTold = match serde_json::from_slice(&self.part) {
-            Ok(list) => list,
-            // Guards against a list that is indented: each of its lines but the last is only a part of it.
-            Err(e) if e.is_eof() && !once && self.part.len() <= MAX_BODY_BYTES => {
-                self.begun.get_or_insert(room.now());
-                return true;
+            StreamEvent::Line(text) => self.receive_text(context, text, false),
+            StreamEvent::Response(text) => self.receive_text(context, text, true),
+        }
+    }
+
+    /// Forgets the version if discovery does not know it any more, so that the whole list is called for. An overloaded service
+    /// says nothing about the version, and a whole list would cost it more.
+    fn handle_refusal(&mut self, status: Option<u16>) {
+        let is_overloaded = status.is_none_or(|status| matches!(status, 408 | 425 | 429 | 500..));
+        tracing::warn!("discovery: refuses with {}", status.unwrap_or_default());
+        if !is_overloaded {
+            self.version = None;
+        }
+    }
+
+    fn receive_text(
+        &mut self,
+        context: &mut Context,
+        text: Vec<u8>,
+        is_response: bool,
+    ) -> Received {
+        self.partial.bytes.extend(text);
+        match serde_json::from_slice(&self.partial.bytes) {
+            Ok(message) => {
+                self.partial.clear();
+                Received::List {
+                    message,
+                    is_response,
+                }
+            }
+            // A list may be indented. Each of its lines but the last is only a part of it.
+            Err(e) if e.is_eof() && !is_response && self.partial.bytes.len() <= MAX_BODY_BYTES => {
+                self.partial.since.get_or_insert(context.now());
+                Received::Nothing
             }
             Err(e) => {
-                room.counters.add(Count::LinesRefused);
+                context.counters.add(Counter::LinesRefused);
                 tracing::warn!("discovery: a line cannot be read, the watch is renewed: {e}");
-                // The list held stays true up to its version, from which the next watch goes on.
-                self.renew(room);
-                return false;
+                // The list stays valid for its version, from which the next watch goes on.
+                self.renew(context);
+                Received::Renewed
             }
-        };
-        self.part.clear();
-        self.begun = None;
-        let news = list.complete || !list.members.is_empty();
-        (self.said, self.worked) = (true, self.worked || news);
-        self.stands(room.now());
-        self.revision = Some(list.revision);
-        let kind = if list.complete {
-            UpdateKind::Snapshot
-        } else {
-            UpdateKind::Delta
-        };
-        self.apply(room, names, servers, &list, kind);
-        if once {
-            self.feed
-                .request(room, &watch(list.revision), ResponseMode::Lines);
         }
-        true
     }
 
-    fn apply(
+    fn handle_list(
         &mut self,
-        room: &mut Room,
-        names: &mut Names,
-        servers: &mut Upstream,
-        list: &ListTold,
-        kind: UpdateKind,
+        context: &mut Context,
+        tables: &mut EndpointTables<'_>,
+        list: &EndpointListMessage,
+        is_response: bool,
     ) {
-        room.counters.add(Count::Lists);
-        let now = room.now();
-        let mut lines = Vec::new();
-        let mut absent: BTreeSet<EndpointId> = match kind {
-            UpdateKind::Delta => BTreeSet::new(),
-            _ => names.endpoints.ids().collect(),
-        };
-        for member in &list.members {
-            let line = member.listed(names, &room.clock, now);
-            let (address, up_since, build) = (member.host_port, member.up_since_ms, line.build);
-            let runs = line.lifecycle != Lifecycle::Removed;
-            servers.place(
-                room,
-                line.endpoint,
-                runs.then_some(Machine {
-                    address,
-                    up_since,
-                    build,
-                }),
-            );
-            absent.remove(&line.endpoint);
-            lines.push(line);
-        }
-        for endpoint in absent {
-            servers.place(room, endpoint, None);
+        self.watch.has_received = true;
+        self.watch.has_succeeded |= list.is_snapshot || !list.endpoints.is_empty();
+        self.confirm_if_working(context.now());
+        self.version = Some(list.version);
+        apply(context, tables, list, list.kind());
+        if is_response {
+            let path = watch_path(list.version);
+            self.stream.request(context, &path, ResponseMode::Lines);
         }
-        tracing::debug!(
-            "discovery: list {} with {} lines",
-            list.revision,
-            lines.len()
-        );
-        room.inbox.push_back((
-            now,
-            Notice::Event(Event::EndpointsUpdated {
-                kind,
-                endpoints: lines,
-            }),
-        ));
     }
 }
 
-fn watch(revision: i64) -> String {
-    format!("/v1/endpoints?stream=1&index={revision}")
+/// Notes what runs at each endpoint, and queues the list for the policy.
+fn apply(
+    context: &mut Context,
+    tables: &mut EndpointTables<'_>,
+    list: &EndpointListMessage,
+    kind: UpdateKind,
+) {
+    context.counters.add(Counter::EndpointLists);
+    let now = context.now();
+    let mut absent: BTreeSet<EndpointId> = match kind {
+        UpdateKind::Delta => BTreeSet::new(),
+        _ => tables.names.endpoints.ids().collect(),
+    };
+    let mut endpoints = Vec::new();
+    for message in &list.endpoints {
+        let record = message.record(tables.names, &context.clock, now);
+        tables
+            .upstream
+            .set_instance(context, record.endpoint, message.instance());
+        absent.remove(&record.endpoint);
+        endpoints.push(record);
+    }
+    for endpoint in absent {
+        tables.upstream.set_instance(context, endpoint, None);
+    }
+    tracing::debug!(
+        "discovery: list {} with {} lines",
+        list.version,
+        endpoints.len()
+    );
+    let event = Event::EndpointsUpdated { kind, endpoints };
+    context.emit_at(now, InternalEvent::Policy(event));
 }
--- a/crates/gateway/src/control_plane/rollout_platform.rs
+++ b/crates/gateway/src/control_plane/rollout_platform.rs
@@ -1,371 +1,186 @@
-//! The platform: what it tells of builds and answers, and the votes cast there.
+//! The client of the rollout platform: it follows the stream of rollout updates and complaints.
 
-use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
 use calloop::Readiness;
 use harrierdock_config::Names;
-use harrierdock_event_loop::{
-    Connection, ConnectionId, LineStream, ReadResult, ResourceClass, ResponseMode, StreamEvent,
-    WriteResult,
-};
-use harrierdock_http::{write, MessageReader, Progress, ResponseHead};
-use harrierdock_types::{
-    BuildId, Event, PlatformStatus, RolloutDecision, RolloutPhase, RolloutUpdate,
-};
-use harrierdock_types::{TimeDelta, Timestamp};
-use serde::Deserialize;
-
-use crate::metrics::Count;
-use crate::runtime::context::{Notice, Room};
-use crate::runtime::gateway::Gateway;
-use crate::runtime::timer::Due;
-
-const SIGN_OF_LIFE: TimeDelta = TimeDelta(1_000_000);
-/// Signs of life that may be missed before a stream counts as silent.
-const MISSED: f64 = 2.5;
-
-// The page's names end here.
-const PATH_EVENTS: &str = "/apis/fleet/events";
-const PATH_VOTES: &str = "/apis/fleet/votes";
-
-/// How the newest build stands, as the platform writes it.
-#[derive(Clone, Copy, Debug, Deserialize)]
-pub struct NewsTold {
-    image: u32,
-    ring: usize,
-    progress: ProgressTold,
-    ceiling: f64,
-    #[serde(default)]
-    lag_ms: i64,
+use harrierdock_event_loop::{LineStream, ResponseMode, StreamEvent};
+use harrierdock_types::{Event, TimeDelta, Timestamp};
+
+use super::rollout_messages::{ComplaintMessage, EventMessage, RolloutMessage, EVENTS_PATH};
+use super::votes::Votes;
+use crate::metrics::Counter;
+use crate::runtime::context::{Context, InternalEvent};
+
+/// A working stream sends something this often.
+const KEEPALIVE_INTERVAL: TimeDelta = TimeDelta(1_000_000);
+/// Keepalive intervals without a line after which a stream counts as unresponsive.
+const MISSED_KEEPALIVES: f64 = 2.5;
+
+/// A line without content, sent as a keepalive.
+const EMPTY_EVENT: &[u8] = b"{}";
+
+/// The latest state of a rollout that was received.
+#[derive(Clone, Copy)]
+struct LatestRollout {
+    message: RolloutMessage,
+    received_at: Timestamp,
 }
 
-/// In the order in which a build passes through them.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Deserialize)]
-#[serde(rename_all = "snake_case")]
-enum ProgressTold {
-    Trial,
-    Released,
-    RollingBack,
-    Withdrawn,
+/// Whether what a stream has brought besides still counts.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum StreamState {
+    Continues,
+    Renewed,
 }
 
-#[derive(Deserialize)]
-#[serde(tag = "type", content = "object", rename_all = "lowercase")]
-enum LineTold {
-    News(NewsTold),
-    Report {
-        host: String,
-        #[serde(rename = "type")]
-        class: String,
-        /// Checked, and read by no decision.
-        #[serde(rename = "lag_ms")]
-        _lag_ms: i64,
-    },
+/// The client of the rollout platform.
+pub struct RolloutPlatform {
+    stream: LineStream,
+    /// The votes that wait for their responses.
+    pub(super) votes: Votes,
+    latest: Option<LatestRollout>,
+    retry_interval: TimeDelta,
 }
 
-impl NewsTold {
-    /// Later states of the newest build stand higher.
-    fn order(&self) -> (u32, ProgressTold, usize) {
-        (self.image, self.progress, self.ring)
-    }
-
-    fn news(&self, status: PlatformStatus, answers_vote: bool) -> RolloutUpdate {
-        RolloutUpdate {
-            build: BuildId(self.image),
-            stage: self.ring,
-            phase: match self.progress {
-                ProgressTold::Trial => RolloutPhase::Canary,
-                ProgressTold::Released => RolloutPhase::Released,
-                ProgressTold::RollingBack => RolloutPhase::RollingBack,
-                ProgressTold::Withdrawn => RolloutPhase::RolledBack,
-            },
-            exposure_limit: self.ceiling,
-            status,
-            answers_vote,
-            age: TimeDelta(self.lag_ms.saturating_mul(1000)),
+impl RolloutPlatform {
+    /// A client that has not connected yet. `vote_timeout` is how long a vote waits for its response, `retry_interval` the
+    /// interval of `run_maintenance`.
+    pub fn new(
+        address: SocketAddr,
+        vote_timeout: TimeDelta,
+        retry_interval: TimeDelta,
+    ) -> RolloutPlatform {
+        RolloutPlatform {
+            stream: LineStream::new("platform", address, KEEPALIVE_INTERVAL * MISSED_KEEPALIVES),
+            votes: Votes::new(address, vote_timeout),
+            latest: None,
+            retry_interval,
         }
     }
-}
 
-/// A vote on its way.
-struct Call {
-    connection: Connection,
-    reader: MessageReader,
-    written: bool,
-    due: Timestamp,
-}
-
-pub struct Platform {
-    address: SocketAddr,
-    feed: LineStream,
-    calls: BTreeMap<ConnectionId, Call>,
-    newest: Option<(NewsTold, Timestamp)>,
-    wait: TimeDelta,
-    pause: TimeDelta,
-}
-
-fn on_feed(gateway: &mut Gateway, readiness: Readiness) {
-    let Gateway {
-        room,
-        platform,
-        driver,
-        ..
-    } = gateway;
-    if let Some(platform) = platform {
-        for heard in platform.feed.handle_readiness(room, readiness) {
-            if !platform.hear(room, &driver.names, heard) {
-                break;
+    /// Tells the policy the state of the newest rollout. The stream and the responses to votes may overtake each other, so a
+    /// state that the rollout has left behind is replaced by the latest one.
+    pub fn apply_update(
+        &mut self,
+        context: &mut Context,
+        message: RolloutMessage,
+        answers_vote: bool,
+    ) {
+        context.counters.add(Counter::RolloutUpdates);
+        let now = context.now();
+        let later = self
+            .latest
+            .filter(|latest| latest.message.is_later_than(&message));
+        let update = match later {
+            Some(later) => {
+                context.counters.add(Counter::OutdatedRolloutUpdates);
+                let mut update = later.message.update(answers_vote);
+                update.age = update.age + (now - later.received_at);
+                update
+            }
+            None => {
+                self.latest = Some(LatestRollout {
+                    message,
+                    received_at: now,
+                });
+                message.update(answers_vote)
             }
+        };
+        if later.is_none() || answers_vote {
+            tracing::debug!("platform: {message:?}, answers a vote: {answers_vote}");
+            context.emit_at(now, InternalEvent::Policy(Event::RolloutUpdated(update)));
         }
     }
-    gateway.settle();
-}
 
-fn on_call(gateway: &mut Gateway, no: ConnectionId, readiness: Readiness) {
-    if let Some(platform) = &mut gateway.platform {
-        platform.serve_call(&mut gateway.room, no, readiness);
+    fn open(&mut self, context: &mut Context) {
+        let handler = context.handlers.rollout_platform;
+        self.stream
+            .open(context, EVENTS_PATH, ResponseMode::Lines, handler);
     }
-    gateway.settle();
-}
 
-impl Platform {
-    pub fn new(address: SocketAddr, wait: TimeDelta, pause: TimeDelta) -> Platform {
-        let feed = LineStream::new("platform", address, SIGN_OF_LIFE * MISSED);
-        Platform {
-            address,
-            feed,
-            calls: BTreeMap::new(),
-            newest: None,
-            wait,
-            pause,
+    /// Closes the stream, and opens it again if it was open for a while; else `run_maintenance` will.
+    fn renew(&mut self, context: &mut Context) {
+        self.stream.close(context);
+        if self.may_open(context.now()) {
+            self.open(context);
         }
     }
 
-    /// Tells the module how the newest build stands. Guards against news out of order between the stream and
-    /// the answers to votes: a state that the build has left behind gives way to the one held.
-    pub fn learn(&mut self, room: &mut Room, told: NewsTold, answers_vote: bool) {
-        room.counters.add(Count::News);
-        let now = room.now();
-        let held = self.newest.filter(|(held, _)| held.order() > told.order());
-        let news = match held {
-            Some((held, at)) => {
-                let mut news = held.news(PlatformStatus::Valid, answers_vote);
-                news.age = news.age + (now - at);
-                news
-            }
-            None => {
-                self.newest = Some((told, now));
-                told.news(PlatformStatus::Valid, answers_vote)
-            }
-        };
-        if held.is_some() {
-            room.counters.add(Count::NewsPassedOver);
-        }
-        if held.is_none() || answers_vote {
-            tracing::debug!("platform: {told:?}, answers a vote: {answers_vote}");
-            room.inbox
-                .push_back((now, Notice::Event(Event::RolloutUpdated(news))));
-        }
+    fn may_open(&self, now: Timestamp) -> bool {
+        !self.stream.is_open() && !self.stream.was_opened_within(now, self.retry_interval)
     }
 
-    /// At once where it has stood for a while; else `tend` will.
-    fn renew(&mut self, room: &mut Room) {
-        self.feed.close(room);
-        if !self.feed.is_open() && !self.feed.was_opened_within(room.now(), self.pause) {
-            self.feed
-                .open(room, PATH_EVENTS, ResponseMode::Lines, on_feed);
+    /// Reads what the stream is ready for, and applies it.
+    pub fn handle_readiness(&mut self, context: &mut Context, names: &Names, readiness: Readiness) {
+        for event in self.stream.handle_readiness(context, readiness) {
+            if self.handle_stream_event(context, names, event) == StreamState::Renewed {
+                break;
+            }
         }
     }
 
-    /// Takes in what the platform says. Gives back whether what was heard behind it still counts.
-    fn hear(&mut self, room: &mut Room, names: &Names, heard: StreamEvent) -> bool {
-        let line = match heard {
+    fn handle_stream_event(
+        &mut self,
+        context: &mut Context,
+        names: &Names,
+        event: StreamEvent,
+    ) -> StreamState {
+        let line = match event {
             StreamEvent::Disconnected => {
-                self.renew(room);
-                return false;
+                self.renew(context);
+                return StreamState::Renewed;
             }
             StreamEvent::Refused(_) => {
                 tracing::warn!("platform: refuses its stream");
-                return true;
+                return StreamState::Continues;
             }
             StreamEvent::Line(line) | StreamEvent::Response(line) => line,
         };
-        if line.is_empty() || line == b"{}" {
-            return true;
+        if line.is_empty() || line == EMPTY_EVENT {
+            return StreamState::Continues;
         }
         match serde_json::from_slice(&line) {
-            Ok(LineTold::News(told)) => self.learn(room, told, false),
-            Ok(LineTold::Report { host, class, .. }) => {
-                let known = names.endpoints.id(&host).zip(names.classes.id(&class));
-                let Some((endpoint, class)) = known else {
-                    room.counters.add(Count::LinesRefused);
-                    return true;
-                };
-                room.counters.add(Count::Complaints);
-                room.tell(Notice::Event(Event::ComplaintReceived { endpoint, class }));
-            }
+            Ok(EventMessage::Rollout(message)) => self.apply_update(context, message, false),
+            Ok(EventMessage::Complaint(complaint)) => apply_complaint(context, names, &complaint),
             Err(e) => {
-                // Guards against a stream that goes on after such a line, though nothing true comes on it.
-                room.counters.add(Count::LinesRefused);
+                // The stream may go on after such a line, but nothing on it can be relied on.
+                context.counters.add(Counter::LinesRefused);
                 tracing::warn!("platform: a line cannot be read, the stream is renewed: {e}");
-                self.renew(room);
-                return false;
+                self.renew(context);
+                return StreamState::Renewed;
             }
         }
-        true
+        StreamState::Continues
     }
 
-    /// A reload has told another address. Votes that are out stay where they went.
-    pub fn turn_to(&mut self, room: &mut Room, address: SocketAddr) {
-        self.address = address;
-        if self.feed.set_address(room, address) {
-            self.feed
-                .open(room, PATH_EVENTS, ResponseMode::Lines, on_feed);
+    /// Switches to another address. Votes under way stay where they were sent.
+    pub fn set_address(&mut self, context: &mut Context, address: SocketAddr) {
+        self.votes.set_address(address);
+        if self.stream.set_address(context, address) {
+            self.open(context);
         }
     }
 
-    pub fn tend(&mut self, room: &mut Room) {
-        let now = room.now();
-        let is_idle = !self.feed.is_open() && !self.feed.was_opened_within(now, self.pause);
-        if self.feed.is_unresponsive(now, self.pause) || is_idle {
-            self.feed
-                .open(room, PATH_EVENTS, ResponseMode::Lines, on_feed);
-        }
-    }
-
-    pub fn vote(
-        &mut self,
-        room: &mut Room,
-        build: BuildId,
-        stage: usize,
-        verdict: RolloutDecision,
-    ) {
-        room.counters.add(Count::Votes);
-        let opinion = match verdict {
-            RolloutDecision::Withdraw => "clear",
-            RolloutDecision::Promote => "approve",
-            RolloutDecision::Hold => "wait",
-            RolloutDecision::RollBack => "reject",
-        };
-        tracing::info!("votes {opinion} on build {build} in stage {stage}");
-        let body = format!(r#"{{"image":{build},"ring":{stage},"opinion":"{opinion}"}}"#);
-        let no = room.next_connection_id();
-        let call = move |gateway: &mut Gateway, readiness| on_call(gateway, no, readiness);
-        let Ok(mut connection) =
-            Connection::connect(room, self.address, ResourceClass::Reserved, call)
-        else {
-            return self.settle_vote(room, PlatformStatus::ServerError);
-        };
-        let Some(out) = connection.output_buffer(room) else {
-            connection.close(room);
-            return self.settle_vote(room, PlatformStatus::ServerError);
-        };
-        write::request_line(out, "POST", PATH_VOTES);
-        write::field(out, "Host", self.address);
-        write::field(out, "Connection", "close");
-        write::field(out, "Content-Type", "application/json");
-        write::body(out, body.as_bytes());
-        let due = room.due_in(self.wait, Due::Vote(no));
-        self.calls.insert(
-            no,
-            Call {
-                connection,
-                reader: MessageReader::default(),
-                written: false,
-                due,
-            },
-        );
-    }
-
-    /// A vote that brought back no state.
-    fn settle_vote(&mut self, room: &mut Room, status: PlatformStatus) {
-        room.counters.add(Count::VotesRefused);
-        tracing::info!("a vote got no state: {status:?}");
-        let (phase, exposure_limit, age) = (RolloutPhase::Canary, 0.0, TimeDelta::ZERO);
-        let news = RolloutUpdate {
-            build: BuildId(0),
-            stage: 0,
-            phase,
-            exposure_limit,
-            status,
-            answers_vote: true,
-            age,
-        };
-        room.tell(Notice::Event(Event::RolloutUpdated(news)));
-    }
-
-    /// The answer has not come in its time, though the vote may have been carried out, or may yet be.
-    pub fn give_up(&mut self, room: &mut Room, no: ConnectionId) {
-        self.end_call(room, no);
-        self.settle_vote(room, PlatformStatus::TimedOut);
-    }
-
-    fn end_call(&mut self, room: &mut Room, no: ConnectionId) {
-        if let Some(call) = self.calls.remove(&no) {
-            room.dues.cancel(call.due, Due::Vote(no));
-            call.connection.close(room);
+    /// Reopens a stream that has ended or is unresponsive. To be called at the retry interval.
+    pub fn run_maintenance(&mut self, context: &mut Context) {
+        let now = context.now();
+        if self.stream.is_unresponsive(now, self.retry_interval) || self.may_open(now) {
+            self.open(context);
         }
     }
+}
 
-    fn serve_call(&mut self, room: &mut Room, no: ConnectionId, readiness: Readiness) {
-        let Some(call) = self.calls.get_mut(&no) else {
-            return;
-        };
-        if readiness.writable && !call.written {
-            let flushed = match call.connection.check_connected() {
-                Ok(()) => call.connection.flush(room),
-                Err(_) => WriteResult::Failed,
-            };
-            match flushed {
-                WriteResult::Complete => {
-                    call.written = true;
-                    call.connection.set_interest(room, true, false);
-                }
-                WriteResult::Partial => return,
-                WriteResult::Failed => {
-                    self.end_call(room, no);
-                    return self.settle_vote(room, PlatformStatus::ServerError);
-                }
-            }
-        }
-        let Some(call) = self
-            .calls
-            .get_mut(&no)
-            .filter(|c| readiness.readable && c.written)
-        else {
-            return;
-        };
-        let filled = call.connection.read(room);
-        let progress = call.reader.read_response(&mut call.connection.input);
-        let ends =
-            filled == ReadResult::EndOfStream && progress.is_ok() && call.reader.end_of_input();
-        let whole = progress == Ok(Progress::Complete) || ends;
-        if !whole && matches!(filled, ReadResult::Data | ReadResult::WouldBlock) && progress.is_ok()
-        {
-            return;
-        }
-        let input = &call.connection.input;
-        let status = ResponseHead::parse(input)
-            .ok()
-            .flatten()
-            .filter(|_| whole)
-            .map(|h| h.status);
-        let state = || serde_json::from_slice::<NewsTold>(&input[call.reader.body()]).ok();
-        let status = match status {
-            Some(200) => match state() {
-                Some(told) => {
-                    self.end_call(room, no);
-                    return self.learn(room, told, true);
-                }
-                None => PlatformStatus::TimedOut,
-            },
-            Some(429) => PlatformStatus::Overloaded,
-            Some(409) => PlatformStatus::Superseded,
-            Some(400 | 500) => PlatformStatus::ServerError,
-            _ => PlatformStatus::TimedOut,
-        };
-        self.end_call(room, no);
-        self.settle_vote(room, status);
-    }
+fn apply_complaint(context: &mut Context, names: &Names, complaint: &ComplaintMessage) {
+    let endpoint = names.endpoints.id(&complaint.endpoint);
+    let class = names.classes.id(&complaint.class);
+    let Some((endpoint, class)) = endpoint.zip(class) else {
+        context.counters.add(Counter::LinesRefused);
+        return;
+    };
+    context.counters.add(Counter::Complaints);
+    context.emit(InternalEvent::Policy(Event::ComplaintReceived {
+        endpoint,
+        class,
+    }));
 }
--- /dev/null
+++ b/crates/gateway/src/control_plane/votes.rs
@@ -0,0 +1,225 @@
+//! Votes: each is posted to the rollout platform on a connection of its own.
+
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+
+use calloop::Readiness;
+use harrierdock_event_loop::{Connection, ConnectionId, ReadResult, ResourceClass, WriteResult};
+use harrierdock_http::{write, MessageReader, Progress, ResponseHead};
+use harrierdock_types::{
+    BuildId, Event, PlatformStatus, RolloutDecision, RolloutPhase, RolloutUpdate, TimeDelta,
+    Timestamp,
+};
+
+use super::rollout_messages::{
+    decision_name, status_of_refused_vote, vote_body, RolloutMessage, VOTES_PATH,
+};
+use super::rollout_platform::RolloutPlatform;
+use crate::metrics::Counter;
+use crate::runtime::context::{Context, InternalEvent};
+use crate::runtime::timer::Timer;
+
+/// A vote that waits for its response.
+struct Vote {
+    connection: Connection,
+    reader: MessageReader,
+    is_written: bool,
+    deadline: Timestamp,
+}
+
+/// How a vote stands after its connection was ready.
+enum VoteProgress {
+    Pending,
+    /// The platform has responded with the state of the rollout.
+    Counted(RolloutMessage),
+    /// No state came back.
+    Refused(PlatformStatus),
+}
+
+impl Vote {
+    fn handle_readiness(&mut self, context: &mut Context, readiness: Readiness) -> VoteProgress {
+        if readiness.writable && !self.is_written {
+            match self.write(context) {
+                WriteResult::Complete => {
+                    self.is_written = true;
+                    self.connection.set_interest(context, true, false);
+                }
+                WriteResult::Partial => return VoteProgress::Pending,
+                WriteResult::Failed => return VoteProgress::Refused(PlatformStatus::ServerError),
+            }
+        }
+        if readiness.readable && self.is_written {
+            self.read(context)
+        } else {
+            VoteProgress::Pending
+        }
+    }
+
+    fn write(&mut self, context: &mut Context) -> WriteResult {
+        match self.connection.check_connected() {
+            Ok(()) => self.connection.flush(context),
+            Err(_) => WriteResult::Failed,
+        }
+    }
+
+    fn read(&mut self, context: &mut Context) -> VoteProgress {
+        let result = self.connection.read(context);
+        let progress = self.reader.read_response(&mut self.connection.input);
+        let ends_with_connection =
+            result == ReadResult::EndOfStream && progress.is_ok() && self.reader.end_of_input();
+        let is_complete = progress == Ok(Progress::Complete) || ends_with_connection;
+        let may_continue = matches!(result, ReadResult::Data | ReadResult::WouldBlock);
+        if !is_complete && may_continue && progress.is_ok() {
+            return VoteProgress::Pending;
+        }
+        let input = &self.connection.input;
+        let status = ResponseHead::parse(input)
+            .ok()
+            .flatten()
+            .filter(|_| is_complete)
+            .map(|head| head.status);
+        if status == Some(200) {
+            if let Ok(message) = serde_json::from_slice(&input[self.reader.body()]) {
+                return VoteProgress::Counted(message);
+            }
+        }
+        VoteProgress::Refused(status_of_refused_vote(status))
+    }
+}
+
+/// The votes that wait for their responses.
+pub(super) struct Votes {
+    address: SocketAddr,
+    timeout: TimeDelta,
+    pending: BTreeMap<ConnectionId, Vote>,
+}
+
+impl Votes {
+    /// Without votes.
+    pub(super) fn new(address: SocketAddr, timeout: TimeDelta) -> Votes {
+        Votes {
+            address,
+            timeout,
+            pending: BTreeMap::new(),
+        }
+    }
+
+    /// Posts later votes to another address.
+    pub(super) fn set_address(&mut self, address: SocketAddr) {
+        self.address = address;
+    }
+
+    /// Begins to post a vote. Returns whether it could begin.
+    fn post(&mut self, context: &mut Context, body: &str) -> bool {
+        let id = context.next_connection_id();
+        let handle_vote = context.handlers.vote;
+        let connected = Connection::connect(
+            context,
+            self.address,
+            ResourceClass::Reserved,
+            move |gateway, readiness| handle_vote(gateway, id, readiness),
+        );
+        let Ok(mut connection) = connected else {
+            return false;
+        };
+        let Some(output) = connection.output_buffer(context) else {
+            connection.close(context);
+            return false;
+        };
+        write::request_line(output, "POST", VOTES_PATH);
+        write::field(output, "Host", self.address);
+        write::field(output, "Connection", "close");
+        write::field(output, "Content-Type", "application/json");
+        write::body(output, body.as_bytes());
+        let vote = Vote {
+            connection,
+            reader: MessageReader::default(),
+            is_written: false,
+            deadline: context.set_timer_after(self.timeout, Timer::Vote(id)),
+        };
+        self.pending.insert(id, vote);
+        true
+    }
+
+    fn handle_readiness(
+        &mut self,
+        context: &mut Context,
+        id: ConnectionId,
+        readiness: Readiness,
+    ) -> VoteProgress {
+        match self.pending.get_mut(&id) {
+            Some(vote) => vote.handle_readiness(context, readiness),
+            None => VoteProgress::Pending,
+        }
+    }
+
+    fn close(&mut self, context: &mut Context, id: ConnectionId) {
+        if let Some(vote) = self.pending.remove(&id) {
+            context.timers.cancel(vote.deadline, Timer::Vote(id));
+            vote.connection.close(context);
+        }
+    }
+}
+
+impl RolloutPlatform {
+    /// Casts a vote.
+    pub fn vote(
+        &mut self,
+        context: &mut Context,
+        build: BuildId,
+        stage: usize,
+        decision: RolloutDecision,
+    ) {
+        context.counters.add(Counter::Votes);
+        tracing::info!(
+            "votes {} on build {build} in stage {stage}",
+            decision_name(decision)
+        );
+        let body = vote_body(build, stage, decision);
+        if !self.votes.post(context, &body) {
+            report_refused_vote(context, PlatformStatus::ServerError);
+        }
+    }
+
+    /// Reads and writes what the connection of a vote is ready for.
+    pub fn handle_vote_readiness(
+        &mut self,
+        context: &mut Context,
+        id: ConnectionId,
+        readiness: Readiness,
+    ) {
+        match self.votes.handle_readiness(context, id, readiness) {
+            VoteProgress::Pending => {}
+            VoteProgress::Counted(message) => {
+                self.votes.close(context, id);
+                self.apply_update(context, message, true);
+            }
+            VoteProgress::Refused(status) => {
+                self.votes.close(context, id);
+                report_refused_vote(context, status);
+            }
+        }
+    }
+
+    /// A vote has had no response in time. It may have been counted, or may yet be.
+    pub fn time_out_vote(&mut self, context: &mut Context, id: ConnectionId) {
+        self.votes.close(context, id);
+        report_refused_vote(context, PlatformStatus::TimedOut);
+    }
+}
+
+/// Tells the policy that a vote has brought back no state.
+fn report_refused_vote(context: &mut Context, status: PlatformStatus) {
+    context.counters.add(Counter::VotesRefused);
+    tracing::info!("a vote got no state: {status:?}");
+    let update = RolloutUpdate {
+        build: BuildId(0),
+        stage: 0,
+        phase: RolloutPhase::Canary,
+        exposure_limit: 0.0,
+        status,
+        answers_vote: true,
+        age: TimeDelta::ZERO,
+    };
+    context.emit(InternalEvent::Policy(Event::RolloutUpdated(update)));
+}
--- /dev/null
+++ b/crates/gateway/src/dispatch/answers.rs
@@ -0,0 +1,168 @@
+//! Answers: every request gets exactly one, from an endpoint, from the policy or because its time is over.
+
+use harrierdock_flow_metering::FlowOutcome;
+use harrierdock_multi_site::{Event as MultiSiteEvent, RequestEnd};
+use harrierdock_site_messages::ForwardingOutcome;
+use harrierdock_types::{EndpointId, Event, RequestId, TimeDelta, Timestamp};
+
+use crate::dispatch::request_table::{RequestEntry, ServingSite};
+use crate::downstream::Answer;
+use crate::multi_site::forwarding::InboundAnswer;
+use crate::runtime::context::ResponseBody;
+use crate::runtime::gateway::Gateway;
+use crate::runtime::timer::Timer;
+
+impl Gateway {
+    /// Notes that a request has its answer, or needs none any more. Returns whether it had none before.
+    fn finish_request(&mut self, id: RequestId, end: RequestEnd, outcome: FlowOutcome) -> bool {
+        let Some(entry) = self.dispatcher.requests.get_unanswered_mut(id) else {
+            return false;
+        };
+        entry.is_answered = true;
+        self.context
+            .timers
+            .cancel(entry.overdue_at, Timer::RequestDeadline(id));
+        let class = entry.class;
+        let received_at = entry.received_at;
+        let is_local = matches!(
+            entry.serving_site,
+            ServingSite::Local | ServingSite::ReturnedToLocal
+        );
+        self.record_request(id, outcome);
+        if self.forwarding.is_some() && is_local {
+            let now = self.context.now();
+            let event = MultiSiteEvent::RequestEnded {
+                class,
+                end,
+                elapsed: now - received_at,
+            };
+            self.handle_multi_site_event(now, event);
+        }
+        true
+    }
+
+    /// Answers a request with an endpoint's response, unless it has its answer.
+    pub(super) fn answer_with_response(
+        &mut self,
+        now: Timestamp,
+        id: RequestId,
+        endpoint: EndpointId,
+        mut response: ResponseBody,
+    ) {
+        if !self.finish_request(id, RequestEnd::Succeeded, FlowOutcome::RequestSucceeded) {
+            self.context.buffers.release(&mut response.buffer);
+        } else if self.dispatcher.requests.is_inbound(id) {
+            let body = response.bytes().to_vec();
+            self.context.buffers.release(&mut response.buffer);
+            let answer = InboundAnswer {
+                outcome: ForwardingOutcome::Succeeded,
+                build: self.dispatcher.build_of(endpoint),
+                body,
+            };
+            self.answer_inbound(now, id, answer);
+        } else {
+            self.downstream
+                .answer(&mut self.context, id, Answer::Succeeded(response));
+        }
+    }
+
+    /// Answers a request, unless it has its answer.
+    pub fn answer(&mut self, id: RequestId, answer: Answer) {
+        let entry = self.dispatcher.requests.get(id);
+        let may_have_effect = entry.is_some_and(RequestEntry::may_have_effect);
+        let end = match &answer {
+            Answer::Succeeded(_) => RequestEnd::Succeeded,
+            Answer::Rejected { .. } if !may_have_effect => RequestEnd::Rejected,
+            Answer::Rejected { .. } | Answer::Failed => RequestEnd::Failed,
+        };
+        let outcome = match &answer {
+            Answer::Succeeded(_) => FlowOutcome::RequestSucceeded,
+            Answer::Rejected { .. } => FlowOutcome::RequestRejected,
+            Answer::Failed => FlowOutcome::RequestFailed,
+        };
+        if !self.finish_request(id, end, outcome) {
+            return;
+        }
+        if self.dispatcher.requests.is_inbound(id) {
+            let outcome = match &answer {
+                Answer::Rejected { .. } if !may_have_effect => ForwardingOutcome::NotAccepted,
+                Answer::Rejected { .. } => ForwardingOutcome::Rejected {
+                    may_have_run: may_have_effect,
+                },
+                Answer::Succeeded(_) | Answer::Failed => ForwardingOutcome::Failed,
+            };
+            let now = self.context.now();
+            self.answer_inbound(now, id, InboundAnswer::without_body(outcome));
+        } else {
+            self.downstream.answer(&mut self.context, id, answer);
+        }
+        self.dispatcher.requests.remove_if_complete(id);
+    }
+
+    /// The policy rejects a request. What the other site has not seen and no endpoint has worked on may still be forwarded.
+    pub(super) fn handle_rejection(
+        &mut self,
+        now: Timestamp,
+        id: RequestId,
+        retry_after: Option<TimeDelta>,
+    ) {
+        let has_other_site = self.forwarding.is_some();
+        let forwardable = self
+            .dispatcher
+            .requests
+            .get_unanswered_mut(id)
+            .filter(|entry| {
+                has_other_site
+                    && !entry.is_inbound
+                    && entry.serving_site == ServingSite::Local
+                    && !entry.may_have_effect()
+            });
+        let Some(entry) = forwardable else {
+            return self.answer(id, Answer::Rejected { retry_after });
+        };
+        entry.serving_site = ServingSite::Undecided;
+        let event = MultiSiteEvent::LocallyRejected {
+            id,
+            class: entry.class,
+            remaining: entry.deadline - now,
+        };
+        self.handle_multi_site_event(now, event);
+    }
+
+    /// Nobody waits for a request any more.
+    pub(super) fn handle_client_disconnected(&mut self, now: Timestamp, id: RequestId) {
+        if !self.finish_request(id, RequestEnd::ClientGone, FlowOutcome::ClientDisconnected) {
+            return;
+        }
+        self.answer_inbound(
+            now,
+            id,
+            InboundAnswer::without_body(ForwardingOutcome::Failed),
+        );
+        self.handle_multi_site_event(now, MultiSiteEvent::ClientGone { id });
+        self.handle_policy_event(now, Event::ClientDisconnected { id });
+        self.dispatcher.requests.remove_if_complete(id);
+    }
+
+    /// Fails a request that the policy has left without an answer beyond its deadline, so that none is ever lost.
+    pub fn fail_overdue_request(&mut self, id: RequestId) {
+        self.context
+            .counters
+            .check_invariant(false, "a request has its answer by its deadline");
+        self.answer(id, Answer::Failed);
+        let now = self.context.now();
+        self.handle_multi_site_event(now, MultiSiteEvent::ClientGone { id });
+        self.handle_policy_event(now, Event::ClientDisconnected { id });
+    }
+
+    /// Fails every request that has no answer yet.
+    pub fn fail_all_requests(&mut self) {
+        let now = self.context.now();
+        let unanswered: Vec<RequestId> = self.dispatcher.requests.unanswered().collect();
+        for id in unanswered {
+            self.answer(id, Answer::Failed);
+            self.handle_policy_event(now, Event::ClientDisconnected { id });
+        }
+        self.process_events();
+    }
+}
--- a/crates/gateway/src/dispatch/attempts.rs
+++ b/crates/gateway/src/dispatch/attempts.rs
@@ -1,198 +1,166 @@
-//! Attempts of requests at endpoints: from what the module asks for to the first byte, and what may come between.
+//! Attempts: from the policy's action to the connection that carries it, and from its end back to the policy.
 
-use harrierdock_attempt_guard::{CurrentState, ListedEndpoint, Precondition, Violation};
-use harrierdock_event_loop::ConnectionId;
-use harrierdock_types::{
-    AttemptOutcome, BuildId, ClassParameters, EndpointId, RequestId, RetrySafety,
-};
-use harrierdock_types::{TimeDelta, Timestamp};
+use harrierdock_types::{AttemptOutcome, EndpointId, Event, RequestId, TimeDelta, Timestamp};
 
-use crate::dispatch::dispatcher::Driver;
-use crate::dispatch::request_table::{Entry, Sent};
-use crate::metrics::Count;
-use crate::runtime::context::{Asked, Notice};
+use crate::dispatch::flow_records::AttemptFlow;
+use crate::dispatch::request_table::AttemptRecord;
+use crate::metrics::Counter;
+use crate::runtime::context::{FinishedAttempt, InternalEvent, OutboundRequest};
 use crate::runtime::gateway::Gateway;
-use crate::upstream::Unwritten;
+use crate::upstream::{AttemptId, AttemptStart};
 
-impl Driver {
-    /// What an attempt of this request at this endpoint, decided on now, is decided on.
-    fn precondition(&self, entry: &Entry, endpoint: EndpointId) -> Precondition {
-        let listed = self.module.endpoint(endpoint);
-        let build = listed.map_or(BuildId(0), |record| record.build);
-        Precondition {
-            build,
-            started_at: self.module.endpoint_start(endpoint),
-            exposure_limit: self.module.exposure_limit(build),
-            deduplicated_until: entry.deduplicated_until(
-                self.module.parameters().classes.get(entry.class.0),
-                self.tick,
-            ),
-        }
-    }
-
-    /// Why this attempt, of whose request the last byte has not been written, may not be any more. `waits`: its client
-    /// still does. `stale`: the list held may not be acted on any more.
-    fn violation(
-        &self,
-        now: Timestamp,
-        of: &Unwritten,
-        waits: bool,
-        stale: bool,
-    ) -> Option<Violation> {
-        let Some(entry) = self.book.get(&of.id) else {
-            return Some(Violation::RequestFinished);
-        };
-        let sent = entry.sent.get(of.attempt)?;
-        let endpoint = self.module.endpoint(sent.endpoint).filter(|_| of.placed);
-        sent.precondition.violation(&CurrentState {
-            now,
-            request_finished: entry.answered || !waits,
-            list_is_stale: stale,
-            endpoint: endpoint.map(|record| ListedEndpoint {
-                lifecycle: record.lifecycle,
-                build: record.build,
-                started_at: self.module.endpoint_start(sent.endpoint),
-            }),
-            exposure_limit: self.module.exposure_limit(sent.precondition.build),
-            sticky_build: entry.key.map_or(BuildId(0), |key| self.pin_of(key)),
-        })
-    }
-
-    /// Whether this attempt finds no room under the cap where it is to be written now; else it counts from now on.
-    fn crowds(&mut self, now: Timestamp, of: &Unwritten) -> Option<Violation> {
-        let entry = self.book.get_mut(&of.id)?;
-        let sent = entry.sent.get_mut(of.attempt)?;
-        let since = std::mem::replace(&mut sent.counted, now);
-        let arrives =
-            self.module
-                .admits_late_attempt(now, since, entry.class, sent.precondition.build);
-        (!arrives).then_some(Violation::ExposureLimitReached)
-    }
-}
-
-impl Entry {
-    /// From when on endpoints would no longer drop a repeat: none if there is nothing to drop, or no need to.
-    fn deduplicated_until(
-        &self,
-        class: Option<&ClassParameters>,
-        tick: TimeDelta,
-    ) -> Option<Timestamp> {
-        let Some(RetrySafety::IdempotencyKey {
-            deduplication_window,
-            ..
-        }) = class.map(|p| p.retry_safety)
-        else {
-            return None;
-        };
-        let first = self.sent.iter().find(|s| !s.never_ran)?;
-        Some(first.at + deduplication_window - tick)
+fn counter_of(outcome: AttemptOutcome) -> Counter {
+    match outcome {
+        AttemptOutcome::Succeeded => Counter::AttemptsSucceeded,
+        AttemptOutcome::ServerError => Counter::AttemptsWithServerError,
+        AttemptOutcome::Rejected => Counter::AttemptsRejected,
+        AttemptOutcome::TimedOut => Counter::AttemptsTimedOut,
+        AttemptOutcome::ConnectFailed => Counter::ConnectsFailed,
+        AttemptOutcome::Reset => Counter::AttemptsReset,
+        AttemptOutcome::Cancelled => Counter::AttemptsCancelled,
+        AttemptOutcome::NotSent => Counter::AttemptsNotSent,
     }
 }
 
 impl Gateway {
-    fn list_is_stale(&self) -> bool {
-        self.discovery.is_stale(self.room.now())
+    /// Whether the endpoint list is too old to be acted on.
+    pub(super) fn is_list_stale(&self) -> bool {
+        self.discovery.is_stale(self.context.now())
     }
 
-    pub fn submit(
+    /// Starts an attempt. One that cannot start is reported with the outcome that this amounts to.
+    pub(super) fn start_attempt(
         &mut self,
         now: Timestamp,
         id: RequestId,
         endpoint: EndpointId,
         timeout: TimeDelta,
     ) {
-        let Some(precondition) = self
-            .driver
-            .book
-            .get(&id)
-            .map(|e| self.driver.precondition(e, endpoint))
-        else {
+        let Some(entry) = self.dispatcher.requests.get(id) else {
             return self
-                .room
+                .context
                 .counters
-                .must(false, "a submission is of a txn in the book");
+                .check_invariant(false, "an attempt belongs to a request in the table");
         };
-        let Some(entry) = self.driver.book.get_mut(&id) else {
-            return;
+        let precondition = self.dispatcher.precondition(entry, endpoint);
+        let attempt = entry.attempts.len();
+        let time_left = entry.deadline - self.context.clock.now();
+        let timeout = if timeout > TimeDelta::ZERO {
+            timeout.min(time_left)
+        } else {
+            time_left
         };
-        let attempt = entry.sent.len();
-        entry.sent.push(Sent {
+        let may_start = !entry.is_answered
+            && attempt < self.dispatcher.max_attempts
+            && timeout > TimeDelta::ZERO
+            && !self.is_list_stale();
+        let record = AttemptRecord {
             endpoint,
-            at: now,
-            counted: now,
+            started_at: now,
+            exposure_counted_at: now,
             precondition,
-            out: true,
-            never_ran: false,
-            octets: 0,
-        });
-        let left = entry.expiry - self.room.clock.now();
-        let wait = if timeout > TimeDelta::ZERO {
-            timeout.min(left)
+            is_open: true,
+            had_no_effect: false,
+            body_bytes: 0,
+        };
+        if let Some(entry) = self.dispatcher.requests.get_mut(id) {
+            entry.attempts.push(record);
+        }
+        let start = AttemptStart {
+            id: AttemptId {
+                request: id,
+                attempt,
+            },
+            endpoint,
+            timeout,
+        };
+        let started = if may_start {
+            self.send_attempt(now, &start)
         } else {
-            left
+            Err(AttemptOutcome::NotSent)
         };
-        let spent =
-            entry.answered || attempt >= self.driver.most_attempts || wait <= TimeDelta::ZERO;
-        let spent = spent || self.list_is_stale();
-        if !spent && self.room.descriptors.available() == 0 && !self.servers.keeps(now, endpoint) {
-            self.make_room();
+        if let Err(outcome) = started {
+            let finished = FinishedAttempt {
+                id,
+                attempt,
+                outcome,
+                response: None,
+            };
+            self.context.emit(InternalEvent::AttemptFinished(finished));
         }
-        let inward = self.is_inward(id);
-        if !inward && !spent {
-            self.clients.still_waits(&mut self.room, id);
+    }
+
+    /// Sends the request's bytes to the endpoint, if somebody still waits for the answer.
+    fn send_attempt(&mut self, now: Timestamp, start: &AttemptStart) -> Result<(), AttemptOutcome> {
+        let id = start.id.request;
+        if self.context.descriptors.available() == 0
+            && !self.upstream.has_idle_connection(now, start.endpoint)
+        {
+            self.free_descriptor();
+        }
+        let is_inbound = self.dispatcher.requests.is_inbound(id);
+        if !is_inbound {
+            self.downstream.is_client_waiting(&mut self.context, id);
         }
         let Gateway {
-            clients,
-            servers,
-            room,
-            across,
+            downstream,
+            upstream,
+            context,
+            forwarding,
             ..
         } = self;
-        let mut octets = 0;
-        let submit = |asked: Asked<'_>| {
-            octets = asked.body.len();
-            servers.submit(room, (id, attempt), endpoint, wait, &asked)
+        let mut body_bytes = 0;
+        let send = |request: OutboundRequest<'_>| {
+            body_bytes = request.body.len();
+            upstream.start_attempt(context, start, &request)
         };
-        let sent = match across {
-            _ if spent => None,
-            Some(across) if inward => across.asked(id, submit),
-            _ => clients.asked(id, submit),
+        let started = match forwarding {
+            Some(forwarding) if is_inbound => forwarding.with_inbound_request(id, send),
+            _ => downstream.with_outbound_request(id, send),
         };
-        if let Some(sent) = self
-            .driver
-            .book
-            .get_mut(&id)
-            .and_then(|e| e.sent.get_mut(attempt))
-        {
-            sent.octets = octets;
-        }
-        if let Err(outcome) = sent.unwrap_or(Err(AttemptOutcome::NotSent)) {
-            self.room.tell(Notice::Closed {
-                id,
-                attempt,
-                outcome,
-                told: None,
-            });
+        let record = self.dispatcher.requests.attempt_mut(id, start.id.attempt);
+        if let Some(record) = record {
+            record.body_bytes = body_bytes;
         }
+        started.unwrap_or(Err(AttemptOutcome::NotSent))
     }
 
-    /// Guards every rule that binds the moment of writing: what is not all written when its condition lapses is
-    /// given up, on a connection that has just come up as on one that takes no more for now. It has never run.
-    pub fn withdraw_lapsed(&mut self, no: ConnectionId) {
-        let Some(unwritten) = self.servers.unwritten(no) else {
-            return;
+    /// Notes the end of an attempt, answers the request if it succeeded, and tells the policy.
+    pub(super) fn handle_attempt_finished(&mut self, now: Timestamp, finished: FinishedAttempt) {
+        let FinishedAttempt {
+            id,
+            attempt,
+            outcome,
+            response,
+        } = finished;
+        self.context.counters.add(counter_of(outcome));
+        let ended = self.dispatcher.requests.end_attempt(id, attempt, outcome);
+        self.context
+            .counters
+            .check_invariant(ended.is_some(), "an attempt ends once");
+        let Some(ended) = ended else { return };
+        let duration = now - ended.started_at;
+        let flow = AttemptFlow {
+            id,
+            attempt,
+            ended: &ended,
+            outcome,
+            duration,
+            response_bytes: response.as_ref().map_or(0, |r| r.range.len()),
         };
-        let waits =
-            self.is_inward(unwritten.id) || self.clients.still_waits(&mut self.room, unwritten.id);
-        let (now, stale) = (self.room.now(), self.list_is_stale());
-        let violation = self
-            .driver
-            .violation(now, &unwritten, waits, stale)
-            .or_else(|| self.driver.crowds(now, &unwritten));
-        if let Some(violation) = violation {
-            tracing::debug!("servers: an attempt is not written: {violation:?}");
-            self.room.counters.add(Count::Lapsed);
-            self.servers.withdraw(&mut self.room, no);
+        self.record_attempt(now, &flow);
+        if let Some(response) = response {
+            self.answer_with_response(now, id, ended.endpoint, response);
         }
+        let event = Event::AttemptFinished {
+            id,
+            attempt,
+            endpoint: ended.endpoint,
+            outcome,
+            duration,
+            request_finished: self.dispatcher.requests.is_finished(id),
+        };
+        self.handle_policy_event(now, event);
+        self.dispatcher.requests.remove_if_complete(id);
     }
 }
--- a/crates/gateway/src/dispatch/dispatcher.rs
+++ b/crates/gateway/src/dispatch/dispatcher.rs
@@ -1,496 +1,219 @@
-//! The driver: the only caller of the decision module. Notices become events, actions are obeyed, and a book
-//! holds every request until it has had its answer and all its attempts have ended.
-
-use std::collections::BTreeMap;
+//! The dispatcher: the only caller of the policy. Internal events become the policy's events, and its actions are executed by
+//! the parts that they concern.
 
 use harrierdock_config::Names;
-use harrierdock_flow_export::{AttemptEnded, RequestEnded};
-use harrierdock_flow_metering as flows;
-use harrierdock_multi_site::{Event as SiteEvent, RequestEnd};
-use harrierdock_policy as policy;
-use harrierdock_site_messages::ForwardingOutcome;
-use harrierdock_types::*;
-use harrierdock_types::{TimeDelta, Timestamp};
-
-use crate::dispatch::request_table::{Entry, Whereabouts};
-use crate::downstream::Answer;
-use crate::metrics::Count;
-use crate::runtime::context::Notice;
+use harrierdock_multi_site::Event as MultiSiteEvent;
+use harrierdock_policy::Policy;
+use harrierdock_types::{
+    Action, AffinityKey, BuildId, EndpointId, Event, Lifecycle, Parameters, RequestId, TimeDelta,
+    Timestamp,
+};
+
+use crate::dispatch::request_table::{RequestEntry, RequestTable, ServingSite};
+use crate::runtime::context::{InternalEvent, ReceivedRequest};
 use crate::runtime::gateway::Gateway;
-use crate::runtime::timer::Due;
-
-pub struct Driver {
-    pub module: policy::Policy,
+use crate::runtime::timer::Timer;
+use crate::upstream::AttemptId;
+
+/// The policy, and what is needed to speak with it.
+pub struct Dispatcher {
+    /// The policy.
+    pub policy: Policy,
+    /// The names that its ids stand for.
     pub names: Names,
-    pub book: BTreeMap<RequestId, Entry>,
+    /// The requests under way.
+    pub requests: RequestTable,
     /// How many attempts a request may have.
-    pub most_attempts: usize,
+    pub max_attempts: usize,
+    /// The granularity of the platform's clock.
     pub tick: TimeDelta,
 }
 
-impl Driver {
-    pub fn new(terms: Parameters, names: Names, seed: u64) -> Driver {
-        let (most_attempts, tick) = (terms.limits.max_attempts, terms.tick);
-        let module = policy::Policy::new(terms, seed);
-        Driver {
-            module,
+impl Dispatcher {
+    /// A dispatcher without requests.
+    pub fn new(parameters: Parameters, names: Names, seed: u64) -> Dispatcher {
+        Dispatcher {
             names,
-            book: BTreeMap::new(),
-            most_attempts,
-            tick,
+            requests: RequestTable::default(),
+            max_attempts: parameters.limits.max_attempts,
+            tick: parameters.tick,
+            policy: Policy::new(parameters, seed),
         }
     }
 
-    /// The build that this key stays with.
-    pub fn pin_of(&self, key: AffinityKey) -> BuildId {
-        self.module.sticky_build(key)
+    /// The oldest build that may answer this key.
+    pub fn sticky_build(&self, key: AffinityKey) -> BuildId {
+        self.policy.sticky_build(key)
     }
 
-    /// How many endpoints are listed like this.
-    pub fn count(&self, lifecycle: Lifecycle) -> usize {
-        self.module
-            .endpoints()
-            .filter(|endpoint| endpoint.lifecycle == lifecycle)
-            .count()
+    /// The build that an endpoint runs, if it is listed.
+    pub fn build_of(&self, endpoint: EndpointId) -> Option<BuildId> {
+        Some(self.policy.endpoint(endpoint)?.build)
     }
 
-    /// How many requests have not had their answer.
-    pub fn owed(&self) -> usize {
-        self.book.values().filter(|e| !e.answered).count()
+    /// How many endpoints are ready.
+    pub fn ready_endpoint_count(&self) -> usize {
+        self.policy
+            .endpoints()
+            .filter(|endpoint| endpoint.lifecycle == Lifecycle::Ready)
+            .count()
     }
-}
 
-fn count_of(outcome: AttemptOutcome) -> Count {
-    match outcome {
-        AttemptOutcome::Succeeded => Count::Served,
-        AttemptOutcome::ServerError => Count::Errored,
-        AttemptOutcome::Rejected => Count::Full,
-        AttemptOutcome::TimedOut => Count::TimedOut,
-        AttemptOutcome::ConnectFailed => Count::ConnectFailed,
-        AttemptOutcome::Reset => Count::Reset,
-        AttemptOutcome::Cancelled => Count::Recalled,
-        AttemptOutcome::NotSent => Count::Moot,
+    /// Forgets the names of endpoints that are gone, so that they don't pile up as endpoints come and go. To be called when
+    /// the policy has received every endpoint list.
+    fn forget_removed_endpoints(&mut self) {
+        let Dispatcher { policy, names, .. } = self;
+        if names.endpoints.ids().len() > policy.endpoint_count() {
+            names
+                .endpoints
+                .retain(|endpoint| policy.endpoint(endpoint).is_some());
+        }
     }
 }
 
 impl Gateway {
-    /// Tells the module all that is waiting for it, and does what it asks for.
-    pub fn settle(&mut self) {
+    /// Delivers queued events to the policy and executes the actions it returns, until the queue is empty.
+    pub fn process_events(&mut self) {
         loop {
-            while let Some((at, notice)) = self.room.inbox.pop_front() {
-                self.notice(at, notice);
+            while let Some(queued) = self.context.events.pop_front() {
+                self.handle_internal_event(queued.at, queued.event);
             }
-            self.pump();
-            if self.room.inbox.is_empty() {
+            self.process_transport();
+            if self.context.events.is_empty() {
                 break;
             }
         }
-        self.clients.trim(&mut self.room);
-        // Guards against names of endpoints that pile up as these come and go; asked only once the module has heard
-        // of all that have come.
-        let Driver { module, names, .. } = &mut self.driver;
-        if names.endpoints.ids().len() > module.endpoint_count() {
-            names
-                .endpoints
-                .retain(|endpoint| module.endpoint(endpoint).is_some());
+        self.downstream.trim_idle(&mut self.context);
+        self.dispatcher.forget_removed_endpoints();
+    }
+
+    fn handle_internal_event(&mut self, now: Timestamp, event: InternalEvent) {
+        match event {
+            InternalEvent::Policy(event) => self.forward_policy_event(now, event),
+            InternalEvent::PeerMessage { from, bytes } => self.handle_peer_message(from, bytes),
+            InternalEvent::RequestReceived(request) => self.handle_request_received(now, request),
+            InternalEvent::ClientDisconnected { id } => self.handle_client_disconnected(now, id),
+            InternalEvent::AttemptFinished(finished) => self.handle_attempt_finished(now, finished),
         }
     }
 
-    fn notice(&mut self, now: Timestamp, notice: Notice) {
-        match notice {
-            Notice::Event(event) => {
-                if let Event::RolloutUpdated(news) = &event {
-                    self.steward_news(news);
-                    self.export
-                        .iter_mut()
-                        .for_each(|export| export.set_rollout(news));
-                }
-                let listed = matches!(event, Event::EndpointsUpdated { .. });
-                self.take(now, event);
-                if listed {
-                    self.look_home(now);
-                }
-            }
-            Notice::FleetMail { from, bytes } => self.fleet_mail(from, bytes),
-            Notice::Taken {
-                id,
-                class,
-                key,
-                again,
-                left,
-                inward,
-            } => {
-                let left = left.min(self.left_before_kill(now));
-                let (expiry, overdue) = (now + left, now + left + self.driver.tick);
-                let entry = Entry {
-                    class,
-                    key,
-                    again,
-                    taken: now,
-                    expiry,
-                    overdue,
-                    answered: false,
-                    whereabouts: Whereabouts::AtTheDoor,
-                    inward: inward.is_some(),
-                    sent: Vec::new(),
-                };
-                self.driver.book.insert(id, entry);
-                self.room.dues.set(overdue, Due::Txn(id));
-                if let Some(export) = &mut self.export {
-                    export.count_received_request();
-                }
-                if self.across.is_some() && inward.is_none() {
-                    self.sites(
-                        now,
-                        SiteEvent::RequestReceived {
-                            id,
-                            class,
-                            remaining: left,
-                        },
-                    );
-                } else {
-                    self.hand_in(now, id, left);
-                }
-            }
-            Notice::Left { id } => {
-                if self.close_txn(
-                    id,
-                    RequestEnd::ClientGone,
-                    flows::FlowOutcome::ClientDisconnected,
-                ) {
-                    self.answer_across(now, id, ForwardingOutcome::Failed, None, Vec::new());
-                    self.sites(now, SiteEvent::ClientGone { id });
-                    self.take(now, Event::ClientDisconnected { id });
-                    self.strike(id);
-                }
-            }
-            Notice::Closed {
-                id,
-                attempt,
-                outcome,
-                told,
-            } => {
-                self.room.counters.add(count_of(outcome));
-                let entry = self.driver.book.get_mut(&id);
-                let sent = entry
-                    .and_then(|e| e.sent.get_mut(attempt))
-                    .filter(|s| s.out);
-                self.room
-                    .counters
-                    .must(sent.is_some(), "a submission ends once");
-                let Some(sent) = sent else { return };
-                sent.out = false;
-                sent.never_ran = matches!(
-                    outcome,
-                    AttemptOutcome::Rejected
-                        | AttemptOutcome::ConnectFailed
-                        | AttemptOutcome::NotSent
-                );
-                let (endpoint, duration, out) = (sent.endpoint, now - sent.at, sent.octets);
-                if self.export.is_some() {
-                    let back = told.as_ref().map_or(0, |t| t.body.len());
-                    self.submission_ended(
-                        now,
-                        id,
-                        (endpoint, attempt),
-                        outcome,
-                        duration,
-                        (out, back),
-                    );
-                }
-                if let Some(mut told) = told {
-                    if !self.close_txn(
-                        id,
-                        RequestEnd::Succeeded,
-                        flows::FlowOutcome::RequestSucceeded,
-                    ) {
-                        self.room.buffers.release(&mut told.buffer);
-                    } else if self.is_inward(id) {
-                        let body = told.buffer[told.body.clone()].to_vec();
-                        self.room.buffers.release(&mut told.buffer);
-                        let build = self
-                            .driver
-                            .module
-                            .endpoint(endpoint)
-                            .map(|record| record.build);
-                        self.answer_across(now, id, ForwardingOutcome::Succeeded, build, body);
-                    } else {
-                        self.clients
-                            .answer(&mut self.room, id, Answer::Settled(told));
-                    }
-                }
-                let request_finished = self.driver.book.get(&id).is_none_or(|e| e.answered);
-                self.take(
-                    now,
-                    Event::AttemptFinished {
-                        id,
-                        attempt,
-                        endpoint,
-                        outcome,
-                        duration,
-                        request_finished,
-                    },
-                );
-                self.strike(id);
-            }
+    fn forward_policy_event(&mut self, now: Timestamp, event: Event) {
+        if let Event::RolloutUpdated(update) = &event {
+            self.handle_rollout_update(update);
+            self.record_rollout_update(update);
+        }
+        let is_endpoint_list = matches!(event, Event::EndpointsUpdated { .. });
+        self.handle_policy_event(now, event);
+        if is_endpoint_list {
+            self.update_local_capacity(now);
         }
     }
 
-    /// The request has its answer, or needs none any more. Gives back whether it had none before.
-    fn close_txn(
-        &mut self,
-        id: RequestId,
-        ending: RequestEnd,
-        outcome: flows::FlowOutcome,
-    ) -> bool {
-        let Some(entry) = self.driver.book.get_mut(&id).filter(|e| !e.answered) else {
-            return false;
+    fn handle_request_received(&mut self, now: Timestamp, request: ReceivedRequest) {
+        let ReceivedRequest { id, class, .. } = request;
+        let time_left = request
+            .time_left
+            .min(self.shutdown.time_left(now, self.maintenance_interval));
+        let is_inbound = request.inbound.is_some();
+        let overdue_at = now + time_left + self.dispatcher.tick;
+        let entry = RequestEntry {
+            class,
+            key: request.key,
+            is_client_retry: request.is_client_retry,
+            received_at: now,
+            deadline: now + time_left,
+            overdue_at,
+            is_answered: false,
+            serving_site: ServingSite::Undecided,
+            is_inbound,
+            attempts: Vec::new(),
         };
-        entry.answered = true;
-        self.room.dues.cancel(entry.overdue, Due::Txn(id));
-        let (class, taken, whereabouts) = (entry.class, entry.taken, entry.whereabouts);
-        if let Some(export) = &mut self.export {
-            let path = match (entry.inward, whereabouts) {
-                (true, _) => flows::FlowPath::Inbound,
-                (_, Whereabouts::Across) => flows::FlowPath::Forwarded,
-                _ => flows::FlowPath::Local,
-            };
-            let now = self.room.clock.now();
-            let ended = RequestEnded {
+        self.dispatcher.requests.insert(id, entry);
+        self.context
+            .timers
+            .set(overdue_at, Timer::RequestDeadline(id));
+        self.record_request_received();
+        if self.forwarding.is_some() && !is_inbound {
+            let event = MultiSiteEvent::RequestReceived {
+                id,
                 class,
-                outcome,
-                path,
-                duration: now - taken,
+                remaining: time_left,
             };
-            export.record_request(now, &ended);
-        }
-        if self.across.is_some() && matches!(whereabouts, Whereabouts::Here | Whereabouts::Back) {
-            let now = self.room.now();
-            self.sites(
-                now,
-                SiteEvent::RequestEnded {
-                    class,
-                    end: ending,
-                    elapsed: now - taken,
-                },
-            );
+            self.handle_multi_site_event(now, event);
+        } else {
+            self.serve_locally(now, id, time_left);
         }
-        true
     }
 
-    fn submission_ended(
-        &mut self,
-        now: Timestamp,
-        id: RequestId,
-        (endpoint, attempt): (EndpointId, usize),
-        outcome: AttemptOutcome,
-        duration: TimeDelta,
-        (request_octets, response_octets): (usize, usize),
-    ) {
-        let Gateway {
-            export: Some(export),
-            driver,
-            ..
-        } = self
-        else {
+    /// Has the policy serve a request at this site, within the time that is left.
+    pub fn serve_locally(&mut self, now: Timestamp, id: RequestId, time_left: TimeDelta) {
+        let Some(entry) = self.dispatcher.requests.get_unanswered_mut(id) else {
             return;
         };
-        let Some(entry) = driver.book.get(&id) else {
-            return;
+        entry.serving_site = match entry.serving_site {
+            ServingSite::Other => ServingSite::ReturnedToLocal,
+            _ => ServingSite::Local,
         };
-        let build = driver
-            .module
-            .endpoint(endpoint)
-            .map_or(BuildId(0), |record| record.build);
-        let ended = AttemptEnded {
+        // A request that the other site has returned must not outlive the deduplication window of its key.
+        entry.deadline = entry.deadline.min(now + time_left);
+        let event = Event::RequestReceived {
+            id,
             class: entry.class,
-            build,
-            endpoint,
-            outcome,
-            duration,
-            is_retry: attempt > 0,
-            is_inbound: entry.inward,
-            request_octets,
-            response_octets,
-        };
-        export.record_attempt(now, &ended);
-    }
-
-    pub fn is_inward(&self, id: RequestId) -> bool {
-        self.driver.book.get(&id).is_some_and(|e| e.inward)
-    }
-
-    /// The module is to serve it, within what is left.
-    pub fn hand_in(&mut self, now: Timestamp, id: RequestId, left: TimeDelta) {
-        let Some(entry) = self.driver.book.get_mut(&id).filter(|e| !e.answered) else {
-            return;
+            key: entry.key,
+            is_client_retry: entry.is_client_retry,
+            time_left,
         };
-        let across = entry.whereabouts == Whereabouts::Across;
-        entry.whereabouts = if across {
-            Whereabouts::Back
-        } else {
-            Whereabouts::Here
-        };
-        // Guards the time in which a referenced repeat is dropped: what has come back is sent no later.
-        entry.expiry = entry.expiry.min(now + left);
-        let (class, key, is_client_retry) = (entry.class, entry.key, entry.again);
-        self.take(
-            now,
-            Event::RequestReceived {
-                id,
-                class,
-                key,
-                is_client_retry,
-                time_left: left,
-            },
-        );
-    }
-
-    /// A request that is to cross: its request class, its key, and whether it is a client's repeat.
-    pub fn crosses(&mut self, id: RequestId) -> Option<(ClassId, Option<AffinityKey>, bool)> {
-        let entry = self.driver.book.get_mut(&id).filter(|e| !e.answered)?;
-        entry.whereabouts = Whereabouts::Across;
-        Some((entry.class, entry.key, entry.again))
-    }
-
-    /// The module declines it. What never ran here, and was not across yet, may be of use to the other site.
-    fn declined(&mut self, now: Timestamp, id: RequestId, retry_after: Option<TimeDelta>) {
-        let entry = self
-            .driver
-            .book
-            .get(&id)
-            .filter(|e| !e.answered && !e.inward);
-        let spared = entry.filter(|e| e.whereabouts == Whereabouts::Here && !e.may_have_run());
-        match spared
-            .map(|e| (e.class, e.expiry - now))
-            .filter(|_| self.across.is_some())
-        {
-            Some((class, left)) => {
-                if let Some(entry) = self.driver.book.get_mut(&id) {
-                    entry.whereabouts = Whereabouts::AtTheDoor;
-                }
-                self.sites(
-                    now,
-                    SiteEvent::LocallyRejected {
-                        id,
-                        class,
-                        remaining: left,
-                    },
-                );
-            }
-            None => self.answer(id, Answer::Declined { retry_after }),
-        }
-    }
-
-    /// Takes a request out of the book once nothing of it is left.
-    fn strike(&mut self, id: RequestId) {
-        let over = |e: &Entry| e.answered && e.sent.iter().all(|s| !s.out);
-        if self.driver.book.get(&id).is_some_and(over) {
-            self.driver.book.remove(&id);
-        }
+        self.handle_policy_event(now, event);
     }
 
-    pub fn take(&mut self, now: Timestamp, event: Event) {
-        for action in self.driver.module.handle(now, event) {
-            self.obey(now, action);
+    /// Delivers an event to the policy and executes the actions it returns.
+    pub fn handle_policy_event(&mut self, now: Timestamp, event: Event) {
+        for action in self.dispatcher.policy.handle(now, event) {
+            self.execute(now, action);
         }
     }
 
-    fn obey(&mut self, now: Timestamp, action: Action) {
+    fn execute(&mut self, now: Timestamp, action: Action) {
         match action {
             Action::StartAttempt {
                 id,
                 endpoint,
                 timeout,
-            } => self.submit(now, id, endpoint, timeout),
+            } => self.start_attempt(now, id, endpoint, timeout),
             Action::CancelAttempt { id, attempt } => {
-                self.servers.recall(&mut self.room, id, attempt)
+                let attempt = AttemptId {
+                    request: id,
+                    attempt,
+                };
+                self.upstream.cancel_attempt(&mut self.context, attempt);
             }
-            Action::Reject { id, retry_after } => self.declined(now, id, retry_after),
-            Action::Fail { id } => self.answer(id, Answer::Voided),
+            Action::Reject { id, retry_after } => self.handle_rejection(now, id, retry_after),
+            Action::Fail { id } => self.answer(id, crate::downstream::Answer::Failed),
             Action::Vote {
                 build,
                 stage,
-                decision: verdict,
+                decision,
             } => {
-                if !self.vote_by_steward(build, stage, verdict) {
-                    let room = &mut self.room;
-                    self.platform
-                        .iter_mut()
-                        .for_each(|p| p.vote(room, build, stage, verdict));
+                if !self.vote_to_rollout_controller(build, stage, decision) {
+                    if let Some(platform) = &mut self.rollout_platform {
+                        platform.vote(&mut self.context, build, stage, decision);
+                    }
                 }
             }
             Action::SendGossip { to, message } => {
-                if let Some(peers) = &self.peers {
-                    peers.tell(&mut self.room, to, &message);
+                if let Some(gossip) = &self.gossip {
+                    gossip.send_gossip(&mut self.context, to, &message);
                 }
             }
-            // The watch stands from the start on.
+            // Discovery is watched from the start on.
             Action::WatchEndpoints => {}
-            Action::SetTimer { after } => self.room.dues.set(now + after, Due::Wake),
-        }
-    }
-
-    pub fn answer(&mut self, id: RequestId, answer: Answer) {
-        let ran = self.driver.book.get(&id).is_some_and(Entry::may_have_run);
-        let ending = match &answer {
-            Answer::Settled(_) => RequestEnd::Succeeded,
-            Answer::Declined { .. } if !ran => RequestEnd::Rejected,
-            Answer::Declined { .. } | Answer::Voided => RequestEnd::Failed,
-        };
-        let outcome = match &answer {
-            Answer::Settled(_) => flows::FlowOutcome::RequestSucceeded,
-            Answer::Declined { .. } => flows::FlowOutcome::RequestRejected,
-            Answer::Voided => flows::FlowOutcome::RequestFailed,
-        };
-        if !self.close_txn(id, ending, outcome) {
-            return;
-        }
-        if self.is_inward(id) {
-            let verdict = match ending {
-                RequestEnd::Rejected => ForwardingOutcome::NotAccepted,
-                _ if matches!(answer, Answer::Declined { .. }) => {
-                    ForwardingOutcome::Rejected { may_have_run: ran }
-                }
-                _ => ForwardingOutcome::Failed,
-            };
-            let now = self.room.now();
-            self.answer_across(now, id, verdict, None, Vec::new());
-        } else {
-            self.clients.answer(&mut self.room, id, answer);
-        }
-        self.strike(id);
-    }
-
-    /// Guards the rule that no request is lost, should the module ever leave one without an answer.
-    pub fn overdue(&mut self, id: RequestId) {
-        self.room
-            .counters
-            .must(false, "a txn has its answer by its expiry");
-        self.answer(id, Answer::Voided);
-        let now = self.room.now();
-        self.sites(now, SiteEvent::ClientGone { id });
-        self.take(now, Event::ClientDisconnected { id });
-    }
-
-    /// Gives up on every request that has no answer yet.
-    pub fn void_all(&mut self) {
-        let now = self.room.now();
-        let owed = self
-            .driver
-            .book
-            .iter()
-            .filter(|(_, e)| !e.answered)
-            .map(|(id, _)| *id);
-        for id in owed.collect::<Vec<RequestId>>() {
-            self.answer(id, Answer::Voided);
-            self.take(now, Event::ClientDisconnected { id });
+            Action::SetTimer { after } => self.context.timers.set(now + after, Timer::Policy),
         }
-        self.settle();
     }
 
-    pub fn wake(&mut self) {
-        let now = self.room.now();
-        self.take(now, Event::TimerFired);
+    /// Tells the policy that its timer has fired.
+    pub fn handle_policy_timer(&mut self) {
+        let now = self.context.now();
+        self.handle_policy_event(now, Event::TimerFired);
     }
 }
--- /dev/null
+++ b/crates/gateway/src/dispatch/leases.rs
@@ -0,0 +1,142 @@
+//! Leases: peers' messages and the gateway's events are told to the lease participant, and its actions are executed here.
+
+use harrierdock_lease::{Event, LeaseName};
+use harrierdock_rollout_controller::{self as rollout_controller, Event as RolloutEvent};
+use harrierdock_types::PeerId;
+
+use crate::config::extensions::With;
+use crate::config::gateway::Told;
+use crate::lease::participant::{LeaseAction, LeaseParticipant, Participation};
+use crate::metrics::Counter;
+use crate::rollout::commands::{CommandTimes, Controller, RolloutCommands};
+use crate::runtime::gateway::Gateway;
+use crate::runtime::timer::Timer;
+
+impl Gateway {
+    /// Takes part in the leases, if any are configured.
+    ///
+    /// # Errors
+    ///
+    /// The settings do not fit.
+    pub fn start_leases(
+        &mut self,
+        config: &Told,
+        extension: &With,
+        times: &CommandTimes,
+    ) -> Result<(), String> {
+        let Some(settings) = &extension.fleet else {
+            return Ok(());
+        };
+        let parameters = settings
+            .terms(&config.beside()?)
+            .map_err(|e| e.to_string())?;
+        let now = self.context.now();
+        if let Some(controller) = &settings.steward {
+            let controller = Controller {
+                settings: controller,
+                name: &config.name,
+                local_peer: parameters.own,
+                gateway_count: parameters.name_hashes.len(),
+            };
+            let commands = RolloutCommands::new(now, &controller, times);
+            self.rollout_commands = Some(Box::new(commands));
+        }
+        tracing::info!("fleet: {}", settings.summary(&config.name));
+        let participation = Participation {
+            settings,
+            parameters,
+            name: &config.name,
+            seed: config.seed(),
+        };
+        let (leases, actions) = LeaseParticipant::start(now, participation);
+        self.leases = Some(Box::new(leases));
+        self.execute_lease_actions(actions);
+        Ok(())
+    }
+
+    /// Tells the leases what has happened, and executes the actions they return.
+    pub fn handle_lease_event(&mut self, event: Event) {
+        let now = self.context.now();
+        if let Some(leases) = &mut self.leases {
+            let actions = leases.handle(now, event);
+            self.execute_lease_actions(actions);
+        }
+    }
+
+    /// The timer of the leases has fired.
+    pub fn handle_lease_timer(&mut self) {
+        if let Some(leases) = &mut self.leases {
+            leases.timer_deadline = None;
+        }
+        self.handle_lease_event(Event::TimerFired);
+    }
+
+    fn execute_lease_actions(&mut self, actions: Vec<LeaseAction>) {
+        for action in actions {
+            match action {
+                LeaseAction::Send { to, bytes } => self.send_to_peer(to, bytes),
+                LeaseAction::Acquired {
+                    lease: LeaseName::RolloutController,
+                    epoch,
+                } => self.handle_rollout_event(RolloutEvent::Holds { epoch: epoch.0 }),
+                LeaseAction::Lost {
+                    lease: LeaseName::RolloutController,
+                } => self.handle_rollout_event(RolloutEvent::Lost),
+                LeaseAction::Acquired { .. } | LeaseAction::Lost { .. } => {}
+                LeaseAction::SetTimer(deadline) => {
+                    if let Some(leases) = &mut self.leases {
+                        let earlier = leases.timer_deadline;
+                        self.context.replace_timer(earlier, deadline, Timer::Lease);
+                        leases.timer_deadline = Some(deadline);
+                    }
+                }
+            }
+        }
+    }
+
+    /// Sends a binary message to a peer.
+    pub(super) fn send_to_peer(&mut self, to: PeerId, mut bytes: Vec<u8>) {
+        if let Some((gossip, leases)) = self.gossip.as_ref().zip(self.leases.as_ref()) {
+            leases.convert_version(&mut bytes);
+            gossip.send_to_peer(&mut self.context, to, &bytes);
+        }
+    }
+
+    /// Handles a binary message of a peer. One that cannot be read changes nothing.
+    pub(super) fn handle_peer_message(&mut self, from: PeerId, mut bytes: Vec<u8>) {
+        let now = self.context.now();
+        if let Some(leases) = &self.leases {
+            leases.convert_version(&mut bytes);
+        }
+        let is_rollout_vote = bytes.first() == Some(&rollout_controller::FIRST);
+        if is_rollout_vote && self.rollout_commands.is_some() {
+            return self.handle_rollout_vote(from, &bytes);
+        }
+        let handled = self
+            .leases
+            .as_mut()
+            .map(|leases| leases.handle_message(now, from, &bytes));
+        match handled {
+            Some(Ok(actions)) => {
+                self.context.counters.add(Counter::GossipReceived);
+                self.execute_lease_actions(actions);
+            }
+            Some(Err(_)) | None => self.context.counters.add(Counter::GossipRefused),
+        }
+    }
+
+    /// Applies the lease settings that were read again. Settings that do not fit change nothing.
+    pub fn reload_electorate(&mut self, extension: &With) {
+        let now = self.context.now();
+        match (&mut self.leases, &extension.fleet) {
+            (Some(leases), Some(settings)) => match leases.reload(now, settings) {
+                Ok(actions) => self.execute_lease_actions(actions),
+                Err(e) => tracing::warn!("fleet: what is held stays: {e}"),
+            },
+            (None, None) => {}
+            (Some(_), None) | (None, Some(_)) => {
+                tracing::warn!("fleet: begins or ends with the next start only");
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/dispatch/rollout.rs
@@ -0,0 +1,190 @@
+//! The rollout controller: votes and rollout updates are told to `harrierdock-rollout-controller`, and its actions are executed
+//! here. The commands to the deployment controller go out under a lease.
+
+use calloop::Readiness;
+use harrierdock_event_loop::ConnectionId;
+use harrierdock_lease::{Event as LeaseEvent, LeaseName};
+use harrierdock_rollout_controller::{self as rollout_controller, Action, Answer, Event};
+use harrierdock_types::{
+    BuildId, Event as PolicyEvent, PeerId, PlatformStatus, RolloutDecision, RolloutPhase,
+    RolloutUpdate, TimeDelta, Timestamp,
+};
+
+use crate::metrics::Counter;
+use crate::rollout::commands::{Command, FinishedCommand};
+use crate::rollout::votes;
+use crate::runtime::context::InternalEvent;
+use crate::runtime::gateway::Gateway;
+use crate::runtime::timer::Timer;
+
+impl Gateway {
+    /// Gives the policy's vote to the rollout controller. Returns whether there is one; else the vote goes to the rollout
+    /// platform.
+    pub(super) fn vote_to_rollout_controller(
+        &mut self,
+        build: BuildId,
+        stage: usize,
+        decision: RolloutDecision,
+    ) -> bool {
+        if self.rollout_commands.is_none() {
+            return false;
+        }
+        self.context.counters.add(Counter::Votes);
+        self.handle_rollout_event(Event::Cast(votes::vote(build, stage, decision)));
+        // The policy takes this as the answer to its vote, and renews the vote as it would at the platform.
+        let update = RolloutUpdate {
+            build,
+            stage,
+            phase: RolloutPhase::Canary,
+            exposure_limit: 0.0,
+            status: PlatformStatus::Superseded,
+            answers_vote: true,
+            age: TimeDelta::ZERO,
+        };
+        self.context
+            .emit(InternalEvent::Policy(PolicyEvent::RolloutUpdated(update)));
+        true
+    }
+
+    /// Handles a vote of a peer.
+    pub(super) fn handle_rollout_vote(&mut self, from: PeerId, bytes: &[u8]) {
+        match rollout_controller::read(bytes) {
+            Ok(told) => {
+                self.context.counters.add(Counter::GossipReceived);
+                self.handle_rollout_event(Event::Heard { from, told });
+            }
+            Err(e) => {
+                self.context.counters.add(Counter::GossipRefused);
+                tracing::debug!("fleet: a ballot is refused: {e}");
+            }
+        }
+    }
+
+    /// Tells the rollout controller what the platform says of a rollout.
+    pub(super) fn handle_rollout_update(&mut self, update: &RolloutUpdate) {
+        if self.rollout_commands.is_none() {
+            return;
+        }
+        if let Some(event) = votes::stage_event(update) {
+            self.handle_rollout_event(event);
+        }
+    }
+
+    /// Tells the rollout controller what has happened, and executes the actions it returns.
+    pub(super) fn handle_rollout_event(&mut self, event: Event) {
+        let now = self.context.now();
+        let Some(commands) = &mut self.rollout_commands else {
+            return;
+        };
+        for action in commands.handle(now, event) {
+            match action {
+                Action::Tell(told) => self.send_to_electors(&rollout_controller::write(&told)),
+                Action::Call { ballot, again } => self.start_command(Command {
+                    vote: ballot,
+                    is_retry: again,
+                }),
+                Action::Said(_) => {}
+                Action::Wake { after } => self.set_rollout_timer(now + after),
+            }
+        }
+    }
+
+    fn send_to_electors(&mut self, message: &[u8]) {
+        let electors = self.leases.as_ref().map(|leases| leases.other_electors());
+        for elector in electors.unwrap_or_default() {
+            self.send_to_peer(elector, message.to_vec());
+        }
+    }
+
+    fn set_rollout_timer(&mut self, deadline: Timestamp) {
+        if let Some(commands) = &mut self.rollout_commands {
+            let earlier = commands.timer_deadline;
+            self.context
+                .replace_timer(earlier, deadline, Timer::RolloutController);
+            commands.timer_deadline = Some(deadline);
+        }
+    }
+
+    /// The timer of the rollout controller has fired.
+    pub fn handle_rollout_timer(&mut self) {
+        if let Some(commands) = &mut self.rollout_commands {
+            commands.timer_deadline = None;
+        }
+        self.handle_rollout_event(Event::Wake);
+    }
+
+    fn start_command(&mut self, command: Command) {
+        let Some(commands) = &mut self.rollout_commands else {
+            return;
+        };
+        let connection_id = self.context.next_connection_id();
+        let handler = self.context.handlers.rollout_command;
+        let handle_readiness =
+            move |gateway: &mut Gateway, readiness| handler(gateway, connection_id, readiness);
+        let ballot = command.vote;
+        let deadline = commands.start(
+            &mut self.context.io,
+            command,
+            connection_id,
+            handle_readiness,
+        );
+        match deadline {
+            Some(deadline) => self
+                .context
+                .timers
+                .set(deadline, Timer::RolloutCommand(connection_id)),
+            None => self.handle_rollout_event(Event::Answered {
+                ballot,
+                answer: Answer::NotWritten,
+            }),
+        }
+    }
+
+    /// The connection of a command is ready. The lease is checked when its bytes can go out, and not before.
+    pub fn handle_rollout_command_readiness(
+        &mut self,
+        connection_id: ConnectionId,
+        readiness: Readiness,
+    ) {
+        let Gateway {
+            rollout_commands,
+            leases,
+            context,
+            ..
+        } = self;
+        let may_act = |now| leases.as_ref()?.may_act(now, LeaseName::RolloutController);
+        let finished = rollout_commands.as_mut().and_then(|commands| {
+            commands.handle_readiness(&mut context.io, connection_id, readiness, may_act)
+        });
+        self.handle_command_finished(finished);
+    }
+
+    /// A command has had no response in time.
+    pub fn time_out_rollout_command(&mut self, connection_id: ConnectionId) {
+        let finished = self
+            .rollout_commands
+            .as_mut()
+            .and_then(|commands| commands.time_out(&mut self.context.io, connection_id));
+        self.handle_command_finished(finished);
+    }
+
+    fn handle_command_finished(&mut self, finished: Option<FinishedCommand>) {
+        let Some(finished) = finished else {
+            return;
+        };
+        self.context.timers.cancel(
+            finished.deadline,
+            Timer::RolloutCommand(finished.connection_id),
+        );
+        self.handle_rollout_event(Event::Answered {
+            ballot: finished.vote,
+            answer: finished.answer,
+        });
+        if let Some(newest) = finished.later_epoch {
+            self.handle_lease_event(LeaseEvent::EpochRejected {
+                lease: LeaseName::RolloutController,
+                newest,
+            });
+        }
+    }
+}
--- a/crates/gateway/src/downstream/idle_eviction.rs
+++ b/crates/gateway/src/downstream/idle_eviction.rs
@@ -1,196 +1,207 @@
-//! How connections stand on which no request is under way: which give way to others, and which have had their time.
+//! Idle eviction: which idle connections are closed, because others need their descriptors or because their time is over.
+
+use std::collections::BTreeSet;
 
 use calloop::Readiness;
 use harrierdock_event_loop::ConnectionId;
 use harrierdock_types::{TimeDelta, Timestamp};
 
-use super::{Client, Clients, Phase, UNUSED};
-use crate::metrics::Count;
-use crate::runtime::context::Room;
+use super::connection::{ClientConnection, Idle, IdleKind, Phase};
+use super::responses::Response;
+use super::{Downstream, MIN_IDLE_TIME};
+use crate::metrics::Counter;
+use crate::runtime::context::Context;
 
-/// As though something had come in.
-pub(super) const WAITING: Readiness = Readiness {
+/// Has a connection read as though input had been announced.
+pub(super) const READABLE: Readiness = Readiness {
     readable: true,
     writable: false,
     error: false,
 };
 
-/// How a connection stands on which no request is under way, in the order in which they make room for others.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Standing {
-    /// Nothing was ever sent on it.
-    Silent,
-    /// Half a request has come.
-    Unfinished,
-    Parting,
-    /// Between requests.
-    Unused,
-    /// An answer goes out that the client does not take in.
-    Unread,
+/// An idle connection, in the order of eviction.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct IdleConnection {
+    idle: Idle,
+    id: ConnectionId,
 }
 
-impl Client {
-    fn stands(&self) -> Option<(Standing, Timestamp)> {
-        let standing = match self.phase {
-            Phase::Waiting(_) => return None,
-            Phase::Reading if !self.reader.is_untouched(&self.connection.input) => {
-                Standing::Unfinished
-            }
-            Phase::Reading if self.keeps => Standing::Unused,
-            Phase::Reading => Standing::Silent,
-            Phase::Answering { .. } => Standing::Unread,
-            Phase::Parting => Standing::Parting,
+/// The idle connections, those that are evicted first at the front.
+#[derive(Default)]
+pub(super) struct IdleList {
+    connections: BTreeSet<IdleConnection>,
+    between_requests: usize,
+}
+
+impl IdleList {
+    fn insert(&mut self, id: ConnectionId, idle: Idle) {
+        self.connections.insert(IdleConnection { idle, id });
+        self.between_requests += usize::from(idle.kind == IdleKind::BetweenRequests);
+    }
+
+    /// Takes a connection off the list.
+    pub(super) fn remove(&mut self, id: ConnectionId, idle: Idle) {
+        self.connections.remove(&IdleConnection { idle, id });
+        self.between_requests -= usize::from(idle.kind == IdleKind::BetweenRequests);
+    }
+
+    /// The connection that has been idle in this way for longest, if that is `min_time` at the least.
+    fn longest_idle(
+        &self,
+        kind: IdleKind,
+        min_time: TimeDelta,
+        now: Timestamp,
+    ) -> Option<IdleConnection> {
+        let first_possible = IdleConnection {
+            idle: Idle {
+                kind,
+                since: Timestamp(i64::MIN),
+            },
+            id: ConnectionId(0),
         };
-        Some((standing, self.since))
+        let first = self.connections.range(first_possible..).next().copied()?;
+        (first.idle.kind == kind && now - first.idle.since >= min_time).then_some(first)
     }
 }
 
-impl Clients {
-    /// Notes how a connection stands now.
-    pub(super) fn note(&mut self, no: ConnectionId) {
-        let Some(client) = self.all.get_mut(&no) else {
+impl Downstream {
+    /// Lists a connection as it is idle now.
+    pub(super) fn update_idle(&mut self, id: ConnectionId) {
+        let Some(client) = self.connections.get_mut(&id) else {
             return;
         };
-        let now = client.stands();
-        let before = std::mem::replace(&mut client.standing, now);
-        if before != now {
-            before
-                .into_iter()
-                .for_each(|before| self.unlist(no, before));
-            if let Some((standing, since)) = now {
-                self.standing.insert((standing, since, no));
-                self.unused += usize::from(standing == Standing::Unused);
-            }
+        let idle = client.idle();
+        let listed = std::mem::replace(&mut client.listed_idle, idle);
+        if listed == idle {
+            return;
+        }
+        if let Some(listed) = listed {
+            self.idle.remove(id, listed);
+        }
+        if let Some(idle) = idle {
+            self.idle.insert(id, idle);
         }
     }
 
-    pub(super) fn unlist(&mut self, no: ConnectionId, (standing, since): (Standing, Timestamp)) {
-        self.standing.remove(&(standing, since, no));
-        self.unused -= usize::from(standing == Standing::Unused);
-    }
-
-    /// Closes those unused longest. Guards against clients that ask once and keep their connection: what they
-    /// hold counts against all of them, and the rest would have none left to ask on.
-    pub fn trim(&mut self, room: &mut Room) {
-        while self.unused > self.most_unused
-            && self.part_with(room, Standing::Unused, TimeDelta::ZERO)
+    /// Closes the connections that were unused longest while more are unused than clients may keep. Connections that are kept
+    /// after one request would otherwise leave none for other clients.
+    pub fn trim_idle(&mut self, context: &mut Context) {
+        while self.idle.between_requests > self.max_unused
+            && self.evict(context, IdleKind::BetweenRequests, TimeDelta::ZERO)
         {}
     }
 
-    /// Closes those who leave something unfinished for too long, and lets new ones in again. Guards against
-    /// connections that say nothing, or half of something: whoever has begun a request is told.
-    pub fn tend(&mut self, room: &mut Room) {
-        let now = room.now();
-        let spans = [
-            (Standing::Silent, UNUSED),
-            (Standing::Unfinished, UNUSED),
-            (Standing::Parting, UNUSED),
-            (Standing::Unused, self.patience),
-            (Standing::Unread, self.patience),
+    /// Closes connections whose time is over, and resumes accepting if there are descriptors. A client that has begun a
+    /// request gets a response first.
+    pub fn close_expired(&mut self, context: &mut Context) {
+        let now = context.now();
+        let limits = [
+            (IdleKind::NeverUsed, MIN_IDLE_TIME),
+            (IdleKind::PartialRequest, MIN_IDLE_TIME),
+            (IdleKind::Closing, MIN_IDLE_TIME),
+            (IdleKind::BetweenRequests, self.idle_timeout),
+            (IdleKind::UnreadResponse, self.idle_timeout),
         ];
-        for (standing, span) in spans {
-            while let Some((since, no)) = self.first(standing).filter(|f| now - f.0 >= span) {
-                self.serve(room, no, WAITING);
-                if self
-                    .all
-                    .get(&no)
-                    .is_some_and(|c| c.standing == Some((standing, since)))
-                {
-                    self.end(room, no, standing);
+        for (kind, limit) in limits {
+            while let Some(oldest) = self.idle.longest_idle(kind, limit, now) {
+                self.handle_readiness(context, oldest.id, READABLE);
+                if self.is_still_idle(oldest) {
+                    self.expire(context, oldest);
                 }
             }
         }
-        self.read_again(room);
-        if room.descriptors.available() > 0 {
-            self.resume(room);
+        self.resume_reading(context);
+        if context.descriptors.available() > 0 {
+            self.resume(context);
         }
     }
 
-    /// Those who found no buffer may find one now.
-    pub(super) fn read_again(&mut self, room: &Room) {
-        for client in self.all.values().filter(|c| c.phase == Phase::Reading) {
+    fn is_still_idle(&self, connection: IdleConnection) -> bool {
+        self.connections
+            .get(&connection.id)
+            .is_some_and(|client| client.listed_idle == Some(connection.idle))
+    }
+
+    /// Has connections read again that stopped because there was no buffer.
+    pub(super) fn resume_reading(&mut self, context: &Context) {
+        let reading = self
+            .connections
+            .values()
+            .filter(|client| client.phase == Phase::Reading);
+        for client in reading {
             if !client.connection.is_reading() && client.connection.input.is_empty() {
-                client.connection.set_interest(room, true, false);
+                client.connection.set_interest(context, true, false);
             }
         }
     }
 
-    fn end(&mut self, room: &mut Room, no: ConnectionId, standing: Standing) {
-        if standing != Standing::Unfinished {
-            return self.close(room, no);
+    fn expire(&mut self, context: &mut Context, connection: IdleConnection) {
+        if connection.idle.kind != IdleKind::PartialRequest {
+            return self.close(context, connection.id);
         }
-        room.counters.add(Count::Malformed);
-        self.respond(room, no, 408, None, b"", false);
-        self.note(no);
+        context.counters.add(Counter::MalformedRequests);
+        self.respond(context, connection.id, &Response::final_status(408));
+        self.update_idle(connection.id);
     }
 
-    /// Who has stood like this for longest, and since when.
-    fn first(&self, standing: Standing) -> Option<(Timestamp, ConnectionId)> {
-        let mut from = self
-            .standing
-            .range((standing, Timestamp(i64::MIN), ConnectionId(0))..);
-        from.next().filter(|f| f.0 == standing).map(|f| (f.1, f.2))
-    }
-
-    /// Closes a connection that may make room: silent ones first, then those that have stalled for longer than
-    /// `stall`, then those unused for as long as the protocol asks. Guards against clients that hold all
-    /// descriptors with nothing, or half a request each. Gives back whether there was one.
-    pub fn make_room(&mut self, room: &mut Room) -> bool {
-        let spans = [
-            (Standing::Silent, TimeDelta::ZERO),
-            (Standing::Unfinished, self.stall),
-            (Standing::Parting, self.stall),
-            (Standing::Unused, UNUSED),
+    /// Closes one connection for another: those never used first, then those that have stalled, then those unused for as long
+    /// as the protocol grants. Returns whether there was one.
+    pub fn evict_stalled(&mut self, context: &mut Context) -> bool {
+        let limits = [
+            (IdleKind::NeverUsed, TimeDelta::ZERO),
+            (IdleKind::PartialRequest, self.stall_timeout),
+            (IdleKind::Closing, self.stall_timeout),
+            (IdleKind::BetweenRequests, MIN_IDLE_TIME),
         ];
-        spans
+        limits
             .into_iter()
-            .any(|(standing, span)| self.part_with(room, standing, span))
+            .any(|(kind, limit)| self.evict(context, kind, limit))
     }
 
-    /// Closes the connection that was unused longest, however short that is.
-    pub fn close_unused(&mut self, room: &mut Room) -> bool {
-        self.part_with(room, Standing::Unused, TimeDelta::ZERO)
+    /// Closes the connection that was unused longest, however short that is. Returns whether there was one.
+    pub fn evict_idle(&mut self, context: &mut Context) -> bool {
+        self.evict(context, IdleKind::BetweenRequests, TimeDelta::ZERO)
     }
 
-    pub(super) fn part_with(
+    /// Closes the connection that has been idle in this way for longest, if that is `min_time` at the least.
+    pub(super) fn evict(
         &mut self,
-        room: &mut Room,
-        standing: Standing,
-        span: TimeDelta,
+        context: &mut Context,
+        kind: IdleKind,
+        min_time: TimeDelta,
     ) -> bool {
-        let now = room.now();
-        while let Some((since, no)) = self.first(standing).filter(|f| now - f.0 >= span) {
-            // What has come in meanwhile may make a request whole, and then it is taken.
-            self.serve(room, no, WAITING);
-            if self
-                .all
-                .get(&no)
-                .is_some_and(|c| c.standing == Some((standing, since)))
-            {
-                self.close(room, no);
+        let now = context.now();
+        while let Some(oldest) = self.idle.longest_idle(kind, min_time, now) {
+            // Input that has arrived meanwhile may complete a request, which is then accepted.
+            self.handle_readiness(context, oldest.id, READABLE);
+            if self.is_still_idle(oldest) {
+                self.close(context, oldest.id);
             }
-            if !self.all.contains_key(&no) {
+            if !self.connections.contains_key(&oldest.id) {
                 return true;
             }
         }
         false
     }
 
-    /// During a graceful shutdown: closes connections between requests. Gives back whether none are left.
-    pub fn close_between_requests(&mut self, room: &mut Room) -> bool {
-        let between =
-            |c: &Client| c.phase == Phase::Reading && c.reader.is_untouched(&c.connection.input);
-        let reading = self
-            .all
+    /// Closes connections between requests, in a shutdown. Returns whether only closing connections are left.
+    pub fn close_between_requests(&mut self, context: &mut Context) -> bool {
+        let candidates: Vec<ConnectionId> = self
+            .connections
             .iter()
-            .filter(|(_, c)| between(c) && c.connection.is_reading());
-        for no in reading.map(|(no, _)| *no).collect::<Vec<ConnectionId>>() {
-            // A request that has come in meanwhile is still taken.
-            self.serve(room, no, WAITING);
-            if self.all.get(&no).is_some_and(between) {
-                self.close(room, no);
+            .filter(|(_, client)| client.is_between_requests() && client.connection.is_reading())
+            .map(|(id, _)| *id)
+            .collect();
+        for id in candidates {
+            // A request that has arrived meanwhile is still accepted.
+            self.handle_readiness(context, id, READABLE);
+            let client = self.connections.get(&id);
+            if client.is_some_and(ClientConnection::is_between_requests) {
+                self.close(context, id);
             }
         }
-        self.all.values().all(|c| c.phase == Phase::Parting)
+        self.connections
+            .values()
+            .all(|client| client.phase == Phase::Closing)
     }
 }
--- a/crates/gateway/src/downstream/listener.rs
+++ b/crates/gateway/src/downstream/listener.rs
@@ -1,141 +1,167 @@
-//! The listener: who is let in, and when nobody is.
+//! The listener: connections are accepted while there are descriptors for them.
 
 use std::io::{self, ErrorKind};
-use std::net::{SocketAddr, TcpListener};
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::rc::Rc;
 
 use calloop::generic::Generic;
-use calloop::{Interest, Mode, PostAction, Readiness};
-use harrierdock_event_loop::{Connection, ConnectionId, ResourceClass};
-use harrierdock_http::MessageReader;
+use calloop::{Interest, Mode, PostAction, RegistrationToken};
+use harrierdock_event_loop::{Connection, ResourceClass};
 use socket2::{Domain, Protocol, Socket, Type};
 
-use super::{Client, Clients, Phase};
-use crate::metrics::Count;
-use crate::runtime::context::Room;
-use crate::runtime::gateway::Gateway;
+use super::connection::ClientConnection;
+use super::Downstream;
+use crate::metrics::Counter;
+use crate::runtime::context::Context;
 
 const BACKLOG: i32 = 1024;
-/// Connections taken in one go, so that a flood of them gives way to what is under way.
-const ACCEPT_MOST: usize = 64;
+/// Connections accepted in one turn of the loop, so that a flood of them gives way to requests under way.
+const MAX_ACCEPTS_PER_TURN: usize = 64;
 
-#[derive(Clone, Copy, PartialEq, Eq)]
-pub(super) enum Accepting {
-    Open,
-    /// Nobody is let in for want of descriptors.
-    Paused,
+/// The listening socket.
+pub(super) struct Listener {
+    socket: Rc<TcpListener>,
+    token: Option<RegistrationToken>,
+    is_paused: bool,
 }
 
-pub(super) fn listen(address: SocketAddr) -> io::Result<TcpListener> {
-    let kind = Type::STREAM.nonblocking().cloexec();
-    let socket = Socket::new(Domain::for_address(address), kind, Some(Protocol::TCP))?;
-    socket.set_reuse_address(true)?;
-    socket.bind(&address.into())?;
-    socket.listen(BACKLOG)?;
-    Ok(socket.into())
+impl Listener {
+    /// Listens at an address. Connections wait until `Downstream::start_accepting`.
+    pub(super) fn bind(address: SocketAddr) -> io::Result<Listener> {
+        let kind = Type::STREAM.nonblocking().cloexec();
+        let socket = Socket::new(Domain::for_address(address), kind, Some(Protocol::TCP))?;
+        socket.set_reuse_address(true)?;
+        socket.bind(&address.into())?;
+        socket.listen(BACKLOG)?;
+        Ok(Listener {
+            socket: Rc::new(socket.into()),
+            token: None,
+            is_paused: false,
+        })
+    }
 }
 
-fn on_ready(gateway: &mut Gateway, no: ConnectionId, readiness: Readiness) {
-    gateway.clients.serve(&mut gateway.room, no, readiness);
-    gateway.settle();
+/// What an attempt to accept a connection came to.
+enum Accepted {
+    Stream(TcpStream),
+    /// The connection is gone already; another may wait.
+    Aborted,
+    NoneWaiting,
+    NoDescriptor,
 }
 
-impl Clients {
-    pub fn address(&self) -> io::Result<SocketAddr> {
-        self.listener.local_addr()
+fn accept_one(listener: &TcpListener) -> Accepted {
+    match listener.accept() {
+        Ok((stream, _)) => Accepted::Stream(stream),
+        Err(e) => match e.kind() {
+            ErrorKind::Interrupted | ErrorKind::ConnectionAborted => Accepted::Aborted,
+            ErrorKind::WouldBlock => Accepted::NoneWaiting,
+            _ => Accepted::NoDescriptor,
+        },
     }
+}
 
-    pub fn open(&mut self, room: &Room) -> Result<(), String> {
-        let source = Generic::new(self.listener.clone(), Interest::READ, Mode::Level);
-        let call = |_, _: &mut _, gateway: &mut Gateway| {
-            gateway.accept();
-            Ok(PostAction::Continue)
-        };
-        let token = room
+impl Downstream {
+    /// The address of the listener.
+    ///
+    /// # Errors
+    ///
+    /// The system does not say it.
+    pub fn local_address(&self) -> io::Result<SocketAddr> {
+        self.listener.socket.local_addr()
+    }
+
+    /// Begins to accept connections.
+    ///
+    /// # Errors
+    ///
+    /// The loop cannot watch the listener.
+    pub fn start_accepting(&mut self, context: &Context) -> Result<(), String> {
+        let source = Generic::new(self.listener.socket.clone(), Interest::READ, Mode::Level);
+        let accept_connections = context.handlers.listener;
+        let token = context
             .handle
-            .insert_source(source, call)
+            .insert_source(source, move |_, _, gateway| {
+                accept_connections(gateway);
+                Ok(PostAction::Continue)
+            })
             .map_err(|e| e.to_string())?;
-        self.token = Some(token);
+        self.listener.token = Some(token);
         Ok(())
     }
 
-    /// Takes waiting connections while descriptors last. Gives back whether room must be made for more.
-    pub fn accept(&mut self, room: &mut Room) -> bool {
-        for taken in 0..ACCEPT_MOST {
-            if room.descriptors.available() == 0 {
-                // Guards against making room for nobody, at the cost of the one that was let in last: whether
-                // another waits behind it, the listener tells again.
-                if taken == 0 {
-                    room.counters.add(Count::NoDescriptor);
+    /// Accepts waiting connections while descriptors last. Returns whether one has to be freed for more.
+    pub fn accept(&mut self, context: &mut Context) -> bool {
+        for accepted_count in 0..MAX_ACCEPTS_PER_TURN {
+            if context.descriptors.available() == 0 {
+                // After the first connection it is not known whether another waits. The listener is ready again if so, and
+                // no connection is closed for nobody.
+                let is_first = accepted_count == 0;
+                if is_first {
+                    context.counters.add(Counter::DescriptorShortages);
                 }
-                return taken == 0;
+                return is_first;
             }
-            let stream = match self.listener.accept() {
-                Ok((stream, _)) => stream,
-                Err(e)
-                    if matches!(
-                        e.kind(),
-                        ErrorKind::Interrupted | ErrorKind::ConnectionAborted
-                    ) =>
-                {
-                    continue
-                }
-                Err(e) if e.kind() == ErrorKind::WouldBlock => return false,
-                Err(_) => {
-                    room.counters.add(Count::NoDescriptor);
+            match accept_one(&self.listener.socket) {
+                Accepted::Stream(stream) => self.add_connection(context, stream),
+                Accepted::Aborted => {}
+                Accepted::NoneWaiting => return false,
+                Accepted::NoDescriptor => {
+                    context.counters.add(Counter::DescriptorShortages);
                     return true;
                 }
-            };
-            let set = stream
-                .set_nonblocking(true)
-                .and_then(|_| stream.set_nodelay(true));
-            let no = room.next_connection_id();
-            let call = move |gateway: &mut Gateway, readiness| on_ready(gateway, no, readiness);
-            let made = set.and_then(|_| {
-                Connection::register(
-                    room,
-                    stream,
-                    Interest::READ,
-                    ResourceClass::Downstream,
-                    call,
-                )
-            });
-            let Ok(connection) = made else { continue };
-            room.counters.add(Count::ClientsAccepted);
-            let (reader, phase, since) = (MessageReader::default(), Phase::Reading, room.now());
-            let client = Client {
-                connection,
-                reader,
-                phase,
-                keeps: false,
-                since,
-                standing: None,
-            };
-            self.all.insert(no, client);
-            self.note(no);
+            }
         }
         false
     }
 
-    /// Guards against a loop that spins on a listener it cannot serve: no one is let in until `tend`.
-    pub fn pause(&mut self, room: &Room) {
-        if let (Accepting::Open, Some(token)) = (self.accepting, &self.token) {
-            self.accepting = Accepting::Paused;
-            if let Err(e) = room.handle.disable(token) {
-                tracing::warn!("the listener cannot be paused: {e}");
-            }
+    /// Adds an accepted connection. One that cannot be registered is dropped.
+    fn add_connection(&mut self, context: &mut Context, stream: TcpStream) {
+        let configured = stream
+            .set_nonblocking(true)
+            .and_then(|()| stream.set_nodelay(true));
+        let id = context.next_connection_id();
+        let handle_downstream = context.handlers.downstream;
+        let registered = configured.and_then(|()| {
+            Connection::register(
+                context,
+                stream,
+                Interest::READ,
+                ResourceClass::Downstream,
+                move |gateway, readiness| handle_downstream(gateway, id, readiness),
+            )
+        });
+        let Ok(connection) = registered else { return };
+        context.counters.add(Counter::ConnectionsAccepted);
+        let client = ClientConnection::new(connection, context.now());
+        self.connections.insert(id, client);
+        self.update_idle(id);
+    }
+
+    /// Stops accepting until `close_expired` finds descriptors, so that the loop does not spin on a listener that stays ready.
+    pub fn pause(&mut self, context: &Context) {
+        let Some(token) = self.listener.token.filter(|_| !self.listener.is_paused) else {
+            return;
+        };
+        self.listener.is_paused = true;
+        if let Err(e) = context.handle.disable(&token) {
+            tracing::warn!("the listener cannot be paused: {e}");
         }
     }
 
+    /// Whether accepting has stopped for want of descriptors.
     pub fn is_paused(&self) -> bool {
-        self.accepting == Accepting::Paused
+        self.listener.is_paused
     }
 
-    pub(super) fn resume(&mut self, room: &Room) {
-        if let (Accepting::Paused, Some(token)) = (self.accepting, &self.token) {
-            self.accepting = Accepting::Open;
-            if let Err(e) = room.handle.enable(token) {
-                tracing::warn!("the listener cannot be resumed: {e}");
-            }
+    /// Accepts connections again.
+    pub(super) fn resume(&mut self, context: &Context) {
+        let Some(token) = self.listener.token.filter(|_| self.listener.is_paused) else {
+            return;
+        };
+        self.listener.is_paused = false;
+        if let Err(e) = context.handle.enable(&token) {
+            tracing::warn!("the listener cannot be resumed: {e}");
         }
     }
 }
--- a/crates/gateway/src/downstream/request_parser.rs
+++ b/crates/gateway/src/downstream/request_parser.rs
@@ -1,97 +1,131 @@
-//! What a client's request is: a request, a look at whether the gateway is ready, or neither.
+//! What a client sends: a request to be served, a readiness check, or neither. The names that clients use on the wire stand
+//! in this file.
 
 use harrierdock_config::ClassNames;
 use harrierdock_http::RequestHead;
-use harrierdock_types::TimeDelta;
-use harrierdock_types::{AffinityKey, ClassId};
+use harrierdock_types::{AffinityKey, ClassId, TimeDelta};
 
-use crate::runtime::context::Asked;
+use crate::runtime::context::OutboundRequest;
 
-/// The longest id that is passed on.
-const ID_MOST: usize = 64;
+/// The longest request id that is passed on.
+const MAX_ID_BYTES: usize = 64;
 
-// The page's names end here.
-const PATH_READY: &str = "/ready";
-const PATH_TXN: &str = "/api";
-const METHODS: [&str; 2] = ["GET", "POST"];
-const PARAMETER_KEY: &str = "obj";
-const FIELD_TXN: &str = "X-Txn";
-const FIELD_PRODUCT: &str = "X-Lane";
-const FIELD_LEFT: &str = "X-Remaining-Ms";
-const FIELD_AGAIN: &str = "X-Resent";
-const FIELD_REFERENCE: &str = "Idempotency-Key";
+const READY_PATH: &str = "/ready";
+const REQUEST_PATH: &str = "/api";
+const REQUEST_METHODS: [&str; 2] = ["GET", "POST"];
+const KEY_PARAMETER: &str = "obj";
+const REQUEST_ID_FIELD: &str = "X-Txn";
+const CLASS_FIELD: &str = "X-Lane";
+const TIME_LEFT_FIELD: &str = "X-Remaining-Ms";
+const CLIENT_RETRY_FIELD: &str = "X-Resent";
+const IDEMPOTENCY_KEY_FIELD: &str = "Idempotency-Key";
 
-pub enum Request<'b> {
-    Ready,
-    Txn {
-        name: &'b str,
-        class: ClassId,
-        key: Option<AffinityKey>,
-        again: bool,
-        left: TimeDelta,
-    },
+/// The digits of an affinity key that is a number already.
+const KEY_DIGITS: usize = 16;
+
+/// What a request head says.
+pub(super) enum ParsedRequest<'head> {
+    /// Whether the gateway is ready.
+    ReadinessCheck,
+    /// A request to be served.
+    Request(RequestAttributes<'head>),
+    /// Nothing is served at this path.
     NotFound,
-    NotAllowed {
+    /// The path takes only these methods.
+    MethodNotAllowed {
+        /// The methods, separated by commas.
         methods: String,
     },
-    /// The field that keeps it from being a request.
-    Wrong {
+    /// A field is missing or malformed.
+    InvalidField {
+        /// Its name.
         field: &'static str,
     },
 }
 
-/// A key is a small number at the door, whatever its text.
-fn key(text: &str) -> AffinityKey {
-    let number = (text.len() == 16)
-        .then(|| u64::from_str_radix(text, 16).ok())
-        .flatten();
-    AffinityKey(number.unwrap_or_else(|| harrierdock_config::fnv1a(text)))
-}
-
-fn good_id(text: &str) -> bool {
-    !text.is_empty() && text.len() <= ID_MOST && text.bytes().all(|b| b.is_ascii_graphic())
+/// What the head of a request to be served says.
+pub(super) struct RequestAttributes<'head> {
+    /// The id that its client gave it.
+    pub(super) client_request_id: &'head str,
+    /// Its class.
+    pub(super) class: ClassId,
+    /// Its affinity key, if it has one.
+    pub(super) key: Option<AffinityKey>,
+    /// Whether its client has sent it before.
+    pub(super) is_client_retry: bool,
+    /// How long its client still waits.
+    pub(super) time_left: TimeDelta,
 }
 
-impl<'b> Request<'b> {
-    pub fn read(head: &RequestHead<'b>, classes: &ClassNames) -> Request<'b> {
+impl<'head> ParsedRequest<'head> {
+    /// Reads a request head.
+    pub(super) fn read(head: &RequestHead<'head>, classes: &ClassNames) -> ParsedRequest<'head> {
         match head.path() {
-            PATH_READY => Request::Ready,
-            PATH_TXN if !METHODS.contains(&head.method) => Request::NotAllowed {
-                methods: METHODS.join(", "),
+            READY_PATH => ParsedRequest::ReadinessCheck,
+            REQUEST_PATH if !REQUEST_METHODS.contains(&head.method) => {
+                ParsedRequest::MethodNotAllowed {
+                    methods: REQUEST_METHODS.join(", "),
+                }
+            }
+            REQUEST_PATH => match read_attributes(head, classes) {
+                Ok(attributes) => ParsedRequest::Request(attributes),
+                Err(field) => ParsedRequest::InvalidField { field },
             },
-            PATH_TXN => request(head, classes).unwrap_or_else(|field| Request::Wrong { field }),
-            _ => Request::NotFound,
+            _ => ParsedRequest::NotFound,
         }
     }
 }
 
-fn request<'b>(head: &RequestHead<'b>, classes: &ClassNames) -> Result<Request<'b>, &'static str> {
-    let one = |name| head.fields.single(name).ok().flatten();
-    let name = one(FIELD_TXN).filter(|id| good_id(id)).ok_or(FIELD_TXN)?;
+/// Reads the fields of a request, or returns the name of the first one that is missing or malformed.
+fn read_attributes<'head>(
+    head: &RequestHead<'head>,
+    classes: &ClassNames,
+) -> Result<RequestAttributes<'head>, &'static str> {
+    let single = |name| head.fields.single(name).ok().flatten();
+    let client_request_id = single(REQUEST_ID_FIELD)
+        .filter(|id| is_valid_id(id))
+        .ok_or(REQUEST_ID_FIELD)?;
     head.fields
-        .single(FIELD_REFERENCE)
-        .map_err(|_| FIELD_REFERENCE)?;
-    let digits = one(FIELD_LEFT).filter(|left| left.bytes().all(|b| b.is_ascii_digit()));
-    let left: u32 = digits
-        .and_then(|left| left.parse().ok())
-        .ok_or(FIELD_LEFT)?;
-    let class = one(FIELD_PRODUCT).and_then(|name| classes.id(name));
-    Ok(Request::Txn {
-        name,
-        class: class.ok_or(FIELD_PRODUCT)?,
-        key: head.query_parameter(PARAMETER_KEY).map(key),
-        again: one(FIELD_AGAIN) == Some("1"),
-        left: TimeDelta(i64::from(left) * 1000),
+        .single(IDEMPOTENCY_KEY_FIELD)
+        .map_err(|_| IDEMPOTENCY_KEY_FIELD)?;
+    let time_left_ms: u32 = single(TIME_LEFT_FIELD)
+        .filter(|digits| digits.bytes().all(|b| b.is_ascii_digit()))
+        .and_then(|digits| digits.parse().ok())
+        .ok_or(TIME_LEFT_FIELD)?;
+    let class = single(CLASS_FIELD)
+        .and_then(|name| classes.id(name))
+        .ok_or(CLASS_FIELD)?;
+    Ok(RequestAttributes {
+        client_request_id,
+        class,
+        key: head.query_parameter(KEY_PARAMETER).map(affinity_key),
+        is_client_retry: single(CLIENT_RETRY_FIELD) == Some("1"),
+        time_left: TimeDelta::from_millis(i64::from(time_left_ms)),
     })
 }
 
-/// What of a request's request goes on to a endpoint.
-pub fn asked<'a>(head: &RequestHead<'a>, body: &'a [u8]) -> Option<Asked<'a>> {
-    Some(Asked {
+/// A key of sixteen hexadecimal digits is that number, any other text its hash.
+fn affinity_key(text: &str) -> AffinityKey {
+    let number = (text.len() == KEY_DIGITS)
+        .then(|| u64::from_str_radix(text, 16).ok())
+        .flatten();
+    AffinityKey(number.unwrap_or_else(|| harrierdock_config::fnv1a(text)))
+}
+
+fn is_valid_id(text: &str) -> bool {
+    !text.is_empty() && text.len() <= MAX_ID_BYTES && text.bytes().all(|b| b.is_ascii_graphic())
+}
+
+/// The parts of a request that are sent on to an endpoint. `None` if it has no id.
+pub(super) fn outbound_request<'bytes>(
+    head: &RequestHead<'bytes>,
+    body: &'bytes [u8],
+) -> Option<OutboundRequest<'bytes>> {
+    Some(OutboundRequest {
         method: head.method,
         target: head.target,
-        request: head.fields.single(FIELD_TXN).ok().flatten()?,
-        reference: head.fields.single(FIELD_REFERENCE).ok().flatten(),
+        client_request_id: head.fields.single(REQUEST_ID_FIELD).ok().flatten()?,
+        idempotency_key: head.fields.single(IDEMPOTENCY_KEY_FIELD).ok().flatten(),
         body,
     })
 }
--- a/crates/gateway/src/gossip.rs
+++ b/crates/gateway/src/gossip.rs
@@ -1,4 +1,4 @@
-//! Other gateways of the tier: datagrams, known by their sender's address.
+//! Gossip: datagrams between the gateways of a fleet, which know each other by their addresses.
 
 use std::io::{self, ErrorKind};
 use std::net::{SocketAddr, UdpSocket};
@@ -10,108 +10,125 @@
 use harrierdock_types::{Event, GossipMessage, PeerId};
 
 use crate::config::gateway::Told;
-use crate::lease::participant::FLEET_FROM;
-use crate::metrics::Count;
-use crate::runtime::context::{Notice, Room};
+use crate::lease::participant::FIRST_LEASE_BYTE;
+use crate::metrics::Counter;
+use crate::runtime::context::{Context, InternalEvent};
 
 /// The longest datagram that may be sent.
-const MOST: usize = 256;
-/// Datagrams read in one go, so that a flood of them gives way to requests.
-const READ_MOST: usize = 32;
+const MAX_DATAGRAM_BYTES: usize = 256;
+/// Datagrams read in one turn of the loop, so that a flood of them gives way to requests.
+const MAX_READS_PER_TURN: usize = 32;
 
-pub struct Peers {
+/// The socket to the peers.
+pub struct GossipSocket {
     socket: Rc<UdpSocket>,
-    addresses: Vec<SocketAddr>,
-    all: Option<SocketAddr>,
-    own: PeerId,
+    /// The peers' addresses, by their `PeerId`.
+    peers: Vec<SocketAddr>,
+    /// Where a datagram reaches all peers.
+    broadcast: Option<SocketAddr>,
+    local_peer: PeerId,
 }
 
-impl Peers {
-    /// None where the gateway was told of no peers.
+impl GossipSocket {
+    /// Opens the socket. `None` if the configuration names no address for it.
+    ///
+    /// # Errors
+    ///
+    /// The address cannot be bound.
     pub fn open<D>(
         handle: &LoopHandle<'static, D>,
-        told: &Told,
-        own: PeerId,
-        on_mail: impl Fn(&mut D) + 'static,
-    ) -> io::Result<Option<Peers>> {
-        let Some(address) = told.peer_listen else {
+        config: &Told,
+        local_peer: PeerId,
+        handle_readable: impl Fn(&mut D) + 'static,
+    ) -> io::Result<Option<GossipSocket>> {
+        let Some(address) = config.peer_listen else {
             return Ok(None);
         };
         let socket = UdpSocket::bind(address)?;
         socket.set_nonblocking(true)?;
-        tracing::info!("{} hears peers on {}", told.name, socket.local_addr()?);
+        tracing::info!("{} hears peers on {}", config.name, socket.local_addr()?);
         let socket = Rc::new(socket);
         let source = Generic::new(socket.clone(), Interest::READ, Mode::Level);
-        let call = move |_, _: &mut _, data: &mut D| {
-            on_mail(data);
-            Ok(PostAction::Continue)
-        };
         handle
-            .insert_source(source, call)
+            .insert_source(source, move |_, _, data| {
+                handle_readable(data);
+                Ok(PostAction::Continue)
+            })
             .map_err(|e| io::Error::other(e.error))?;
-        Ok(Some(Peers {
+        Ok(Some(GossipSocket {
             socket,
-            addresses: told.peers.clone(),
-            all: told.peers_all,
-            own,
+            peers: config.peers.clone(),
+            broadcast: config.peers_all,
+            local_peer,
         }))
     }
 
-    pub fn hear(&self, room: &mut Room) {
-        let mut bytes = [0_u8; MOST + 1];
-        for _ in 0..READ_MOST {
-            let (size, sender) = match self.socket.recv_from(&mut bytes) {
-                Ok(got) => got,
+    /// Reads what has arrived, and queues it as internal events.
+    pub fn receive(&self, context: &mut Context) {
+        let mut buffer = [0_u8; MAX_DATAGRAM_BYTES + 1];
+        for _ in 0..MAX_READS_PER_TURN {
+            match self.socket.recv_from(&mut buffer) {
+                Ok((size, sender)) => self.handle_datagram(context, sender, &buffer[..size]),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
-                // An earlier datagram's word of failure.
-                Err(_) => continue,
-            };
-            let from = self
-                .addresses
-                .iter()
-                .position(|a| *a == sender)
-                .map(PeerId)
-                .filter(|p| *p != self.own);
-            if let Some(from) = from.filter(|_| size <= MOST && bytes[0] >= FLEET_FROM && size > 0)
-            {
-                room.tell(Notice::FleetMail {
-                    from,
-                    bytes: bytes[..size].to_vec(),
-                });
-                continue;
+                // The system reports here that an earlier datagram could not be delivered.
+                Err(_) => {}
             }
-            let said = std::str::from_utf8(&bytes[..size])
-                .ok()
-                .filter(|_| size <= MOST);
-            let Some((from, message)) = from.zip(said.and_then(gossip::decode)) else {
-                room.counters.add(Count::MailRefused);
-                continue;
-            };
-            room.counters.add(Count::MailHeard);
-            room.tell(Notice::Event(Event::GossipReceived { from, message }));
         }
     }
 
-    pub fn tell(&self, room: &mut Room, to: Option<PeerId>, message: &GossipMessage) {
+    fn handle_datagram(&self, context: &mut Context, sender: SocketAddr, datagram: &[u8]) {
+        let from = self
+            .peer_at(sender)
+            .filter(|_| datagram.len() <= MAX_DATAGRAM_BYTES);
+        let Some(from) = from else {
+            return context.counters.add(Counter::GossipRefused);
+        };
+        if datagram.first().is_some_and(|b| *b >= FIRST_LEASE_BYTE) {
+            return context.emit(InternalEvent::PeerMessage {
+                from,
+                bytes: datagram.to_vec(),
+            });
+        }
+        let text = std::str::from_utf8(datagram).ok();
+        let Some(message) = text.and_then(gossip::decode) else {
+            return context.counters.add(Counter::GossipRefused);
+        };
+        context.counters.add(Counter::GossipReceived);
+        context.emit(InternalEvent::Policy(Event::GossipReceived {
+            from,
+            message,
+        }));
+    }
+
+    /// The peer with this address. `None` for strangers and for this gateway itself.
+    fn peer_at(&self, address: SocketAddr) -> Option<PeerId> {
+        let index = self.peers.iter().position(|peer| *peer == address)?;
+        Some(PeerId(index)).filter(|peer| *peer != self.local_peer)
+    }
+
+    /// Sends a gossip message to a peer, or to all.
+    pub fn send_gossip(&self, context: &mut Context, to: Option<PeerId>, message: &GossipMessage) {
         let address = match to {
-            Some(peer) => self.addresses.get(peer.0).copied(),
-            None => self.all,
+            Some(peer) => self.peers.get(peer.0).copied(),
+            None => self.broadcast,
         };
-        self.send_bytes(room, address, gossip::encode(message).as_bytes());
+        self.send_datagram(context, address, gossip::encode(message).as_bytes());
     }
 
-    /// A message of the fleet, to one gateway.
-    pub fn send(&self, room: &mut Room, to: PeerId, bytes: &[u8]) {
-        self.send_bytes(room, self.addresses.get(to.0).copied(), bytes);
+    /// Sends a binary message, about leases or rollout votes, to a peer.
+    pub fn send_to_peer(&self, context: &mut Context, to: PeerId, bytes: &[u8]) {
+        self.send_datagram(context, self.peers.get(to.0).copied(), bytes);
     }
 
-    fn send_bytes(&self, room: &mut Room, address: Option<SocketAddr>, bytes: &[u8]) {
-        room.counters
-            .must(bytes.len() <= MOST, "a message to a peer fits a datagram");
-        if let Some(address) = address.filter(|_| bytes.len() <= MOST) {
-            // A datagram may be lost on its way as well.
+    fn send_datagram(&self, context: &mut Context, address: Option<SocketAddr>, bytes: &[u8]) {
+        let fits = bytes.len() <= MAX_DATAGRAM_BYTES;
+        context
+            .counters
+            .check_invariant(fits, "a message to a peer fits a datagram");
+        if let Some(address) = address.filter(|_| fits) {
+            // A datagram may be lost, so one that cannot be sent needs no handling of its own.
             if self.socket.send_to(bytes, address).is_ok() {
-                room.counters.add(Count::MailSent);
+                context.counters.add(Counter::GossipSent);
             }
         }
     }
--- a/crates/gateway/src/lease/mod.rs
+++ b/crates/gateway/src/lease/mod.rs
@@ -1,4 +1,4 @@
-//! Leases that one gateway of a fleet holds at a time.
+//! Leases: rights that one gateway of a fleet holds at a time.
 
-pub mod handlers;
+mod message_version;
 pub mod participant;
--- a/crates/gateway/src/lease/participant.rs
+++ b/crates/gateway/src/lease/participant.rs
@@ -1,266 +1,278 @@
-//! This gateway's part in a fleet: messages on the peers' road to `crates/lease` and back, the times it asks for,
-//! and the lines that say who holds what. Knows no socket: it takes bytes and points, and gives back what to do.
+//! This gateway's part in the leases: messages of peers are decoded for `harrierdock-lease`, and its actions become requests to
+//! the dispatcher and log lines. Opens no socket and reads no clock.
 
 use harrierdock_lease::{
     codec, Action, DecodeError, Epoch, Event, LeaseManager, LeaseName, LeaseParameters, LossReason,
 };
-use harrierdock_types::PeerId;
-use harrierdock_types::{TimeDelta, Timestamp};
+use harrierdock_types::{PeerId, TimeDelta, Timestamp};
 
+use super::message_version::{LeaseClock, MessageVersion};
 use crate::config::lease::{FleetMisfit, FleetTold};
 
-/// Messages that begin from here on are of a fleet; no text does.
-pub const FLEET_FROM: u8 = 0xF5;
-/// How often messages that cannot be read are told in the log.
-const UNREAD_EVERY: TimeDelta = TimeDelta(10_000_000);
+/// Binary messages, about leases or rollout votes, begin with this byte or a higher one. No text does.
+pub const FIRST_LEASE_BYTE: u8 = 0xF5;
+/// How often it is logged that messages could not be read.
+const UNREADABLE_LOG_INTERVAL: TimeDelta = TimeDelta(10_000_000);
 
-/// What is asked of the driver.
+/// What the dispatcher is asked to do.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Asked {
+pub enum LeaseAction {
+    /// Send a message to a peer.
     Send {
+        /// The peer.
         to: PeerId,
+        /// The message.
         bytes: Vec<u8>,
     },
-    /// A duty is this gateway's from now on.
-    Holds {
-        duty: LeaseName,
+    /// Note that this gateway holds a lease from now on.
+    Acquired {
+        /// The lease.
+        lease: LeaseName,
+        /// Its epoch.
         epoch: Epoch,
     },
-    Ended {
-        duty: LeaseName,
+    /// Note that this gateway holds a lease no more.
+    Lost {
+        /// The lease.
+        lease: LeaseName,
     },
-    /// To be woken then, and at no earlier point asked for before.
-    WakeAt(Timestamp),
+    /// Set the timer, in place of an earlier one.
+    SetTimer(Timestamp),
 }
 
-/// A clock that a rehearsal lets run fast or slow. Only what `crates/lease` is told goes by it.
-#[derive(Clone, Copy, Debug)]
-struct Pace {
-    start: Timestamp,
-    rate: f64,
+/// Messages that could not be read and are not logged yet.
+#[derive(Default)]
+struct UnreadableMessages {
+    count: u64,
+    logged_at: Option<Timestamp>,
 }
 
-impl Pace {
-    fn told(self, now: Timestamp) -> Timestamp {
-        if self.rate == 1.0 {
-            return now;
+impl UnreadableMessages {
+    /// Counts a message, and logs how many there were if it is time. A line in a while suffices for a garbled path or a gateway
+    /// of another version.
+    fn log(&mut self, now: Timestamp, sender: &str, error: &DecodeError) {
+        self.count += 1;
+        let is_time = self
+            .logged_at
+            .is_none_or(|at| now - at >= UNREADABLE_LOG_INTERVAL);
+        if is_time {
+            let count = std::mem::take(&mut self.count);
+            self.logged_at = Some(now);
+            tracing::warn!(
+                "fleet: {count} messages refused lately, the last from {sender}: {error}"
+            );
         }
-        self.start + (now - self.start) * self.rate
     }
 }
 
-pub struct Duties {
-    fleet: LeaseManager,
-    told: FleetTold,
+/// Who takes part, by which settings.
+pub struct Participation<'a> {
+    /// The settings of the leases.
+    pub settings: &'a FleetTold,
+    /// The same, checked and parsed.
+    pub parameters: LeaseParameters,
+    /// This gateway's name.
+    pub name: &'a str,
+    /// The seed of its random numbers.
+    pub seed: u64,
+}
+
+/// This gateway's part in the leases.
+pub struct LeaseParticipant {
+    /// The deadline of the timer.
+    pub timer_deadline: Option<Timestamp>,
+    manager: LeaseManager,
+    settings: FleetTold,
     name: String,
-    own: PeerId,
-    pace: Pace,
-    form: u8,
-    unread: u64,
-    unread_told: Option<Timestamp>,
+    local_peer: PeerId,
+    clock: LeaseClock,
+    message_version: MessageVersion,
+    unreadable: UnreadableMessages,
 }
 
-impl Duties {
-    /// Begins, and would hold the told duties where this gateway is an elector.
-    pub fn new(
+impl LeaseParticipant {
+    /// Takes part from now on, as a candidate for the configured leases if this gateway is an elector.
+    pub fn start(
         now: Timestamp,
-        told: FleetTold,
-        terms: LeaseParameters,
-        name: &str,
-        seed: u64,
-    ) -> (Duties, Vec<Asked>) {
-        let rehearsal = told.rehearsal.as_ref();
-        let (rate, form) =
-            rehearsal.map_or((1.0, codec::FORMAT_VERSION), |r| (r.clock_rate, r.form));
-        let pace = Pace { start: now, rate };
-        let (own, wanted) = (terms.own, terms.leases.clone());
-        let elector = terms.electorate.electors.contains(&own);
-        // Unix time in milliseconds, as points begin with it.
+        participation: Participation<'_>,
+    ) -> (LeaseParticipant, Vec<LeaseAction>) {
+        let Participation {
+            settings,
+            parameters,
+            name,
+            seed,
+        } = participation;
+        let overrides = settings.rehearsal.as_ref();
+        let local_peer = parameters.own;
+        let leases = parameters.leases.clone();
+        let is_elector = parameters.electorate.electors.contains(&local_peer);
+        // Unix time in milliseconds, because timestamps begin with Unix time.
         let incarnation = (now.0 / 1000) as u64;
-        let fleet = LeaseManager::new(terms, incarnation, seed ^ incarnation, now);
-        let mut duties = Duties {
-            fleet,
-            told,
+        let mut participant = LeaseParticipant {
+            timer_deadline: None,
+            manager: LeaseManager::new(parameters, incarnation, seed ^ incarnation, now),
+            settings: settings.clone(),
             name: name.into(),
-            own,
-            pace,
-            form,
-            unread: 0,
-            unread_told: None,
+            local_peer: local_peer,
+            clock: LeaseClock::new(now, overrides),
+            message_version: MessageVersion::new(overrides),
+            unreadable: UnreadableMessages::default(),
         };
-        let mut asked = duties.take(now, Event::TimerFired);
-        for duty in wanted.into_iter().filter(|_| elector) {
-            asked.extend(duties.take(
+        let mut actions = participant.handle(now, Event::TimerFired);
+        for lease in leases.into_iter().filter(|_| is_elector) {
+            actions.extend(participant.handle(
                 now,
                 Event::CandidacyChanged {
-                    lease: duty,
+                    lease,
                     wanted: true,
                 },
             ));
         }
-        (duties, asked)
+        (participant, actions)
     }
 
-    /// The electors but for this gateway.
-    pub fn electors(&self) -> Vec<PeerId> {
-        self.fleet
+    /// The electors besides this gateway.
+    pub fn other_electors(&self) -> Vec<PeerId> {
+        self.manager
             .electorate()
             .electorate
             .electors
             .iter()
             .copied()
-            .filter(|e| *e != self.own)
+            .filter(|elector| *elector != self.local_peer)
             .collect()
     }
 
-    /// Whether this gateway may act in this duty right now. To be asked immediately before the bytes of each act go
-    /// out. Guards against acts of one that was stalled, cut off or late: no other place knows the time of the act.
-    pub fn may_act(&self, now: Timestamp, duty: LeaseName) -> Option<Epoch> {
-        self.fleet.may_act(self.pace.told(now), duty)
+    /// The epoch in which this gateway may act under a lease right now. To be asked immediately before the bytes of each act are
+    /// written: a gateway that was stalled or partitioned cannot know otherwise that its lease has expired.
+    pub fn may_act(&self, now: Timestamp, lease: LeaseName) -> Option<Epoch> {
+        self.manager.may_act(self.clock.at(now), lease)
     }
 
-    /// A rehearsal's other version of messages writes another form, and reads that one alone: the second byte of a
-    /// message, whichever way it goes.
-    pub fn reform(&self, bytes: &mut [u8]) {
-        if let Some(form) = bytes
-            .get_mut(1)
-            .filter(|_| self.form != codec::FORMAT_VERSION)
-        {
-            *form = if *form == self.form {
-                codec::FORMAT_VERSION
-            } else {
-                self.form
-            };
-        }
+    /// Converts a message to or from the version that this gateway writes and reads.
+    pub fn convert_version(&self, message: &mut [u8]) {
+        self.message_version.convert(message);
     }
 
-    /// A message of a gateway of the fleet.
+    /// Handles a message of a peer.
     ///
     /// # Errors
+    ///
     /// It cannot be read, and changes nothing.
-    pub fn hear(
+    pub fn handle_message(
         &mut self,
         now: Timestamp,
         from: PeerId,
         bytes: &[u8],
-    ) -> Result<Vec<Asked>, DecodeError> {
-        match codec::decode(bytes) {
-            Ok(message) => Ok(self.take(now, Event::MessageReceived { from, message })),
-            Err(e) => {
-                self.unread += 1;
-                // Guards against a log full of one garbled road or an old build: a line in a while says how many.
-                if self.unread_told.is_none_or(|at| now - at >= UNREAD_EVERY) {
-                    let many = std::mem::take(&mut self.unread);
-                    self.unread_told = Some(now);
-                    let name = self.told.gateways.get(from.0).map_or("?", String::as_str);
-                    tracing::warn!(
-                        "fleet: {many} messages refused lately, the last from {name}: {e}"
-                    );
-                }
-                Err(e)
-            }
-        }
+    ) -> Result<Vec<LeaseAction>, DecodeError> {
+        let message = codec::decode(bytes).inspect_err(|error| {
+            let sender = self.settings.gateways.get(from.0);
+            let sender = sender.map_or("?", String::as_str);
+            self.unreadable.log(now, sender, error);
+        })?;
+        Ok(self.handle(now, Event::MessageReceived { from, message }))
     }
 
-    /// Tells `crates/lease`, says what has changed, and gives back what is to be done.
-    pub fn take(&mut self, now: Timestamp, event: Event) -> Vec<Asked> {
-        let actions = self.fleet.handle(self.pace.told(now), event);
+    /// Tells the leases what has happened, and returns what is to be done.
+    pub fn handle(&mut self, now: Timestamp, event: Event) -> Vec<LeaseAction> {
+        let actions = self.manager.handle(self.clock.at(now), event);
         actions
             .into_iter()
-            .map(|action| self.asked(now, action))
+            .map(|action| self.translate(now, action))
             .collect()
     }
 
-    fn asked(&self, now: Timestamp, action: Action) -> Asked {
+    fn translate(&self, now: Timestamp, action: Action) -> LeaseAction {
         match action {
-            Action::Send { to, message } => Asked::Send {
+            Action::Send { to, message } => LeaseAction::Send {
                 to,
                 bytes: codec::encode(&message),
             },
-            Action::Acquired { lease: duty, epoch } => {
-                tracing::info!("fleet: holds {duty}, epoch {epoch}");
-                Asked::Holds { duty, epoch }
+            Action::Acquired { lease, epoch } => {
+                tracing::info!("fleet: holds {lease}, epoch {epoch}");
+                LeaseAction::Acquired { lease, epoch }
             }
             Action::Lost {
-                lease: duty,
+                lease,
                 epoch,
                 reason,
             } => {
-                match reason {
-                    LossReason::Transferred => {
-                        tracing::info!("fleet: {duty} ended, epoch {epoch}: handed on")
-                    }
-                    LossReason::Expired => {
-                        tracing::warn!("fleet: {duty} ended, epoch {epoch}: not renewed in time")
-                    }
-                    LossReason::Superseded => {
-                        tracing::warn!("fleet: {duty} ended, epoch {epoch}: a later one is known")
-                    }
-                }
-                Asked::Ended { duty }
+                log_loss(&lease, epoch, reason);
+                LeaseAction::Lost { lease }
+            }
+            Action::SetTimer { after } => {
+                LeaseAction::SetTimer(now + self.clock.to_loop_time(after))
             }
-            // What is a span by a clock that runs fast is a shorter one by the loop's.
-            Action::SetTimer { after } => Asked::WakeAt(now + after / self.pace.rate),
         }
     }
 
-    /// Another file was read. What may change while running is the electorate; all else waits for the next start.
+    /// Applies settings that were read again. Only the electorate may change while the gateway runs.
     ///
     /// # Errors
-    /// What does not fit: the running fleet goes on with what it had.
-    pub fn renew(&mut self, now: Timestamp, told: &FleetTold) -> Result<Vec<Asked>, FleetMisfit> {
-        if told.differs_beyond_electorate(&self.told) {
+    ///
+    /// The electorate does not fit; the former one stays.
+    pub fn reload(
+        &mut self,
+        now: Timestamp,
+        settings: &FleetTold,
+    ) -> Result<Vec<LeaseAction>, FleetMisfit> {
+        if settings.differs_beyond_electorate(&self.settings) {
             tracing::warn!(
                 "fleet: what is told beside the electorate counts from the next start on only"
             );
         }
-        let same = (&told.electorate, told.electorate_number);
-        if same == (&self.told.electorate, self.told.electorate_number) {
+        if settings.electorate == self.settings.electorate
+            && settings.electorate_number == self.settings.electorate_number
+        {
             return Ok(Vec::new());
         }
-        let next = told.electorate(&self.name)?;
-        self.fleet
+        let next = settings.electorate(&self.name)?;
+        self.manager
             .check_electorate_change(&next)
             .map_err(FleetMisfit::of)?;
         tracing::info!(
             "fleet: electorate {} begins: {}",
             next.number,
-            told.electorate.join(" ")
+            settings.electorate.join(" ")
         );
-        self.told.electorate = told.electorate.clone();
-        self.told.electorate_number = told.electorate_number;
-        let before = self
-            .fleet
+        self.settings.electorate = settings.electorate.clone();
+        self.settings.electorate_number = settings.electorate_number;
+        let was_elector = self
+            .manager
             .electorate()
             .electorate
             .electors
-            .contains(&self.own);
-        let after = next.electors.contains(&self.own);
-        let mut asked = self.take(now, Event::ElectorateChanged(next));
-        if before != after {
-            for duty in told.duties.iter().filter_map(|d| d.parse().ok()) {
-                asked.extend(self.take(
-                    now,
-                    Event::CandidacyChanged {
-                        lease: duty,
-                        wanted: after,
-                    },
-                ));
+            .contains(&self.local_peer);
+        let is_elector = next.electors.contains(&self.local_peer);
+        let mut actions = self.handle(now, Event::ElectorateChanged(next));
+        if was_elector != is_elector {
+            let leases = settings.duties.iter().filter_map(|name| name.parse().ok());
+            for lease in leases {
+                let event = Event::CandidacyChanged {
+                    lease,
+                    wanted: is_elector,
+                };
+                actions.extend(self.handle(now, event));
             }
         }
-        Ok(asked)
+        Ok(actions)
     }
 
-    /// For the counters' line: what was counted, and who holds what as far as is known here.
+    /// The counters and the holders that are known here, for the log.
     pub fn counts(&self, now: Timestamp) -> String {
-        let counts = self.fleet.counters();
-        let holder = |duty: &str| -> Option<&str> {
-            let known = self.fleet.holder(self.pace.told(now), duty.parse().ok()?)?;
-            self.told.gateways.get(known.holder.0).map(String::as_str)
+        let counts = self.manager.counters();
+        let holder_of = |lease: &str| -> Option<&str> {
+            let holder = self
+                .manager
+                .holder(self.clock.at(now), lease.parse().ok()?)?
+                .holder;
+            self.settings.gateways.get(holder.0).map(String::as_str)
         };
-        let told = self.told.duties.iter();
-        let holders: String = told
-            .map(|duty| format!(" {duty}={}", holder(duty).unwrap_or("nobody")))
+        let holders: String = self
+            .settings
+            .duties
+            .iter()
+            .map(|lease| format!(" {lease}={}", holder_of(lease).unwrap_or("nobody")))
             .collect();
         format!(
             "fleet: taken={} handed-on={} lapsed={} outdated={} unlike={} absurd={}{holders}",
@@ -273,3 +285,15 @@
         )
     }
 }
+
+fn log_loss(lease: &LeaseName, epoch: Epoch, reason: LossReason) {
+    match reason {
+        LossReason::Transferred => tracing::info!("fleet: {lease} ended, epoch {epoch}: handed on"),
+        LossReason::Expired => {
+            tracing::warn!("fleet: {lease} ended, epoch {epoch}: not renewed in time");
+        }
+        LossReason::Superseded => {
+            tracing::warn!("fleet: {lease} ended, epoch {epoch}: a later one is known");
+        }
+    }
+}
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -37,7 +37,7 @@
             with,
         } => {
             logging::start(log, form);
-            runtime::gateway::serve(&Told::read(config)?, with)
+            runtime::event_loop::serve(&Told::read(config)?, with)
         }
         Command::Check { config, with } => {
             let told = Told::read(config)?;
@@ -64,9 +64,10 @@
                 report.draw_charts(&path).map_err(|e| e.to_string())
             })
         }
-        Command::Site { word, control } => {
-            print(multi_site::control_socket::say(&control, word.as_str())?)
-        }
+        Command::Site { word, control } => print(multi_site::control_socket::send_command(
+            &control,
+            word.as_str(),
+        )?),
         Command::Version => print(concat!("harrierdock ", env!("CARGO_PKG_VERSION")).into()),
     }
 }
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -1,127 +1,146 @@
-//! What is counted, and how it is logged.
+//! The counters, and the line in which they are logged.
 
 use std::fmt;
 
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-#[repr(usize)]
-pub enum Count {
-    Taken,
-    Settled,
-    Declined,
-    Voided,
-    Left,
-    NotTxn,
-    Malformed,
-    Served,
-    Errored,
-    Full,
-    TimedOut,
-    ConnectFailed,
-    Reset,
-    Recalled,
-    Moot,
-    ClientsAccepted,
-    ServersConnected,
-    Reused,
-    KeptWasClosed,
-    Lapsed,
-    Lists,
-    LinesRefused,
-    StreamsOpened,
-    News,
-    NewsPassedOver,
-    Complaints,
-    Votes,
-    VotesRefused,
-    MailSent,
-    MailHeard,
-    MailRefused,
-    HandedOver,
-    TakenIn,
-    LettersRefused,
-    NoDescriptor,
-    NoBuffer,
-    LogLinesLost,
-    PoolBroken,
-    /// Something that must hold did not.
-    Broken,
+/// Declares the counters with the names that they are logged by, in the order in which they are logged.
+macro_rules! counters {
+    ($($(#[$doc:meta])* $counter:ident => $name:literal,)*) => {
+        /// What is counted, since the start.
+        #[derive(Clone, Copy, Debug, PartialEq, Eq)]
+        pub enum Counter {
+            $($(#[$doc])* $counter,)*
+        }
+
+        const COUNTERS: &[(Counter, &str)] = &[$((Counter::$counter, $name),)*];
+    };
 }
 
-const NAMES: [(Count, &str); 39] = [
-    (Count::Taken, "taken"),
-    (Count::Settled, "settled"),
-    (Count::Declined, "declined"),
-    (Count::Voided, "voided"),
-    (Count::Left, "left"),
-    (Count::NotTxn, "not-txn"),
-    (Count::Malformed, "malformed"),
-    (Count::Served, "served"),
-    (Count::Errored, "errored"),
-    (Count::Full, "full"),
-    (Count::TimedOut, "timed-out"),
-    (Count::ConnectFailed, "connect-failed"),
-    (Count::Reset, "reset"),
-    (Count::Recalled, "recalled"),
-    (Count::Moot, "moot"),
-    (Count::ClientsAccepted, "clients-accepted"),
-    (Count::ServersConnected, "servers-connected"),
-    (Count::Reused, "reused"),
-    (Count::KeptWasClosed, "kept-was-closed"),
-    (Count::Lapsed, "lapsed"),
-    (Count::Lists, "lists"),
-    (Count::LinesRefused, "lines-refused"),
-    (Count::StreamsOpened, "streams-opened"),
-    (Count::News, "news"),
-    (Count::NewsPassedOver, "news-passed-over"),
-    (Count::Complaints, "complaints"),
-    (Count::Votes, "votes"),
-    (Count::VotesRefused, "votes-refused"),
-    (Count::MailSent, "mail-sent"),
-    (Count::MailHeard, "mail-heard"),
-    (Count::MailRefused, "mail-refused"),
-    (Count::HandedOver, "handed-over"),
-    (Count::TakenIn, "taken-in"),
-    (Count::LettersRefused, "letters-refused"),
-    (Count::NoDescriptor, "no-descriptor"),
-    (Count::NoBuffer, "no-buffer"),
-    (Count::LogLinesLost, "log-lines-lost"),
-    (Count::PoolBroken, "pool-broken"),
-    (Count::Broken, "broken"),
-];
+counters! {
+    /// Requests received from clients.
+    RequestsReceived => "received",
+    /// Requests answered with an endpoint's response.
+    RequestsSucceeded => "succeeded",
+    /// Requests turned away without effect.
+    RequestsRejected => "rejected",
+    /// Requests that ended with unknown effect.
+    RequestsFailed => "failed",
+    /// Clients that left before their answer.
+    ClientsDisconnected => "client-disconnected",
+    /// Readiness checks, and what else is not a request to be served.
+    OtherRequests => "other-requests",
+    /// Requests that could not be read, or were left incomplete.
+    MalformedRequests => "malformed",
+    /// Attempts that an endpoint answered.
+    AttemptsSucceeded => "attempt-succeeded",
+    /// Attempts that an endpoint answered with an error.
+    AttemptsWithServerError => "server-error",
+    /// Attempts that an endpoint turned away.
+    AttemptsRejected => "attempt-rejected",
+    /// Attempts without a response in time.
+    AttemptsTimedOut => "timed-out",
+    /// Attempts whose connection did not come up, or whose request was not written in full.
+    ConnectsFailed => "connect-failed",
+    /// Attempts whose connection broke, or whose response was malformed.
+    AttemptsReset => "reset",
+    /// Attempts cancelled after they were sent.
+    AttemptsCancelled => "cancelled",
+    /// Attempts dropped before they were sent.
+    AttemptsNotSent => "not-sent",
+    /// Connections accepted from clients.
+    ConnectionsAccepted => "connections-accepted",
+    /// Connections opened to endpoints.
+    EndpointConnectionsOpened => "endpoint-connections-opened",
+    /// Idle connections to endpoints that carried another attempt.
+    ConnectionsReused => "connections-reused",
+    /// Idle connections to endpoints that were closed or too old when they were to be reused.
+    IdleConnectionsClosed => "idle-connections-closed",
+    /// Attempts dropped because their precondition no longer held.
+    PreconditionViolations => "precondition-violated",
+    /// Endpoint lists received.
+    EndpointLists => "endpoint-lists",
+    /// Lines of discovery and of the rollout platform that could not be read.
+    LinesRefused => "lines-refused",
+    /// Streams opened, tries included.
+    StreamsOpened => "streams-opened",
+    /// Rollout updates received.
+    RolloutUpdates => "rollout-updates",
+    /// Rollout updates received after later ones.
+    OutdatedRolloutUpdates => "rollout-updates-outdated",
+    /// Complaints of clients about answers.
+    Complaints => "complaints",
+    /// Votes cast.
+    Votes => "votes",
+    /// Votes that brought back no state.
+    VotesRefused => "votes-refused",
+    /// Messages sent to peers.
+    GossipSent => "gossip-sent",
+    /// Messages received from peers.
+    GossipReceived => "gossip-received",
+    /// Messages from strangers, or malformed ones.
+    GossipRefused => "gossip-refused",
+    /// Requests forwarded to the other site.
+    RequestsForwarded => "forwarded",
+    /// Requests that the other site forwarded.
+    InboundRequests => "inbound",
+    /// Messages of the other site that could not be read.
+    SiteMessagesRefused => "site-messages-refused",
+    /// Times that no descriptor was available.
+    DescriptorShortages => "no-descriptor",
+    /// Times that no buffer was available.
+    BufferShortages => "no-buffer",
+    /// Log lines dropped because the queue was full.
+    DroppedLogLines => "log-lines-dropped",
+    /// Buffers that came back in another state than they were taken in.
+    PoolViolations => "pool-broken",
+    /// Invariants that did not hold.
+    InvariantViolations => "broken",
+}
 
-pub struct Counters([u64; NAMES.len()]);
+/// The value of each counter.
+pub struct Counters([u64; COUNTERS.len()]);
 
 impl Default for Counters {
     fn default() -> Counters {
-        Counters([0; NAMES.len()])
+        Counters([0; COUNTERS.len()])
     }
 }
 
 impl Counters {
-    pub fn add(&mut self, what: Count) {
-        self.0[what as usize] += 1;
+    /// Adds one.
+    pub fn add(&mut self, counter: Counter) {
+        self.0[counter as usize] += 1;
     }
 
-    pub fn set(&mut self, what: Count, count: u64) {
-        self.0[what as usize] = count;
+    /// Sets a counter that is counted elsewhere.
+    pub fn set(&mut self, counter: Counter, value: u64) {
+        self.0[counter as usize] = value;
     }
 
-    /// What must hold: asserted in debug builds, counted and logged in release builds.
-    pub fn must(&mut self, holds: bool, what: &str) {
-        debug_assert!(holds, "{what}");
+    /// Checks an invariant. A violation is counted and logged.
+    ///
+    /// # Panics
+    ///
+    /// In debug builds, if it does not hold.
+    pub fn check_invariant(&mut self, holds: bool, invariant: &str) {
+        debug_assert!(holds, "{invariant}");
         if !holds {
-            self.add(Count::Broken);
-            tracing::error!("broken: {what}");
+            self.add(Counter::InvariantViolations);
+            tracing::error!("broken: {invariant}");
         }
     }
 }
 
 impl fmt::Display for Counters {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let seen = NAMES.iter().filter(|(what, _)| self.0[*what as usize] > 0);
-        let all: Vec<String> = seen
-            .map(|(what, name)| format!("{name}={}", self.0[*what as usize]))
-            .collect();
-        f.write_str(&all.join(" "))
+    /// Writes the counters that are not zero.
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let mut separator = "";
+        for (counter, name) in COUNTERS {
+            let value = self.0[*counter as usize];
+            if value > 0 {
+                write!(f, "{separator}{name}={value}")?;
+                separator = " ";
+            }
+        }
+        Ok(())
     }
 }
--- a/crates/gateway/src/multi_site/control_socket.rs
+++ b/crates/gateway/src/multi_site/control_socket.rs
@@ -1,118 +1,136 @@
-//! The control socket (Unix, streams): one word a connection, one JSON line back. What it asks is done by
-//! `across`; who says nothing is closed after a while and holds nobody up.
+//! The operators' control socket: a Unix stream socket that takes one command a connection and responds in one line of JSON.
 
 use std::io::{self, ErrorKind, Read, Write};
 use std::os::unix::net::{UnixListener, UnixStream};
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use calloop::generic::Generic;
+use calloop::generic::{Generic, NoIoDrop};
 use calloop::{Interest, LoopHandle, Mode, PostAction, RegistrationToken};
 use harrierdock_types::{TimeDelta, Timestamp};
 
-use crate::runtime::gateway::Gateway;
+/// Connections at once.
+const MAX_CONNECTIONS: usize = 4;
+/// How long a connection may stay without a command.
+const COMMAND_TIMEOUT: TimeDelta = TimeDelta(2_000_000);
+const MAX_COMMAND_BYTES: usize = 64;
+/// How long `send_command` waits for the response.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Callers at once, at the most, and how long one may say nothing.
-const MOST: usize = 4;
-const PATIENCE: TimeDelta = TimeDelta(2_000_000);
-const WORD_MOST: usize = 64;
-
-struct Caller {
-    since: Timestamp,
+struct ControlConnection {
+    opened_at: Timestamp,
     token: RegistrationToken,
 }
 
-pub struct Control {
+/// The control socket. Its file is removed when it is dropped.
+pub struct ControlSocket {
     path: PathBuf,
-    callers: Vec<Caller>,
+    connections: Vec<ControlConnection>,
 }
 
-impl Control {
-    /// Listens on a new socket at this path; one left by an earlier start is replaced.
-    pub fn open(handle: &LoopHandle<'static, Gateway>, path: PathBuf) -> Result<Control, String> {
-        let wrong = |e: io::Error| format!("control socket {}: {e}", path.display());
-        // Guards against taking away a socket on which another gateway listens.
+impl ControlSocket {
+    /// Listens at a path. A socket that an earlier start has left there is replaced.
+    ///
+    /// # Errors
+    ///
+    /// Another gateway listens there, or the path cannot be bound.
+    pub fn open<D: 'static>(
+        handle: &LoopHandle<'static, D>,
+        path: PathBuf,
+        accepted: fn(&mut D, UnixStream),
+    ) -> Result<ControlSocket, String> {
+        let error = |e: io::Error| socket_error(&path, &e);
         if UnixStream::connect(&path).is_ok() {
-            return Err(wrong(io::Error::from(ErrorKind::AddrInUse)));
+            return Err(error(io::Error::from(ErrorKind::AddrInUse)));
         }
         let _ = std::fs::remove_file(&path);
-        let listener = UnixListener::bind(&path).map_err(wrong)?;
-        listener.set_nonblocking(true).map_err(wrong)?;
-        let call =
-            |_, listener: &mut calloop::generic::NoIoDrop<UnixListener>, gateway: &mut Gateway| {
-                if let Ok((stream, _)) = listener.accept() {
-                    let (now, handle) = (gateway.room.now(), gateway.room.handle.clone());
-                    if let Some(control) = &mut gateway.control {
-                        control.adopt(&handle, stream, now);
-                    }
-                }
-                Ok(PostAction::Continue)
-            };
+        let listener = UnixListener::bind(&path).map_err(error)?;
+        listener.set_nonblocking(true).map_err(error)?;
+        let accept = move |_, listener: &mut NoIoDrop<UnixListener>, data: &mut D| {
+            if let Ok((stream, _)) = listener.accept() {
+                accepted(data, stream);
+            }
+            Ok(PostAction::Continue)
+        };
         handle
-            .insert_source(Generic::new(listener, Interest::READ, Mode::Level), call)
-            .map_err(|e| wrong(io::Error::other(e.error)))?;
-        Ok(Control {
+            .insert_source(Generic::new(listener, Interest::READ, Mode::Level), accept)
+            .map_err(|e| error(io::Error::other(e.error)))?;
+        Ok(ControlSocket {
             path,
-            callers: Vec::new(),
+            connections: Vec::new(),
         })
     }
 
-    fn adopt(&mut self, handle: &LoopHandle<'static, Gateway>, stream: UnixStream, now: Timestamp) {
-        if self.callers.len() >= MOST || stream.set_nonblocking(true).is_err() {
+    /// Waits for the command of a connection. One beyond `MAX_CONNECTIONS` is closed at once.
+    pub fn add_connection<D: 'static>(
+        &mut self,
+        handle: &LoopHandle<'static, D>,
+        stream: UnixStream,
+        now: Timestamp,
+        run_command: fn(&mut D, &str) -> String,
+    ) {
+        if self.connections.len() >= MAX_CONNECTIONS || stream.set_nonblocking(true).is_err() {
             return;
         }
-        let call =
-            |_, stream: &mut calloop::generic::NoIoDrop<UnixStream>, gateway: &mut Gateway| {
-                let mut word = [0; WORD_MOST];
-                let read = (&**stream).read(&mut word);
-                if matches!(&read, Err(e) if e.kind() == ErrorKind::WouldBlock) {
-                    return Ok(PostAction::Continue);
-                }
-                let word = String::from_utf8_lossy(&word[..read.unwrap_or(0)])
-                    .trim()
-                    .to_string();
-                let answer = gateway.by_hand(&word);
-                // It fits the socket's buffer; whoever does not take it has gone.
-                let _ = (&**stream).write_all(answer.as_bytes());
-                Ok(PostAction::Remove)
-            };
-        if let Ok(token) =
-            handle.insert_source(Generic::new(stream, Interest::READ, Mode::Level), call)
-        {
-            self.callers.push(Caller { since: now, token });
+        let respond = move |_, stream: &mut NoIoDrop<UnixStream>, data: &mut D| {
+            let mut buffer = [0; MAX_COMMAND_BYTES];
+            let read = (&**stream).read(&mut buffer);
+            if matches!(&read, Err(e) if e.kind() == ErrorKind::WouldBlock) {
+                return Ok(PostAction::Continue);
+            }
+            let command = String::from_utf8_lossy(&buffer[..read.unwrap_or(0)]);
+            let response = run_command(data, command.trim());
+            // The response fits the socket's buffer. An error means that the caller has gone.
+            let _ = (&**stream).write_all(response.as_bytes());
+            Ok(PostAction::Remove)
+        };
+        let source = Generic::new(stream, Interest::READ, Mode::Level);
+        if let Ok(token) = handle.insert_source(source, respond) {
+            self.connections.push(ControlConnection {
+                opened_at: now,
+                token,
+            });
         }
     }
 
-    /// Closes those who have said nothing for too long.
-    pub fn tend(&mut self, handle: &LoopHandle<'static, Gateway>, now: Timestamp) {
-        self.callers.retain(|caller| {
-            let stays = now - caller.since < PATIENCE;
+    /// Closes connections that have sent no command in time.
+    pub fn close_expired<D>(&mut self, handle: &LoopHandle<'static, D>, now: Timestamp) {
+        self.connections.retain(|connection| {
+            let stays = now - connection.opened_at < COMMAND_TIMEOUT;
             if !stays {
-                handle.remove(caller.token);
+                handle.remove(connection.token);
             }
             stays
         });
     }
 }
 
-impl Drop for Control {
+impl Drop for ControlSocket {
     fn drop(&mut self) {
         let _ = std::fs::remove_file(&self.path);
     }
 }
 
-/// Says one word to a gateway's control socket, and gives back its answer.
-pub fn say(path: &Path, word: &str) -> Result<String, String> {
-    let wrong = |e: io::Error| format!("control socket {}: {e}", path.display());
-    let mut stream = UnixStream::connect(path).map_err(wrong)?;
+fn socket_error(path: &Path, error: &dyn std::fmt::Display) -> String {
+    format!("control socket {}: {error}", path.display())
+}
+
+/// Sends a command to a gateway's control socket and returns the response.
+///
+/// # Errors
+///
+/// Nobody listens there, or no response comes.
+pub fn send_command(path: &Path, command: &str) -> Result<String, String> {
+    let error = |e: io::Error| socket_error(path, &e);
+    let mut stream = UnixStream::connect(path).map_err(error)?;
     stream
-        .set_read_timeout(Some(Duration::from_secs(5)))
-        .map_err(wrong)?;
-    stream.write_all(word.as_bytes()).map_err(wrong)?;
-    let mut answer = String::new();
-    stream.read_to_string(&mut answer).map_err(wrong)?;
-    if answer.is_empty() {
-        return Err(format!("control socket {}: no answer", path.display()));
+        .set_read_timeout(Some(RESPONSE_TIMEOUT))
+        .map_err(error)?;
+    stream.write_all(command.as_bytes()).map_err(error)?;
+    let mut response = String::new();
+    stream.read_to_string(&mut response).map_err(error)?;
+    if response.is_empty() {
+        return Err(socket_error(path, &"no answer"));
     }
-    Ok(answer.trim_end().to_string())
+    Ok(response.trim_end().to_string())
 }
--- a/crates/gateway/src/multi_site/mod.rs
+++ b/crates/gateway/src/multi_site/mod.rs
@@ -1,4 +1,6 @@
-//! Requests that are forwarded between two sites.
+//! The other site: the transport to its gateways, the requests forwarded between the sites, and the operators' control socket.
 
 pub mod control_socket;
 pub mod forwarding;
+mod inbound;
+pub mod log;
