--- /dev/null
+++ b/crates/gateway/src/rollout/commands.rs
@@ -0,0 +1,268 @@
+//! Commands to the deployment controller. `harrierdock-rollout-controller` decides which command is next; whether it may go out
+//! is checked right before its bytes do.
+
+use std::net::SocketAddr;
+
+use calloop::Readiness;
+use harrierdock_event_loop::{ConnectionId, ExchangeEvent, IoContext, RequestExchange};
+use harrierdock_lease::Epoch;
+use harrierdock_rollout_controller::{Action, Answer, Ballot, Event, Steward, Terms};
+use harrierdock_types::{PeerId, TimeDelta, Timestamp};
+
+use super::deployment_messages::{CommandMessage, ResponseMessage, COMMANDS_PATH};
+use super::log;
+use crate::config::lease::StewardTold;
+
+/// A command that is retried waits for this share of its timeout first.
+const RETRY_DELAY_DIVISOR: f64 = 2.0;
+
+/// Times that commands and votes go by, besides the configured ones.
+pub struct CommandTimes {
+    /// How long a counted vote stands.
+    pub vote_ttl: TimeDelta,
+    /// How long a command may wait for its response.
+    pub timeout: TimeDelta,
+    /// How often leases are renewed.
+    pub heartbeat: TimeDelta,
+}
+
+/// Who sends commands, and where to.
+pub struct Controller<'a> {
+    /// The settings of the rollout controller.
+    pub settings: &'a StewardTold,
+    /// This gateway's name.
+    pub name: &'a str,
+    /// This gateway.
+    pub local_peer: PeerId,
+    /// How many gateways the fleet has.
+    pub gateway_count: usize,
+}
+
+/// A command that is to be sent.
+#[derive(Clone, Copy)]
+pub struct Command {
+    /// What is to be done.
+    pub vote: Ballot,
+    /// Whether it was sent before.
+    pub is_retry: bool,
+}
+
+/// A command under way.
+struct PendingCommand {
+    connection_id: ConnectionId,
+    command: Command,
+    exchange: RequestExchange,
+    /// The epoch that it was written under, once it is.
+    epoch: Option<Epoch>,
+    deadline: Timestamp,
+}
+
+/// A command that has ended.
+pub struct FinishedCommand {
+    /// What was to be done.
+    pub vote: Ballot,
+    /// How it ended.
+    pub answer: Answer,
+    /// A later epoch that the deployment controller knows.
+    pub later_epoch: Option<Epoch>,
+    /// Its connection.
+    pub connection_id: ConnectionId,
+    /// The deadline of its timer.
+    pub deadline: Timestamp,
+}
+
+/// What a response came to.
+struct Outcome {
+    answer: Answer,
+    later_epoch: Option<Epoch>,
+}
+
+impl Outcome {
+    fn unknown() -> Outcome {
+        Outcome::of(Answer::Unknown)
+    }
+
+    fn of(answer: Answer) -> Outcome {
+        Outcome {
+            answer,
+            later_epoch: None,
+        }
+    }
+
+    /// What a response says of a command that was written under this epoch.
+    fn of_response(status: u16, body: &[u8], epoch: Option<Epoch>) -> Outcome {
+        let message = serde_json::from_slice::<ResponseMessage>(body).ok();
+        let later_epoch = message
+            .as_ref()
+            .map(|message| Epoch(message.epoch))
+            .filter(|seen| Some(*seen) > epoch);
+        let is_done = message.is_some_and(|message| message.is_done);
+        match status {
+            200 => Outcome::of(Answer::Done),
+            409 if later_epoch.is_some() => Outcome {
+                answer: Answer::Older,
+                later_epoch,
+            },
+            409 if is_done => Outcome::of(Answer::Done),
+            _ => Outcome::unknown(),
+        }
+    }
+}
+
+/// The commands of this gateway to the deployment controller.
+pub struct RolloutCommands {
+    /// The deadline of the rollout controller's timer.
+    pub timer_deadline: Option<Timestamp>,
+    controller: Steward,
+    address: SocketAddr,
+    gateway_name: String,
+    incarnation: u64,
+    timeout: TimeDelta,
+    pending: Option<PendingCommand>,
+}
+
+impl RolloutCommands {
+    /// Without commands.
+    pub fn new(
+        now: Timestamp,
+        controller: &Controller<'_>,
+        times: &CommandTimes,
+    ) -> RolloutCommands {
+        // Unix time in milliseconds, because timestamps begin with Unix time.
+        let incarnation = (now.0 / 1000) as u64;
+        let settings = controller.settings;
+        let terms = Terms {
+            own: controller.local_peer,
+            gateways: controller.gateway_count,
+            on_votes: settings.on_votes,
+            back_votes: settings.back_votes,
+            bound: TimeDelta::from_millis(i64::from(settings.bound_ms)),
+            vote_life: times.vote_ttl,
+            // As often as leases are renewed: a lost vote costs no more than a lost renewal.
+            retell: times.heartbeat,
+            retry: times.timeout / RETRY_DELAY_DIVISOR,
+            incarnation,
+        };
+        RolloutCommands {
+            timer_deadline: None,
+            controller: Steward::new(now, terms),
+            address: settings.installation,
+            gateway_name: controller.name.into(),
+            incarnation,
+            timeout: times.timeout,
+            pending: None,
+        }
+    }
+
+    /// Tells the rollout controller what has happened, logs its reports, and returns its other actions.
+    pub fn handle(&mut self, now: Timestamp, event: Event) -> Vec<Action> {
+        let mut actions = self.controller.take(now, event);
+        actions.retain(|action| match action {
+            Action::Said(report) => {
+                log::report(report);
+                false
+            }
+            _ => true,
+        });
+        actions
+    }
+
+    /// Opens the connection of a command. Returns when it times out, or `None` if it could not be opened.
+    pub fn start<D>(
+        &mut self,
+        io: &mut IoContext<D>,
+        command: Command,
+        connection_id: ConnectionId,
+        handle_readiness: impl Fn(&mut D, Readiness) + 'static,
+    ) -> Option<Timestamp> {
+        let exchange = RequestExchange::connect(io, self.address, handle_readiness)?;
+        let deadline = io.now() + self.timeout;
+        self.pending = Some(PendingCommand {
+            connection_id,
+            command,
+            exchange,
+            epoch: None,
+            deadline,
+        });
+        Some(deadline)
+    }
+
+    /// The connection of a command is ready. `may_act` is asked for the fencing token when the command can be written, and not
+    /// before.
+    pub fn handle_readiness<D>(
+        &mut self,
+        io: &mut IoContext<D>,
+        connection_id: ConnectionId,
+        readiness: Readiness,
+        may_act: impl FnOnce(Timestamp) -> Option<Epoch>,
+    ) -> Option<FinishedCommand> {
+        let pending = self.pending_on(connection_id)?;
+        let vote = pending.command.vote;
+        let epoch = pending.epoch;
+        let outcome = match pending.exchange.handle_readiness(io, readiness) {
+            ExchangeEvent::Pending => return None,
+            ExchangeEvent::Connected => match may_act(io.now()) {
+                Some(epoch) if self.write(io, epoch) => return None,
+                Some(_) => Outcome::unknown(),
+                None => {
+                    log::command_dropped(vote);
+                    Outcome::of(Answer::NotWritten)
+                }
+            },
+            ExchangeEvent::Responded { status, body } => Outcome::of_response(status, &body, epoch),
+            ExchangeEvent::Failed => Outcome::unknown(),
+        };
+        self.finish(io, outcome)
+    }
+
+    fn pending_on(&mut self, connection_id: ConnectionId) -> Option<&mut PendingCommand> {
+        self.pending
+            .as_mut()
+            .filter(|pending| pending.connection_id == connection_id)
+    }
+
+    /// Writes the pending command under this epoch. Returns whether this could begin.
+    fn write<D>(&mut self, io: &mut IoContext<D>, epoch: Epoch) -> bool {
+        let Some(pending) = &mut self.pending else {
+            return false;
+        };
+        let message = CommandMessage {
+            vote: pending.command.vote,
+            epoch,
+            gateway: &self.gateway_name,
+            incarnation: self.incarnation,
+            is_retry: pending.command.is_retry,
+        };
+        pending.epoch = Some(epoch);
+        pending
+            .exchange
+            .post(io, COMMANDS_PATH, message.body().as_bytes())
+    }
+
+    /// A command has had no response in time.
+    pub fn time_out<D>(
+        &mut self,
+        io: &mut IoContext<D>,
+        connection_id: ConnectionId,
+    ) -> Option<FinishedCommand> {
+        self.pending_on(connection_id)?;
+        self.finish(io, Outcome::unknown())
+    }
+
+    fn finish<D>(&mut self, io: &mut IoContext<D>, outcome: Outcome) -> Option<FinishedCommand> {
+        let pending = self.pending.take()?;
+        pending.exchange.close(io);
+        // What was never written has certainly not been done.
+        let answer = match outcome.answer {
+            Answer::Unknown if pending.epoch.is_none() => Answer::NotWritten,
+            answer => answer,
+        };
+        Some(FinishedCommand {
+            vote: pending.command.vote,
+            answer,
+            later_epoch: outcome.later_epoch,
+            connection_id: pending.connection_id,
+            deadline: pending.deadline,
+        })
+    }
+}
--- a/crates/gateway/src/rollout/mod.rs
+++ b/crates/gateway/src/rollout/mod.rs
@@ -1,3 +1,6 @@
-//! The rollout controller: calls to the deployment controller.
+//! The rollout controller's side that this gateway holds under a lease: commands to the deployment controller.
 
-pub mod controller;
+pub mod commands;
+mod deployment_messages;
+mod log;
+pub mod votes;
--- a/crates/gateway/src/runtime/context.rs
+++ b/crates/gateway/src/runtime/context.rs
@@ -1,109 +1,184 @@
-//! What all parts of a gateway share: what stands on sockets, counters, what is due, and the notices that wait
-//! for the driver.
+//! What every part of a gateway shares: sockets, counters, timers, the queue of internal events, and the functions that the
+//! event loop calls when a socket is ready.
 
 use std::collections::VecDeque;
-use std::ops::{Deref, DerefMut};
+use std::ops::{Deref, DerefMut, Range};
 
 use harrierdock_event_loop::{Buffer, IoContext, TimerQueue};
 use harrierdock_multi_site::InboundId;
-use harrierdock_types::{AffinityKey, AttemptOutcome, ClassId, Event, PeerId, RequestId};
-use harrierdock_types::{TimeDelta, Timestamp};
+use harrierdock_types::{
+    AffinityKey, AttemptOutcome, ClassId, Event, PeerId, RequestId, TimeDelta, Timestamp,
+};
 
 use crate::metrics::Counters;
 use crate::runtime::gateway::Gateway;
-use crate::runtime::timer::Due;
+use crate::runtime::socket_handlers::SocketHandlers;
+use crate::runtime::timer::Timer;
 
-/// A request as a client wrote it, to be passed on unchanged.
-pub struct Asked<'a> {
+/// A request as its client wrote it, to be sent on unchanged.
+pub struct OutboundRequest<'a> {
+    /// The HTTP method.
     pub method: &'a str,
+    /// The request target: path and query.
     pub target: &'a str,
-    pub request: &'a str,
-    pub reference: Option<&'a str>,
+    /// The id that its client gave it.
+    pub client_request_id: &'a str,
+    /// The idempotency key, if it has one.
+    pub idempotency_key: Option<&'a str>,
+    /// The body.
     pub body: &'a [u8],
 }
 
-/// The body of a endpoint's answer, in the buffer it came in.
-pub struct Body {
+/// The body of a response, in the buffer that it was received in.
+pub struct ResponseBody {
+    /// The buffer, which belongs to the buffer pool.
     pub buffer: Buffer,
-    pub body: std::ops::Range<usize>,
+    /// Where the body stands in it.
+    pub range: Range<usize>,
 }
 
-/// What the parts tell the driver.
-pub enum Notice {
-    Taken {
-        id: RequestId,
-        class: ClassId,
-        key: Option<AffinityKey>,
-        again: bool,
-        left: TimeDelta,
-        /// It was handed over by the other site.
-        inward: Option<InboundId>,
-    },
-    Left {
-        id: RequestId,
-    },
-    Closed {
+impl ResponseBody {
+    /// The bytes of the body.
+    pub fn bytes(&self) -> &[u8] {
+        &self.buffer[self.range.clone()]
+    }
+}
+
+/// A request that was received from a client or from the other site.
+pub struct ReceivedRequest {
+    /// Its id.
+    pub id: RequestId,
+    /// Its class.
+    pub class: ClassId,
+    /// Its affinity key, if it has one.
+    pub key: Option<AffinityKey>,
+    /// Whether its client has sent it before.
+    pub is_client_retry: bool,
+    /// How long its client still waits.
+    pub time_left: TimeDelta,
+    /// Its number at the site boundary, if the other site forwarded it.
+    pub inbound: Option<InboundId>,
+}
+
+/// An attempt that has ended.
+pub struct FinishedAttempt {
+    /// The request.
+    pub id: RequestId,
+    /// The attempt, counted from 0.
+    pub attempt: usize,
+    /// How it ended.
+    pub outcome: AttemptOutcome,
+    /// The endpoint's answer, if the attempt succeeded.
+    pub response: Option<ResponseBody>,
+}
+
+/// What the parts report to the dispatcher.
+pub enum InternalEvent {
+    /// A request was received.
+    RequestReceived(ReceivedRequest),
+    /// The client of a request has disconnected, or the other site has abandoned it.
+    ClientDisconnected {
+        /// The request.
         id: RequestId,
-        attempt: usize,
-        outcome: AttemptOutcome,
-        told: Option<Body>,
     },
-    Event(Event),
-    /// A message of a fleet, as it came.
-    FleetMail {
+    /// An attempt has ended.
+    AttemptFinished(FinishedAttempt),
+    /// An event for the policy, to be delivered as it is.
+    Policy(Event),
+    /// A binary message of a peer, about leases or rollout votes, as it was received.
+    PeerMessage {
+        /// The peer.
         from: PeerId,
+        /// The message.
         bytes: Vec<u8>,
     },
 }
 
-pub struct Room {
-    pub net: IoContext<Gateway>,
+/// An internal event with the time that it is delivered as of.
+pub struct QueuedEvent {
+    /// When it happened.
+    pub at: Timestamp,
+    /// What happened.
+    pub event: InternalEvent,
+}
+
+/// What the parts share. The sockets' side of it, `IoContext`, is reached by dereference.
+pub struct Context {
+    /// The event loop, clock, buffers and descriptors.
+    pub io: IoContext<Gateway>,
+    /// The counters.
     pub counters: Counters,
-    pub dues: TimerQueue<Due>,
-    pub inbox: VecDeque<(Timestamp, Notice)>,
-    last_txn: u64,
+    /// The timers.
+    pub timers: TimerQueue<Timer>,
+    /// Events that wait for the dispatcher.
+    pub events: VecDeque<QueuedEvent>,
+    /// What the event loop calls for each kind of socket.
+    pub handlers: SocketHandlers,
+    last_request_id: u64,
 }
 
-/// The sockets' side of it is used as though it were the room's own.
-impl Deref for Room {
+impl Deref for Context {
     type Target = IoContext<Gateway>;
+
     fn deref(&self) -> &IoContext<Gateway> {
-        &self.net
+        &self.io
     }
 }
 
-impl DerefMut for Room {
+impl DerefMut for Context {
     fn deref_mut(&mut self) -> &mut IoContext<Gateway> {
-        &mut self.net
+        &mut self.io
     }
 }
 
-impl Room {
-    pub fn new(net: IoContext<Gateway>) -> Room {
-        let (counters, dues, inbox) = (Counters::default(), TimerQueue::default(), VecDeque::new());
-        Room {
-            net,
-            counters,
-            dues,
-            inbox,
-            last_txn: 0,
+impl Context {
+    /// A context without events or timers.
+    pub fn new(io: IoContext<Gateway>, handlers: SocketHandlers) -> Context {
+        Context {
+            io,
+            counters: Counters::default(),
+            timers: TimerQueue::default(),
+            events: VecDeque::new(),
+            handlers,
+            last_request_id: 0,
         }
     }
 
-    /// Tells the driver, as of now.
-    pub fn tell(&mut self, notice: Notice) {
+    /// Queues an event as of now.
+    pub fn emit(&mut self, event: InternalEvent) {
         let now = self.now();
-        self.inbox.push_back((now, notice));
+        self.emit_at(now, event);
     }
 
-    pub fn due_in(&mut self, after: TimeDelta, due: Due) -> Timestamp {
-        let at = self.now() + after;
-        self.dues.set(at, due);
-        at
+    /// Queues an event as of a time at or before now.
+    pub fn emit_at(&mut self, at: Timestamp, event: InternalEvent) {
+        self.events.push_back(QueuedEvent { at, event });
+    }
+
+    /// Sets a timer and returns its deadline.
+    pub fn set_timer_after(&mut self, delay: TimeDelta, timer: Timer) -> Timestamp {
+        let deadline = self.now() + delay;
+        self.timers.set(deadline, timer);
+        deadline
+    }
+
+    /// Sets a timer in place of an earlier one of its kind, and returns its deadline.
+    pub fn replace_timer(
+        &mut self,
+        earlier: Option<Timestamp>,
+        deadline: Timestamp,
+        timer: Timer,
+    ) -> Timestamp {
+        if let Some(earlier) = earlier {
+            self.timers.cancel(earlier, timer);
+        }
+        self.timers.set(deadline, timer);
+        deadline
     }
 
-    pub fn next_txn(&mut self) -> RequestId {
-        self.last_txn += 1;
-        RequestId(self.last_txn)
+    /// A new request id.
+    pub fn next_request_id(&mut self) -> RequestId {
+        self.last_request_id += 1;
+        RequestId(self.last_request_id)
     }
 }
--- /dev/null
+++ b/crates/gateway/src/runtime/event_loop.rs
@@ -0,0 +1,81 @@
+//! Serving: the event loop's turns, and what each timer does.
+
+use std::path::PathBuf;
+
+use calloop::EventLoop;
+
+use crate::config::gateway::Told;
+use crate::runtime::gateway::Gateway;
+use crate::runtime::timer::Timer;
+
+/// Serves until a signal ends the gateway.
+///
+/// # Errors
+///
+/// The configuration does not fit, or a socket cannot be opened.
+pub fn serve(config: &Told, extension_path: Option<PathBuf>) -> Result<(), String> {
+    let mut event_loop: EventLoop<Gateway> =
+        EventLoop::try_new().map_err(|e| format!("no event loop: {e}"))?;
+    let mut gateway = Gateway::start(config, extension_path, &event_loop)?;
+    let address = gateway
+        .downstream
+        .local_address()
+        .map_err(|e| format!("no address: {e}"))?;
+    tracing::info!("{} serves on {address}", config.name);
+    while !gateway.shutdown.is_complete {
+        gateway.turn(&mut event_loop);
+    }
+    gateway.report();
+    gateway.close_exporter();
+    tracing::info!("{} ends", config.name);
+    Ok(())
+}
+
+impl Gateway {
+    /// Handles the sockets that are ready and the timers that have expired. Waits for the first of them.
+    fn turn(&mut self, event_loop: &mut EventLoop<'static, Gateway>) {
+        let timeout = self
+            .context
+            .timers
+            .next_deadline()
+            .map(|deadline| self.context.clock.duration_until(deadline));
+        // A failing turn must not end the requests on all other sockets, so the loop goes on.
+        if let Err(e) = event_loop.dispatch(timeout, self) {
+            self.context
+                .counters
+                .check_invariant(false, &format!("the loop goes through: {e}"));
+        }
+        self.handle_expired_timers();
+    }
+
+    fn handle_expired_timers(&mut self) {
+        let now = self.context.now();
+        while let Some(timer) = self.context.timers.pop_expired(now) {
+            self.handle_timer(timer);
+            self.process_events();
+        }
+    }
+
+    fn handle_timer(&mut self, timer: Timer) {
+        match timer {
+            Timer::Policy => self.handle_policy_timer(),
+            Timer::Attempt(connection_id) => {
+                self.upstream.time_out(&mut self.context, connection_id);
+            }
+            Timer::Vote(connection_id) => {
+                if let Some(platform) = &mut self.rollout_platform {
+                    platform.time_out_vote(&mut self.context, connection_id);
+                }
+            }
+            Timer::RequestDeadline(id) => self.fail_overdue_request(id),
+            Timer::SiteTransport => self.handle_transport_timer(),
+            Timer::MultiSite => self.handle_multi_site_timer(),
+            Timer::Lease => self.handle_lease_timer(),
+            Timer::RolloutController => self.handle_rollout_timer(),
+            Timer::RolloutCommand(connection_id) => self.time_out_rollout_command(connection_id),
+            Timer::Maintenance => self.run_maintenance(),
+            Timer::Shutdown => self.advance_shutdown(),
+            Timer::Report => self.report_and_reschedule(),
+        }
+    }
+}
--- a/crates/gateway/src/runtime/mod.rs
+++ b/crates/gateway/src/runtime/mod.rs
@@ -1,5 +1,12 @@
-//! The event loop: what the parts share, what timers do, how the gateway starts, reloads and ends.
+//! The event loop of a gateway: what its parts share, what sockets and timers call, how it starts, reloads and ends.
 
 pub mod context;
+pub mod event_loop;
 pub mod gateway;
+mod maintenance;
+mod reload;
+mod reporting;
+pub mod shutdown;
+pub mod socket_handlers;
+mod startup;
 pub mod timer;
--- /dev/null
+++ b/crates/gateway/src/runtime/reporting.rs
@@ -0,0 +1,61 @@
+//! The counters' log lines, and the exporter's last ones.
+
+use harrierdock_event_loop::logging;
+use harrierdock_types::TimeDelta;
+
+use crate::metrics::Counter;
+use crate::runtime::gateway::Gateway;
+use crate::runtime::timer::Timer;
+
+/// How often the counters are logged.
+pub(super) const REPORT_INTERVAL: TimeDelta = TimeDelta(10_000_000);
+
+impl Gateway {
+    /// Logs the counters and schedules the next report.
+    pub(super) fn report_and_reschedule(&mut self) {
+        self.report();
+        self.context.set_timer_after(REPORT_INTERVAL, Timer::Report);
+    }
+
+    /// Logs the counters.
+    pub(super) fn report(&mut self) {
+        let context = &mut self.context;
+        let counters = &mut context.counters;
+        counters.set(Counter::DroppedLogLines, logging::dropped_lines());
+        counters.set(Counter::PoolViolations, context.io.buffers.violations);
+        counters.set(Counter::BufferShortages, context.io.buffer_shortages);
+        counters.set(Counter::StreamsOpened, context.io.streams_opened);
+        if let Some(leases) = &self.leases {
+            tracing::info!("counts: {}", leases.counts(context.io.now()));
+        }
+        tracing::info!(
+            "counts: {} open={} lent={} owed={}",
+            context.counters,
+            context.io.descriptors.in_use,
+            context.io.buffers.in_use,
+            self.dispatcher.requests.unanswered_count()
+        );
+    }
+
+    /// Closes the exporter. Its last lines say what was recorded and what became of it.
+    pub(super) fn close_exporter(&mut self) {
+        let now = self.context.now();
+        let Some(mut exporter) = self.exporter.take() else {
+            return;
+        };
+        let names = &self.dispatcher.names;
+        tracing::info!("flows: tally {}", exporter.observed_totals_json(names));
+        let summary = exporter.close(now, names);
+        let recorded = summary.observed;
+        for collector in summary.collectors {
+            tracing::info!(
+                "flows: to {}: recorded {recorded:?} dropped {:?} in-doubt {} messages {} records {}",
+                collector.name,
+                collector.dropped.counts,
+                collector.in_doubt,
+                collector.sent_messages,
+                collector.encoded_records
+            );
+        }
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/runtime/startup.rs
@@ -0,0 +1,252 @@
+//! Startup: the parts are opened in an order in which a failure leaves nothing running, the listener last.
+
+use std::path::{Path, PathBuf};
+
+use calloop::signals::{Event as SignalEvent, Signal, Signals};
+use calloop::EventLoop;
+use harrierdock_config::Names;
+use harrierdock_event_loop::{BufferPool, DescriptorBudget, IoContext};
+use harrierdock_flow_export::{ExporterSetup, FlowExporter};
+use harrierdock_types::{Parameters, TimeDelta};
+
+use crate::config::extensions::With;
+use crate::config::gateway::Told;
+use crate::control_plane::discovery::Discovery;
+use crate::control_plane::rollout_platform::RolloutPlatform;
+use crate::dispatch::dispatcher::Dispatcher;
+use crate::downstream::{Downstream, DownstreamSettings, MIN_IDLE_TIME};
+use crate::gossip::GossipSocket;
+use crate::multi_site::control_socket::ControlSocket;
+use crate::multi_site::forwarding::Forwarding;
+use crate::rollout::commands::CommandTimes;
+use crate::runtime::context::Context;
+use crate::runtime::gateway::Gateway;
+use crate::runtime::reporting::REPORT_INTERVAL;
+use crate::runtime::shutdown::ShutdownState;
+use crate::runtime::socket_handlers::{handle_control_connection, handle_gossip, SocketHandlers};
+use crate::runtime::timer::Timer;
+use crate::upstream::Upstream;
+
+/// The longest request timeout that a shutdown waits for.
+const MAX_SHUTDOWN_WAIT: TimeDelta = TimeDelta(3_000_000);
+/// The shortest interval of periodic work, whatever is configured.
+const MIN_INTERVAL: TimeDelta = TimeDelta(1_000);
+/// Descriptors that are set aside: standard streams (3), the loop's own (3), signals, listener, peers, discovery, the stream
+/// of the rollout platform, as many again for those being replaced, and votes.
+const RESERVED_DESCRIPTORS: usize = 24;
+
+impl Gateway {
+    /// Opens every part and applies the state that the configuration gives.
+    ///
+    /// # Errors
+    ///
+    /// The settings do not fit, or a socket cannot be opened.
+    pub(super) fn start(
+        config: &Told,
+        extension_path: Option<PathBuf>,
+        event_loop: &EventLoop<'static, Gateway>,
+    ) -> Result<Gateway, String> {
+        let extension = With::read(extension_path.as_deref())?;
+        config.check_with(extension_path.as_deref(), &extension)?;
+        let (parameters, names) = config.terms()?;
+        let mut context = new_context(config, &extension, event_loop);
+        let limits = &parameters.limits;
+        let maintenance_interval = limits
+            .connect_timeout
+            .clamp(MIN_INTERVAL, MIN_IDLE_TIME / 4.0);
+        let downstream = bind_downstream(config, &parameters, &names, maintenance_interval)?;
+        let gossip = GossipSocket::open(
+            &context.handle,
+            config,
+            parameters.local_peer,
+            handle_gossip,
+        )
+        .map_err(|e| format!("cannot hear peers: {e}"))?;
+        let forwarding = Forwarding::open(&context, config, &extension)?;
+        let control_socket = open_control_socket(&context, &extension)?;
+        let vote_timeout = parameters.rollout.vote_timeout;
+        let rollout_platform = config
+            .rollouts
+            .as_ref()
+            .map(|r| RolloutPlatform::new(r.address, vote_timeout, maintenance_interval));
+        let discovery = Discovery::new(
+            context.now(),
+            config.discovery,
+            maintenance_interval,
+            &parameters,
+            config.seed(),
+        );
+        let signals = block_signals()?;
+        // The exporter starts a helper thread, which inherits the blocked signals. Started before, it would leave them to end
+        // the program at once.
+        let exporter = open_exporter(&context, config, &extension, &parameters)?;
+        watch_signals(event_loop, signals)?;
+        context.set_timer_after(TimeDelta::ZERO, Timer::Maintenance);
+        context.set_timer_after(REPORT_INTERVAL, Timer::Report);
+        let command_times =
+            command_times(&parameters, &extension, vote_timeout, maintenance_interval);
+        let mut gateway = Gateway {
+            context,
+            downstream,
+            upstream: Upstream::new(limits.connect_timeout, limits.idle_timeout),
+            discovery,
+            rollout_platform,
+            gossip,
+            forwarding,
+            control_socket,
+            exporter,
+            leases: None,
+            rollout_commands: None,
+            shutdown: new_shutdown_state(&parameters),
+            extension_path,
+            config_path: config.path.clone(),
+            vote_timeout,
+            maintenance_interval,
+            dispatcher: Dispatcher::new(parameters, names, config.seed()),
+        };
+        gateway.apply_initial_state(config, &extension, &command_times)?;
+        Ok(gateway)
+    }
+
+    /// Applies what the configuration says of endpoints and rollouts, starts the leases, and begins to accept connections.
+    fn apply_initial_state(
+        &mut self,
+        config: &Told,
+        extension: &With,
+        command_times: &CommandTimes,
+    ) -> Result<(), String> {
+        self.discovery.apply_cached(
+            &mut self.context,
+            &mut self.dispatcher.names,
+            &mut self.upstream,
+            &config.known,
+        );
+        let update = config.rollouts.as_ref().and_then(|r| r.news);
+        if let (Some(platform), Some(update)) = (&mut self.rollout_platform, update) {
+            platform.apply_update(&mut self.context, update, false);
+        }
+        let now = self.context.now();
+        self.handle_multi_site_event(now, harrierdock_multi_site::Event::TimerFired);
+        self.start_leases(config, extension, command_times)?;
+        self.process_events();
+        self.update_readiness();
+        self.downstream.start_accepting(&self.context)
+    }
+}
+
+fn new_context(
+    config: &Told,
+    extension: &With,
+    event_loop: &EventLoop<'static, Gateway>,
+) -> Context {
+    let pool = BufferPool::new(config.limits.memory_mb);
+    let reserved = RESERVED_DESCRIPTORS + extension.descriptors();
+    let descriptors = DescriptorBudget::new(config.limits.sockets, reserved);
+    let io = IoContext::new(event_loop.handle(), pool, descriptors);
+    Context::new(io, SocketHandlers::of_gateway())
+}
+
+fn bind_downstream(
+    config: &Told,
+    parameters: &Parameters,
+    names: &Names,
+    stall_timeout: TimeDelta,
+) -> Result<Downstream, String> {
+    let settings = DownstreamSettings {
+        address: config.listen,
+        classes: names.classes.clone(),
+        idle_timeout: parameters.limits.idle_timeout,
+        stall_timeout,
+        descriptor_limit: config.limits.sockets,
+    };
+    Downstream::bind(settings).map_err(|e| format!("cannot listen on {}: {e}", config.listen))
+}
+
+fn open_control_socket(
+    context: &Context,
+    extension: &With,
+) -> Result<Option<ControlSocket>, String> {
+    let path: Option<&Path> = extension.sites.as_ref().and_then(|s| s.control.as_deref());
+    path.map(|path| {
+        ControlSocket::open(
+            &context.handle,
+            extension.path(path),
+            handle_control_connection,
+        )
+    })
+    .transpose()
+}
+
+fn open_exporter(
+    context: &Context,
+    config: &Told,
+    extension: &With,
+    parameters: &Parameters,
+) -> Result<Option<Box<FlowExporter>>, String> {
+    let Some(settings) = &extension.flows else {
+        return Ok(None);
+    };
+    let latency_objectives = parameters
+        .classes
+        .iter()
+        .map(|class| class.latency_objective)
+        .collect();
+    let setup = ExporterSetup {
+        settings,
+        folder: extension.folder(),
+        latency_objectives,
+        seed: config.seed(),
+    };
+    let exporter = FlowExporter::open(context.now(), setup).map_err(|e| e.to_string())?;
+    Ok(Some(Box::new(exporter)))
+}
+
+/// Blocks the signals that the event loop handles. A thread that starts later inherits the block.
+fn block_signals() -> Result<Signals, String> {
+    Signals::new(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP])
+        .map_err(|e| format!("no signals: {e}"))
+}
+
+fn watch_signals(event_loop: &EventLoop<'static, Gateway>, signals: Signals) -> Result<(), String> {
+    let handle_signal = |event: SignalEvent, _: &mut (), gateway: &mut Gateway| match event.signal()
+    {
+        Signal::SIGHUP => gateway.reload(),
+        _ => gateway.shut_down(),
+    };
+    event_loop
+        .handle()
+        .insert_source(signals, handle_signal)
+        .map(|_| ())
+        .map_err(|e| format!("no signals: {e}"))
+}
+
+fn command_times(
+    parameters: &Parameters,
+    extension: &With,
+    vote_timeout: TimeDelta,
+    maintenance_interval: TimeDelta,
+) -> CommandTimes {
+    let heartbeat = extension
+        .fleet
+        .as_ref()
+        .map_or(maintenance_interval, |fleet| {
+            TimeDelta::from_millis(i64::from(fleet.heartbeat_ms))
+        });
+    CommandTimes {
+        vote_ttl: parameters.rollout.vote_ttl,
+        timeout: vote_timeout.max(maintenance_interval),
+        heartbeat,
+    }
+}
+
+fn new_shutdown_state(parameters: &Parameters) -> ShutdownState {
+    let longest_timeout = parameters.classes.iter().map(|class| class.timeout).max();
+    ShutdownState {
+        started_at: None,
+        is_complete: false,
+        max_request_time: longest_timeout
+            .unwrap_or(MAX_SHUTDOWN_WAIT)
+            .min(MAX_SHUTDOWN_WAIT),
+        check_interval: parameters.tick.max(MIN_INTERVAL),
+    }
+}
--- a/crates/gateway/src/runtime/timer.rs
+++ b/crates/gateway/src/runtime/timer.rs
@@ -1,32 +1,33 @@
-//! The kinds of what falls due in a gateway.
+//! The kinds of timers in a gateway.
 
 use harrierdock_event_loop::ConnectionId;
 use harrierdock_types::RequestId;
 
+/// What a timer is for. Timers with one deadline fire in this order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Due {
-    /// The module asked to be woken.
-    Wake,
-    /// A attempt has waited for its connection or its answer for as long as it may.
-    Submission(ConnectionId),
-    /// A vote has waited for its answer for as long as it may.
+pub enum Timer {
+    /// The policy asked for it.
+    Policy,
+    /// An attempt has waited for its connection or its response for as long as it may.
+    Attempt(ConnectionId),
+    /// A vote has waited for its response for as long as it may.
     Vote(ConnectionId),
-    /// A request must have been answered by now.
-    Txn(RequestId),
-    /// The link to the other site has something due.
-    Link,
-    /// What goes between the sites is looked after.
-    Sites,
-    /// What the fleet shares is looked after.
-    Fleet,
-    /// The steward's ballots and waves are looked after.
-    Steward,
-    /// A call of the installation has waited for its answer for as long as it may.
-    Call(ConnectionId),
-    /// Connections, streams and descriptors are looked after.
-    Tend,
+    /// A request must have been answered.
+    RequestDeadline(RequestId),
+    /// The transport to the other site asked for it.
+    SiteTransport,
+    /// Cross-site forwarding asked for it.
+    MultiSite,
+    /// The leases asked for it.
+    Lease,
+    /// The rollout controller asked for it.
+    RolloutController,
+    /// A rollout command has waited for its response for as long as it may.
+    RolloutCommand(ConnectionId),
+    /// Idle connections, streams and descriptors are checked.
+    Maintenance,
     /// The counters are logged.
     Report,
-    /// Told to end, the gateway looks whether it can.
+    /// A gateway that shuts down checks whether it can end.
     Shutdown,
 }
--- a/crates/gateway/src/upstream/pool.rs
+++ b/crates/gateway/src/upstream/pool.rs
@@ -1,126 +1,161 @@
-//! The connection pool: what runs where, and the connections kept to it between attempts.
+//! The connection pool: which instance runs at each endpoint, and the idle connections to it.
+
+use std::net::SocketAddr;
 
 use harrierdock_attempt_guard::IdleState;
 use harrierdock_event_loop::ConnectionId;
-use harrierdock_types::EndpointId;
-use harrierdock_types::Timestamp;
+use harrierdock_types::{BuildId, EndpointId, Timestamp};
+
+use super::{Exchange, Phase, PooledConnection, Upstream};
+use crate::metrics::Counter;
+use crate::runtime::context::Context;
+use crate::runtime::timer::Timer;
 
-use super::{Exchange, Machine, Phase, PooledConnection, Upstream};
-use crate::metrics::Count;
-use crate::runtime::context::Room;
-use crate::runtime::timer::Due;
+/// What runs at an endpoint. Another start, build or address is another instance, which has connections of its own.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub struct EndpointInstance {
+    /// Where it listens.
+    pub address: SocketAddr,
+    /// When it started, in Unix milliseconds, as discovery says.
+    pub started_at_ms: i64,
+    /// Its build.
+    pub build: BuildId,
+}
 
-pub struct Place {
-    pub machine: Machine,
-    /// Connections kept, the last used at the end.
-    pub kept: Vec<ConnectionId>,
+/// An endpoint that runs.
+pub(super) struct EndpointConnections {
+    /// What runs there.
+    pub(super) instance: EndpointInstance,
+    /// The idle connections, the last used at the end.
+    pub(super) idle: Vec<ConnectionId>,
 }
 
 impl Upstream {
-    /// Discovery's word on what runs at a place, if anything does.
-    pub fn place(&mut self, room: &mut Room, endpoint: EndpointId, machine: Option<Machine>) {
-        if self.places.get(&endpoint).map(|p| p.machine) == machine {
+    /// Notes what runs at an endpoint, if anything does. Idle connections to what ran there before are closed.
+    pub fn set_instance(
+        &mut self,
+        context: &mut Context,
+        endpoint: EndpointId,
+        instance: Option<EndpointInstance>,
+    ) {
+        if self.endpoints.get(&endpoint).map(|e| e.instance) == instance {
             return;
         }
-        let before = match machine {
-            Some(machine) => self.places.insert(
-                endpoint,
-                Place {
-                    machine,
-                    kept: Vec::new(),
-                },
-            ),
-            None => self.places.remove(&endpoint),
+        let replaced = match instance {
+            Some(instance) => {
+                let connections = EndpointConnections {
+                    instance,
+                    idle: Vec::new(),
+                };
+                self.endpoints.insert(endpoint, connections)
+            }
+            None => self.endpoints.remove(&endpoint),
         };
-        for no in before.into_iter().flat_map(|p| p.kept) {
-            self.close(room, no);
+        for id in replaced.into_iter().flat_map(|endpoint| endpoint.idle) {
+            self.close(context, id);
         }
     }
 
-    /// Whether a connection to the endpoint is kept that may be used.
-    pub fn keeps(&self, now: Timestamp, endpoint: EndpointId) -> bool {
-        self.places
+    /// Whether an idle connection to the endpoint may be used.
+    pub fn has_idle_connection(&self, now: Timestamp, endpoint: EndpointId) -> bool {
+        self.endpoints
             .get(&endpoint)
-            .is_some_and(|p| p.kept.iter().any(|no| !self.rests(now, *no)))
+            .is_some_and(|endpoint| endpoint.idle.iter().any(|id| !self.is_resting(now, *id)))
     }
 
-    fn rests(&self, now: Timestamp, no: ConnectionId) -> bool {
+    /// Whether the connection is idle for so short a time that the endpoint may not expect a request on it.
+    fn is_resting(&self, now: Timestamp, id: ConnectionId) -> bool {
         self.connections
-            .get(&no)
-            .is_some_and(|l| self.pool.state(l.since, now) == IdleState::Resting)
+            .get(&id)
+            .is_some_and(|pooled| self.reuse_policy.state(pooled.since, now) == IdleState::Resting)
     }
 
-    /// Takes the connection last used out of those kept to a endpoint, of those that do not rest.
-    fn take_kept(&mut self, now: Timestamp, endpoint: EndpointId) -> Option<ConnectionId> {
-        let at = self
-            .places
+    /// Takes the connection that was used last out of the pool, of those that may be used.
+    fn take_idle(&mut self, now: Timestamp, endpoint: EndpointId) -> Option<ConnectionId> {
+        let index = self
+            .endpoints
             .get(&endpoint)?
-            .kept
+            .idle
             .iter()
-            .rposition(|no| !self.rests(now, *no))?;
-        Some(self.places.get_mut(&endpoint)?.kept.remove(at))
+            .rposition(|id| !self.is_resting(now, *id))?;
+        Some(self.endpoints.get_mut(&endpoint)?.idle.remove(index))
     }
 
-    /// A kept connection that still stands, with this exchange on it.
+    /// Puts an exchange on an idle connection. `None` if there is none that is still open.
     pub(super) fn reuse(
         &mut self,
-        room: &mut Room,
+        context: &mut Context,
         endpoint: EndpointId,
         exchange: Exchange,
     ) -> Option<ConnectionId> {
-        // Guards against a kept connection that the endpoint has closed, or is about to close.
-        while let Some(no) = self.take_kept(room.now(), endpoint) {
-            let Some(pooled) = self.connections.get_mut(&no) else {
+        while let Some(id) = self.take_idle(context.now(), endpoint) {
+            let Some(pooled) = self.connections.get_mut(&id) else {
                 continue;
             };
-            let old = self.pool.state(pooled.since, room.now()) == IdleState::Expired;
-            if old || !pooled.connection.is_open_and_quiet() {
-                room.counters.add(Count::KeptWasClosed);
-                self.close(room, no);
+            // The endpoint may have closed the connection, or be about to.
+            let is_expired =
+                self.reuse_policy.state(pooled.since, context.now()) == IdleState::Expired;
+            if is_expired || !pooled.connection.is_open_and_quiet() {
+                context.counters.add(Counter::IdleConnectionsClosed);
+                self.close(context, id);
                 continue;
             }
-            room.counters.add(Count::Reused);
-            (pooled.phase, pooled.since) = (Phase::Writing, room.now());
+            context.counters.add(Counter::ConnectionsReused);
+            pooled.phase = Phase::Writing;
+            pooled.since = context.now();
             pooled.exchange = Some(exchange);
-            room.dues.set(exchange.due, Due::Submission(no));
-            return Some(no);
+            context
+                .timers
+                .set(exchange.timer_deadline, Timer::Attempt(id));
+            return Some(id);
         }
         None
     }
 
-    /// Closes what was kept for too long.
-    pub fn tend(&mut self, room: &mut Room) {
-        let now = room.now();
-        let old = |l: &PooledConnection| {
-            l.phase == Phase::Idle && self.pool.state(l.since, now) == IdleState::Expired
+    /// Closes connections that have been idle for too long.
+    pub fn close_expired(&mut self, context: &mut Context) {
+        let now = context.now();
+        let is_expired = |pooled: &PooledConnection| {
+            pooled.phase == Phase::Idle
+                && self.reuse_policy.state(pooled.since, now) == IdleState::Expired
         };
-        let old: Vec<ConnectionId> = self
+        let expired: Vec<ConnectionId> = self
             .connections
             .iter()
-            .filter(|(_, l)| old(l))
-            .map(|(no, _)| *no)
+            .filter(|(_, pooled)| is_expired(pooled))
+            .map(|(id, _)| *id)
             .collect();
-        old.into_iter().for_each(|no| self.close_kept(room, no));
+        for id in expired {
+            self.close_idle(context, id);
+        }
     }
 
-    pub(super) fn close_kept(&mut self, room: &mut Room, no: ConnectionId) {
-        if let Some(place) = self
+    /// Closes an idle connection and takes it out of the pool.
+    pub(super) fn close_idle(&mut self, context: &mut Context, id: ConnectionId) {
+        let endpoint = self
             .connections
-            .get(&no)
-            .and_then(|l| self.places.get_mut(&l.endpoint))
-        {
-            place.kept.retain(|kept| *kept != no);
+            .get(&id)
+            .and_then(|pooled| self.endpoints.get_mut(&pooled.endpoint));
+        if let Some(endpoint) = endpoint {
+            endpoint.idle.retain(|idle| *idle != id);
         }
-        self.close(room, no);
+        self.close(context, id);
     }
 
-    /// Closes the connection that was kept unused longest. Gives back whether there was one.
-    pub fn close_idle(&mut self, room: &mut Room) -> bool {
-        let idle = self
+    /// Closes the connection that has been idle for longest. Returns whether there was one.
+    pub fn close_longest_idle(&mut self, context: &mut Context) -> bool {
+        let longest_idle = self
             .connections
             .iter()
-            .filter(|(_, l)| l.phase == Phase::Idle);
-        let oldest = idle.min_by_key(|(_, l)| l.since).map(|(no, _)| *no);
-        oldest.inspect(|no| self.close_kept(room, *no)).is_some()
+            .filter(|(_, pooled)| pooled.phase == Phase::Idle)
+            .min_by_key(|(_, pooled)| pooled.since)
+            .map(|(id, _)| *id);
+        match longest_idle {
+            Some(id) => {
+                self.close_idle(context, id);
+                true
+            }
+            None => false,
+        }
     }
 }
