--- a/crates/gateway/tests/sockets/main.rs
+++ b/crates/gateway/tests/sockets/main.rs
@@ -6,6 +6,7 @@
 mod crossings;
 mod discovery;
 mod ending;
+mod golden;
 mod keys;
 mod limits;
 mod support;
