--- a/crates/gateway/src/lease/handlers.rs
+++ b/crates/gateway/src/lease/handlers.rs
@@ -3,7 +3,7 @@
 use calloop::Readiness;
 use harrierdock_event_loop::ConnectionId;
 use harrierdock_lease::{Event, LeaseName};
-use harrierdock_rollout_controller::{self as ballots, Action, Answer, Event as StewardEvent};
+use harrierdock_rollout_controller::{self as ballots, Action, CallOutcome, Event as StewardEvent};
 use harrierdock_types::{
     BuildId, Event as ModuleEvent, PeerId, PlatformStatus, RolloutDecision, RolloutPhase,
     RolloutUpdate,
@@ -59,11 +59,11 @@
                     duty: LeaseName::RolloutController,
                     epoch,
                 } => {
-                    self.steward(StewardEvent::Holds { epoch: epoch.0 });
+                    self.steward(StewardEvent::LeaseAcquired { epoch: epoch.0 });
                 }
                 Asked::Ended {
                     duty: LeaseName::RolloutController,
-                } => self.steward(StewardEvent::Lost),
+                } => self.steward(StewardEvent::LeaseLost),
                 Asked::Holds { .. } | Asked::Ended { .. } => {}
                 Asked::WakeAt(at) => {
                     let dues = &mut self.room.dues;
@@ -90,11 +90,14 @@
         self.duties
             .iter()
             .for_each(|duties| duties.reform(&mut bytes));
-        if bytes.first() == Some(&ballots::FIRST) && self.stewarding.is_some() {
-            match ballots::read(&bytes) {
+        if bytes.first() == Some(&ballots::FIRST_BYTE) && self.stewarding.is_some() {
+            match ballots::decode(&bytes) {
                 Ok(told) => {
                     self.room.counters.add(Count::MailHeard);
-                    self.steward(StewardEvent::Heard { from, told });
+                    self.steward(StewardEvent::VoteReceived {
+                        from,
+                        message: told,
+                    });
                 }
                 Err(e) => {
                     self.room.counters.add(Count::MailRefused);
@@ -123,7 +126,7 @@
             return false;
         }
         self.room.counters.add(Count::Votes);
-        self.steward(StewardEvent::Cast(controller::ballot(
+        self.steward(StewardEvent::VoteChanged(controller::ballot(
             build, stage, verdict,
         )));
         // To the module the vote stands: it renews it as it would at the platform.
@@ -153,17 +156,20 @@
         let actions = self.stewarding.as_mut().map(|s| s.take(now, event));
         for action in actions.unwrap_or_default() {
             match action {
-                Action::Tell(told) => {
+                Action::SendVote(told) => {
                     let electors = self.duties.as_ref().map(|d| d.electors());
-                    let bytes = ballots::write(&told);
+                    let bytes = ballots::encode(&told);
                     electors
                         .into_iter()
                         .flatten()
                         .for_each(|to| self.send_to(to, bytes.to_vec()));
                 }
-                Action::Call { ballot, again } => self.call(ballot, again),
-                Action::Said(_) => {}
-                Action::Wake { after } => self.wake_steward(now + after),
+                Action::Call {
+                    vote: ballot,
+                    is_retry: again,
+                } => self.call(ballot, again),
+                Action::Notify(_) => {}
+                Action::SetTimer { after } => self.wake_steward(now + after),
             }
         }
     }
@@ -185,10 +191,10 @@
         if let Some(stewarding) = &mut self.stewarding {
             stewarding.due = None;
         }
-        self.steward(StewardEvent::Wake);
+        self.steward(StewardEvent::TimerFired);
     }
 
-    fn call(&mut self, ballot: ballots::Ballot, again: bool) {
+    fn call(&mut self, ballot: ballots::Vote, again: bool) {
         let Some(stewarding) = &mut self.stewarding else {
             return;
         };
@@ -199,9 +205,9 @@
         };
         match stewarding.begin(&mut self.room.net, (ballot, again), no, ready) {
             Some(due) => self.room.dues.set(due, Due::Call(no)),
-            None => self.steward(StewardEvent::Answered {
-                ballot,
-                answer: Answer::NotWritten,
+            None => self.steward(StewardEvent::CallFinished {
+                vote: ballot,
+                outcome: CallOutcome::NotSent,
             }),
         }
     }
@@ -244,7 +250,10 @@
             return;
         };
         self.room.dues.cancel(due, Due::Call(no));
-        self.steward(StewardEvent::Answered { ballot, answer });
+        self.steward(StewardEvent::CallFinished {
+            vote: ballot,
+            outcome: answer,
+        });
         if let Some(newest) = newest {
             self.fleet(Event::EpochRejected {
                 lease: LeaseName::RolloutController,
--- a/crates/gateway/src/rollout/controller.rs
+++ b/crates/gateway/src/rollout/controller.rs
@@ -7,7 +7,8 @@
 use harrierdock_event_loop::{ConnectionId, ExchangeEvent, IoContext, RequestExchange};
 use harrierdock_lease::Epoch;
 use harrierdock_rollout_controller::{
-    Action, Answer, Ballot, Event, Said, Standing, Steward, Terms, Wave, Way,
+    Action, CallOutcome, Decision, Event, Notice, RolloutController, RolloutControllerParameters,
+    RolloutStage, StagePhase, Vote,
 };
 use harrierdock_types::{BuildId, PeerId, RolloutPhase};
 use harrierdock_types::{PlatformStatus, RolloutDecision, RolloutUpdate};
@@ -31,7 +32,7 @@
 /// A call under way.
 struct Out {
     no: ConnectionId,
-    ballot: Ballot,
+    ballot: Vote,
     again: bool,
     errand: RequestExchange,
     epoch: Option<Epoch>,
@@ -40,8 +41,8 @@
 
 /// What became of a call.
 pub struct Ended {
-    pub ballot: Ballot,
-    pub answer: Answer,
+    pub ballot: Vote,
+    pub answer: CallOutcome,
     /// The installation knows this later epoch.
     pub newest: Option<Epoch>,
     pub no: ConnectionId,
@@ -49,7 +50,7 @@
 }
 
 pub struct Stewarding {
-    steward: Steward,
+    steward: RolloutController,
     installation: SocketAddr,
     name: String,
     incarnation: u64,
@@ -60,46 +61,46 @@
     pub due: Option<Timestamp>,
 }
 
-fn plain(ballot: Ballot) -> String {
-    let Ballot {
-        wave: Wave { build, stage },
-        way,
+fn plain(ballot: Vote) -> String {
+    let Vote {
+        stage: RolloutStage { build, stage },
+        decision,
     } = ballot;
-    format!("build {build} stage {stage} {}", word(way))
+    format!("build {build} stage {stage} {}", word(decision))
 }
 
-fn word(way: Way) -> &'static str {
-    match way {
-        Way::On => "on",
-        Way::Back => "back",
+fn word(decision: Decision) -> &'static str {
+    match decision {
+        Decision::Promote => "on",
+        Decision::RollBack => "back",
     }
 }
 
 /// What a module's vote is to the steward: a hold, or a vote taken away, moves nothing.
-pub fn ballot(build: BuildId, stage: usize, verdict: RolloutDecision) -> Option<Ballot> {
-    let way = match verdict {
-        RolloutDecision::Promote => Way::On,
-        RolloutDecision::RollBack => Way::Back,
+pub fn ballot(build: BuildId, stage: usize, verdict: RolloutDecision) -> Option<Vote> {
+    let decision = match verdict {
+        RolloutDecision::Promote => Decision::Promote,
+        RolloutDecision::RollBack => Decision::RollBack,
         RolloutDecision::Hold | RolloutDecision::Withdraw => return None,
     };
-    Some(Ballot {
-        wave: Wave { build, stage },
-        way,
+    Some(Vote {
+        stage: RolloutStage { build, stage },
+        decision,
     })
 }
 
 /// How the wave stands by the platform's news.
 pub fn stage(news: &RolloutUpdate) -> Option<Event> {
-    let standing = match news.phase {
-        RolloutPhase::Canary => Standing::Trial,
-        RolloutPhase::Released => Standing::Released,
-        RolloutPhase::RollingBack | RolloutPhase::RolledBack => Standing::Over,
+    let phase = match news.phase {
+        RolloutPhase::Canary => StagePhase::Canary,
+        RolloutPhase::Released => StagePhase::Released,
+        RolloutPhase::RollingBack | RolloutPhase::RolledBack => StagePhase::Over,
     };
-    let wave = Wave {
+    let stage = RolloutStage {
         build: news.build,
         stage: news.stage,
     };
-    (news.status == PlatformStatus::Valid).then_some(Event::Stage { wave, standing })
+    (news.status == PlatformStatus::Valid).then_some(Event::StageUpdated { stage, phase })
 }
 
 /// Spans that the steward goes by, beside what is told.
@@ -118,20 +119,20 @@
         spans: &Spans,
     ) -> Stewarding {
         let incarnation = (now.0 / 1000) as u64;
-        let terms = Terms {
+        let parameters = RolloutControllerParameters {
             own: PeerId(own),
-            gateways,
-            on_votes: told.on_votes,
-            back_votes: told.back_votes,
-            bound: TimeDelta(i64::from(told.bound_ms) * 1000),
-            vote_life: spans.vote_ttl,
+            gateway_count: gateways,
+            promote_votes_ratio: told.on_votes,
+            roll_back_votes_ratio: told.back_votes,
+            decision_timeout: TimeDelta(i64::from(told.bound_ms) * 1000),
+            vote_ttl: spans.vote_ttl,
             // As often as leases are renewed: a lost ballot costs no more than a lost renewal.
-            retell: spans.heartbeat,
-            retry: spans.call_wait / 2.0,
+            resend_interval: spans.heartbeat,
+            retry_delay: spans.call_wait / 2.0,
             incarnation,
         };
         Stewarding {
-            steward: Steward::new(now, terms),
+            steward: RolloutController::new(now, parameters),
             installation: told.installation,
             name: name.into(),
             incarnation,
@@ -143,9 +144,9 @@
 
     /// Tells `crates/rollout-controller`, says what is worth a line, and gives back the rest.
     pub fn take(&mut self, now: Timestamp, event: Event) -> Vec<Action> {
-        let actions = self.steward.take(now, event);
+        let actions = self.steward.handle(now, event);
         let said = |action: &Action| match action {
-            Action::Said(said) => {
+            Action::Notify(said) => {
                 self.say(*said);
                 false
             }
@@ -154,26 +155,32 @@
         actions.into_iter().filter(said).collect()
     }
 
-    fn say(&self, said: Said) {
+    fn say(&self, said: Notice) {
         match said {
-            Said::Done { ballot, votes } => {
+            Notice::Done {
+                vote: ballot,
+                votes,
+            } => {
                 tracing::info!(
                     "fleet: steward: {} is done, on {votes} votes",
                     plain(ballot)
                 );
             }
-            Said::Barred { ballot, epoch } => {
+            Notice::EpochRejected {
+                vote: ballot,
+                epoch,
+            } => {
                 tracing::warn!(
                     "fleet: steward: {} refused, epoch {epoch} is over",
                     plain(ballot)
                 );
             }
-            Said::Overdue {
-                wave,
-                on,
-                back,
-                needs,
-                holds,
+            Notice::Overdue {
+                stage: wave,
+                promote_votes: on,
+                roll_back_votes: back,
+                needed_votes: needs,
+                holds_lease: holds,
             } => {
                 let holder = if holds {
                     "this gateway is steward"
@@ -194,7 +201,7 @@
     pub fn begin<D>(
         &mut self,
         net: &mut IoContext<D>,
-        (ballot, again): (Ballot, bool),
+        (ballot, again): (Vote, bool),
         no: ConnectionId,
         on_ready: impl Fn(&mut D, Readiness) + 'static,
     ) -> Option<Timestamp> {
@@ -228,16 +235,19 @@
                         "fleet: steward: {} is left: not steward any more",
                         plain(out.ballot)
                     );
-                    return self.end(net, Answer::NotWritten, None);
+                    return self.end(net, CallOutcome::NotSent, None);
                 };
-                let Ballot { wave, way } = out.ballot;
-                let body = json!({"image": wave.build.0, "ring": wave.stage, "way": word(way), "epoch": epoch.0,
+                let Vote {
+                    stage: wave,
+                    decision,
+                } = out.ballot;
+                let body = json!({"image": wave.build.0, "ring": wave.stage, "way": word(decision), "epoch": epoch.0,
                     "gateway": self.name, "start": self.incarnation, "again": out.again});
                 out.epoch = Some(epoch);
                 if out.errand.post(net, PATH, body.to_string().as_bytes()) {
                     return None;
                 }
-                (Answer::Unknown, None)
+                (CallOutcome::Unknown, None)
             }
             ExchangeEvent::Responded { status, body } => {
                 let held = serde_json::from_slice::<Held>(&body).ok();
@@ -246,13 +256,13 @@
                     .map(|h| Epoch(h.epoch))
                     .filter(|e| Some(*e) > out.epoch);
                 match (status, held) {
-                    (200, _) => (Answer::Done, None),
-                    (409, _) if newest.is_some() => (Answer::Older, newest),
-                    (409, Some(Held { done: true, .. })) => (Answer::Done, None),
-                    _ => (Answer::Unknown, None),
+                    (200, _) => (CallOutcome::Done, None),
+                    (409, _) if newest.is_some() => (CallOutcome::StaleEpoch, newest),
+                    (409, Some(Held { done: true, .. })) => (CallOutcome::Done, None),
+                    _ => (CallOutcome::Unknown, None),
                 }
             }
-            ExchangeEvent::Failed => (Answer::Unknown, None),
+            ExchangeEvent::Failed => (CallOutcome::Unknown, None),
         };
         self.end(net, answer, newest)
     }
@@ -260,13 +270,13 @@
     /// It has not had its answer in its time.
     pub fn give_up<D>(&mut self, net: &mut IoContext<D>, no: ConnectionId) -> Option<Ended> {
         self.out.as_ref().filter(|o| o.no == no)?;
-        self.end(net, Answer::Unknown, None)
+        self.end(net, CallOutcome::Unknown, None)
     }
 
     fn end<D>(
         &mut self,
         net: &mut IoContext<D>,
-        answer: Answer,
+        answer: CallOutcome,
         newest: Option<Epoch>,
     ) -> Option<Ended> {
         let Out {
@@ -279,8 +289,8 @@
         } = self.out.take()?;
         errand.close(net);
         // What never went out was not done, for certain.
-        let answer = if answer == Answer::Unknown && epoch.is_none() {
-            Answer::NotWritten
+        let answer = if answer == CallOutcome::Unknown && epoch.is_none() {
+            CallOutcome::NotSent
         } else {
             answer
         };
