--- a/crates/fault-injection/src/fleet/relay.rs
+++ b/crates/fault-injection/src/fleet/relay.rs
@@ -18,7 +18,7 @@
 const DATAGRAM_MOST: usize = 512;
 /// Fleet messages begin with a byte from here on; the module's are text.
 const FLEET_FROM: u8 = 0xF5;
-const BALLOT: u8 = harrierdock_rollout_controller::FIRST;
+const BALLOT: u8 = harrierdock_rollout_controller::FIRST_BYTE;
 /// How long the thread sleeps at the most, so that it sees that it is to end.
 const NAP: Duration = Duration::from_millis(20);
 
--- a/crates/gateway/src/dispatch/leases.rs
+++ b/crates/gateway/src/dispatch/leases.rs
@@ -78,10 +78,10 @@
                 LeaseAction::Acquired {
                     lease: LeaseName::RolloutController,
                     epoch,
-                } => self.handle_rollout_event(RolloutEvent::Holds { epoch: epoch.0 }),
+                } => self.handle_rollout_event(RolloutEvent::LeaseAcquired { epoch: epoch.0 }),
                 LeaseAction::Lost {
                     lease: LeaseName::RolloutController,
-                } => self.handle_rollout_event(RolloutEvent::Lost),
+                } => self.handle_rollout_event(RolloutEvent::LeaseLost),
                 LeaseAction::Acquired { .. } | LeaseAction::Lost { .. } => {}
                 LeaseAction::SetTimer(deadline) => {
                     if let Some(leases) = &mut self.leases {
@@ -108,7 +108,7 @@
         if let Some(leases) = &self.leases {
             leases.convert_version(&mut bytes);
         }
-        let is_rollout_vote = bytes.first() == Some(&rollout_controller::FIRST);
+        let is_rollout_vote = bytes.first() == Some(&rollout_controller::FIRST_BYTE);
         if is_rollout_vote && self.rollout_commands.is_some() {
             return self.handle_rollout_vote(from, &bytes);
         }
--- a/crates/gateway/src/dispatch/rollout.rs
+++ b/crates/gateway/src/dispatch/rollout.rs
@@ -4,7 +4,7 @@
 use calloop::Readiness;
 use harrierdock_event_loop::ConnectionId;
 use harrierdock_lease::{Event as LeaseEvent, LeaseName};
-use harrierdock_rollout_controller::{self as rollout_controller, Action, Answer, Event};
+use harrierdock_rollout_controller::{self as rollout_controller, Action, CallOutcome, Event};
 use harrierdock_types::{
     BuildId, Event as PolicyEvent, PeerId, PlatformStatus, RolloutDecision, RolloutPhase,
     RolloutUpdate, TimeDelta, Timestamp,
@@ -30,7 +30,7 @@
             return false;
         }
         self.context.counters.add(Counter::Votes);
-        self.handle_rollout_event(Event::Cast(votes::vote(build, stage, decision)));
+        self.handle_rollout_event(Event::VoteChanged(votes::vote(build, stage, decision)));
         // The policy takes this as the answer to its vote, and renews the vote as it would at the platform.
         let update = RolloutUpdate {
             build,
@@ -48,10 +48,10 @@
 
     /// Handles a vote of a peer.
     pub(super) fn handle_rollout_vote(&mut self, from: PeerId, bytes: &[u8]) {
-        match rollout_controller::read(bytes) {
-            Ok(told) => {
+        match rollout_controller::decode(bytes) {
+            Ok(message) => {
                 self.context.counters.add(Counter::GossipReceived);
-                self.handle_rollout_event(Event::Heard { from, told });
+                self.handle_rollout_event(Event::VoteReceived { from, message });
             }
             Err(e) => {
                 self.context.counters.add(Counter::GossipRefused);
@@ -78,13 +78,12 @@
         };
         for action in commands.handle(now, event) {
             match action {
-                Action::Tell(told) => self.send_to_electors(&rollout_controller::write(&told)),
-                Action::Call { ballot, again } => self.start_command(Command {
-                    vote: ballot,
-                    is_retry: again,
-                }),
-                Action::Said(_) => {}
-                Action::Wake { after } => self.set_rollout_timer(now + after),
+                Action::SendVote(message) => {
+                    self.send_to_electors(&rollout_controller::encode(&message));
+                }
+                Action::Call { vote, is_retry } => self.start_command(Command { vote, is_retry }),
+                Action::Notify(_) => {}
+                Action::SetTimer { after } => self.set_rollout_timer(now + after),
             }
         }
     }
@@ -110,7 +109,7 @@
         if let Some(commands) = &mut self.rollout_commands {
             commands.timer_deadline = None;
         }
-        self.handle_rollout_event(Event::Wake);
+        self.handle_rollout_event(Event::TimerFired);
     }
 
     fn start_command(&mut self, command: Command) {
@@ -121,7 +120,7 @@
         let handler = self.context.handlers.rollout_command;
         let handle_readiness =
             move |gateway: &mut Gateway, readiness| handler(gateway, connection_id, readiness);
-        let ballot = command.vote;
+        let vote = command.vote;
         let deadline = commands.start(
             &mut self.context.io,
             command,
@@ -133,9 +132,9 @@
                 .context
                 .timers
                 .set(deadline, Timer::RolloutCommand(connection_id)),
-            None => self.handle_rollout_event(Event::Answered {
-                ballot,
-                answer: Answer::NotWritten,
+            None => self.handle_rollout_event(Event::CallFinished {
+                vote,
+                outcome: CallOutcome::NotSent,
             }),
         }
     }
@@ -176,9 +175,9 @@
             finished.deadline,
             Timer::RolloutCommand(finished.connection_id),
         );
-        self.handle_rollout_event(Event::Answered {
-            ballot: finished.vote,
-            answer: finished.answer,
+        self.handle_rollout_event(Event::CallFinished {
+            vote: finished.vote,
+            outcome: finished.outcome,
         });
         if let Some(newest) = finished.later_epoch {
             self.handle_lease_event(LeaseEvent::EpochRejected {
--- a/crates/gateway/src/rollout/commands.rs
+++ b/crates/gateway/src/rollout/commands.rs
@@ -6,7 +6,9 @@
 use calloop::Readiness;
 use harrierdock_event_loop::{ConnectionId, ExchangeEvent, IoContext, RequestExchange};
 use harrierdock_lease::Epoch;
-use harrierdock_rollout_controller::{Action, Answer, Ballot, Event, Steward, Terms};
+use harrierdock_rollout_controller::{
+    Action, CallOutcome, Event, RolloutController, RolloutControllerParameters, Vote,
+};
 use harrierdock_types::{PeerId, TimeDelta, Timestamp};
 
 use super::deployment_messages::{CommandMessage, ResponseMessage, COMMANDS_PATH};
@@ -42,7 +44,7 @@
 #[derive(Clone, Copy)]
 pub struct Command {
     /// What is to be done.
-    pub vote: Ballot,
+    pub vote: Vote,
     /// Whether it was sent before.
     pub is_retry: bool,
 }
@@ -60,9 +62,9 @@
 /// A command that has ended.
 pub struct FinishedCommand {
     /// What was to be done.
-    pub vote: Ballot,
+    pub vote: Vote,
     /// How it ended.
-    pub answer: Answer,
+    pub outcome: CallOutcome,
     /// A later epoch that the deployment controller knows.
     pub later_epoch: Option<Epoch>,
     /// Its connection.
@@ -73,18 +75,18 @@
 
 /// What a response came to.
 struct Outcome {
-    answer: Answer,
+    call: CallOutcome,
     later_epoch: Option<Epoch>,
 }
 
 impl Outcome {
     fn unknown() -> Outcome {
-        Outcome::of(Answer::Unknown)
+        Outcome::of(CallOutcome::Unknown)
     }
 
-    fn of(answer: Answer) -> Outcome {
+    fn of(call: CallOutcome) -> Outcome {
         Outcome {
-            answer,
+            call,
             later_epoch: None,
         }
     }
@@ -98,12 +100,12 @@
             .filter(|seen| Some(*seen) > epoch);
         let is_done = message.is_some_and(|message| message.is_done);
         match status {
-            200 => Outcome::of(Answer::Done),
+            200 => Outcome::of(CallOutcome::Done),
             409 if later_epoch.is_some() => Outcome {
-                answer: Answer::Older,
+                call: CallOutcome::StaleEpoch,
                 later_epoch,
             },
-            409 if is_done => Outcome::of(Answer::Done),
+            409 if is_done => Outcome::of(CallOutcome::Done),
             _ => Outcome::unknown(),
         }
     }
@@ -113,7 +115,7 @@
 pub struct RolloutCommands {
     /// The deadline of the rollout controller's timer.
     pub timer_deadline: Option<Timestamp>,
-    controller: Steward,
+    controller: RolloutController,
     address: SocketAddr,
     gateway_name: String,
     incarnation: u64,
@@ -131,21 +133,21 @@
         // Unix time in milliseconds, because timestamps begin with Unix time.
         let incarnation = (now.0 / 1000) as u64;
         let settings = controller.settings;
-        let terms = Terms {
+        let parameters = RolloutControllerParameters {
             own: controller.local_peer,
-            gateways: controller.gateway_count,
-            on_votes: settings.on_votes,
-            back_votes: settings.back_votes,
-            bound: TimeDelta::from_millis(i64::from(settings.bound_ms)),
-            vote_life: times.vote_ttl,
+            gateway_count: controller.gateway_count,
+            promote_votes_ratio: settings.on_votes,
+            roll_back_votes_ratio: settings.back_votes,
+            decision_timeout: TimeDelta::from_millis(i64::from(settings.bound_ms)),
+            vote_ttl: times.vote_ttl,
             // As often as leases are renewed: a lost vote costs no more than a lost renewal.
-            retell: times.heartbeat,
-            retry: times.timeout / RETRY_DELAY_DIVISOR,
+            resend_interval: times.heartbeat,
+            retry_delay: times.timeout / RETRY_DELAY_DIVISOR,
             incarnation,
         };
         RolloutCommands {
             timer_deadline: None,
-            controller: Steward::new(now, terms),
+            controller: RolloutController::new(now, parameters),
             address: settings.installation,
             gateway_name: controller.name.into(),
             incarnation,
@@ -156,9 +158,9 @@
 
     /// Tells the rollout controller what has happened, logs its reports, and returns its other actions.
     pub fn handle(&mut self, now: Timestamp, event: Event) -> Vec<Action> {
-        let mut actions = self.controller.take(now, event);
+        let mut actions = self.controller.handle(now, event);
         actions.retain(|action| match action {
-            Action::Said(report) => {
+            Action::Notify(report) => {
                 log::report(report);
                 false
             }
@@ -206,7 +208,7 @@
                 Some(_) => Outcome::unknown(),
                 None => {
                     log::command_dropped(vote);
-                    Outcome::of(Answer::NotWritten)
+                    Outcome::of(CallOutcome::NotSent)
                 }
             },
             ExchangeEvent::Responded { status, body } => Outcome::of_response(status, &body, epoch),
@@ -253,13 +255,13 @@
         let pending = self.pending.take()?;
         pending.exchange.close(io);
         // What was never written has certainly not been done.
-        let answer = match outcome.answer {
-            Answer::Unknown if pending.epoch.is_none() => Answer::NotWritten,
-            answer => answer,
+        let call = match outcome.call {
+            CallOutcome::Unknown if pending.epoch.is_none() => CallOutcome::NotSent,
+            call => call,
         };
         Some(FinishedCommand {
             vote: pending.command.vote,
-            answer,
+            outcome: call,
             later_epoch: outcome.later_epoch,
             connection_id: pending.connection_id,
             deadline: pending.deadline,
--- a/crates/gateway/src/rollout/deployment_messages.rs
+++ b/crates/gateway/src/rollout/deployment_messages.rs
@@ -1,7 +1,7 @@
 //! What the deployment controller reads and writes. The names of its JSON forms and its path stand in this file.
 
 use harrierdock_lease::Epoch;
-use harrierdock_rollout_controller::{Ballot, Way};
+use harrierdock_rollout_controller::{Decision, Vote};
 use serde::Deserialize;
 use serde_json::json;
 
@@ -21,7 +21,7 @@
 /// A command as it is written.
 pub(super) struct CommandMessage<'a> {
     /// What is to be done.
-    pub(super) vote: Ballot,
+    pub(super) vote: Vote,
     /// The fencing token.
     pub(super) epoch: Epoch,
     /// This gateway's name.
@@ -35,11 +35,11 @@
 impl CommandMessage<'_> {
     /// The body.
     pub(super) fn body(&self) -> String {
-        let wave = self.vote.wave;
+        let stage = self.vote.stage;
         json!({
-            "image": wave.build.0,
-            "ring": wave.stage,
-            "way": way_name(self.vote.way),
+            "image": stage.build.0,
+            "ring": stage.stage,
+            "way": decision_name(self.vote.decision),
             "epoch": self.epoch.0,
             "gateway": self.gateway,
             "start": self.incarnation,
@@ -49,10 +49,10 @@
     }
 }
 
-/// A direction as commands and log lines say it.
-pub(super) fn way_name(way: Way) -> &'static str {
-    match way {
-        Way::On => "on",
-        Way::Back => "back",
+/// A decision as commands and log lines say it.
+pub(super) fn decision_name(decision: Decision) -> &'static str {
+    match decision {
+        Decision::Promote => "on",
+        Decision::RollBack => "back",
     }
 }
--- a/crates/gateway/src/rollout/log.rs
+++ b/crates/gateway/src/rollout/log.rs
@@ -1,22 +1,20 @@
 //! Log lines on rollout commands and votes.
 
-use harrierdock_rollout_controller::{Ballot, Said};
+use harrierdock_rollout_controller::{Notice, RolloutStage, Vote};
 
-use super::deployment_messages::way_name;
+use super::deployment_messages::decision_name;
 
 /// A command in words.
-pub(super) fn describe(vote: Ballot) -> String {
-    let wave = vote.wave;
+pub(super) fn describe(vote: Vote) -> String {
+    let RolloutStage { build, stage } = vote.stage;
     format!(
-        "build {} stage {} {}",
-        wave.build,
-        wave.stage,
-        way_name(vote.way)
+        "build {build} stage {stage} {}",
+        decision_name(vote.decision)
     )
 }
 
 /// This gateway has lost the lease before a command went out.
-pub(super) fn command_dropped(vote: Ballot) {
+pub(super) fn command_dropped(vote: Vote) {
     tracing::info!(
         "fleet: steward: {} is left: not steward any more",
         describe(vote)
@@ -24,37 +22,35 @@
 }
 
 /// What the rollout controller reports to operators.
-pub(super) fn report(report: &Said) {
+pub(super) fn report(report: &Notice) {
     match *report {
-        Said::Done { ballot, votes } => {
+        Notice::Done { vote, votes } => {
             tracing::info!(
                 "fleet: steward: {} is done, on {votes} votes",
-                describe(ballot)
+                describe(vote)
             );
         }
-        Said::Barred { ballot, epoch } => {
+        Notice::EpochRejected { vote, epoch } => {
             tracing::warn!(
                 "fleet: steward: {} refused, epoch {epoch} is over",
-                describe(ballot)
+                describe(vote)
             );
         }
-        Said::Overdue {
-            wave,
-            on,
-            back,
-            needs,
-            holds,
+        Notice::Overdue {
+            stage: RolloutStage { build, stage },
+            promote_votes,
+            roll_back_votes,
+            needed_votes,
+            holds_lease,
         } => {
-            let holder = if holds {
+            let holder = if holds_lease {
                 "this gateway is steward"
             } else {
                 "another is steward, or nobody"
             };
             tracing::warn!(
-                "fleet: steward: build {} stage {} has no decision in its time: {on} votes on, {back} back, \
-                 {needs} needed; {holder}",
-                wave.build,
-                wave.stage
+                "fleet: steward: build {build} stage {stage} has no decision in its time: {promote_votes} votes on, {roll_back_votes} back, \
+                 {needed_votes} needed; {holder}"
             );
         }
     }
--- a/crates/gateway/src/rollout/votes.rs
+++ b/crates/gateway/src/rollout/votes.rs
@@ -1,18 +1,18 @@
 //! The policy's votes and the platform's updates, as the rollout controller sees them.
 
-use harrierdock_rollout_controller::{Ballot, Event, Standing, Wave, Way};
+use harrierdock_rollout_controller::{Decision, Event, RolloutStage, StagePhase, Vote};
 use harrierdock_types::{BuildId, PlatformStatus, RolloutDecision, RolloutPhase, RolloutUpdate};
 
 /// The vote that a decision amounts to. A hold, or a vote taken back, moves nothing.
-pub fn vote(build: BuildId, stage: usize, decision: RolloutDecision) -> Option<Ballot> {
-    let way = match decision {
-        RolloutDecision::Promote => Way::On,
-        RolloutDecision::RollBack => Way::Back,
+pub fn vote(build: BuildId, stage: usize, decision: RolloutDecision) -> Option<Vote> {
+    let decision = match decision {
+        RolloutDecision::Promote => Decision::Promote,
+        RolloutDecision::RollBack => Decision::RollBack,
         RolloutDecision::Hold | RolloutDecision::Withdraw => return None,
     };
-    Some(Ballot {
-        wave: Wave { build, stage },
-        way,
+    Some(Vote {
+        stage: RolloutStage { build, stage },
+        decision,
     })
 }
 
@@ -21,14 +21,14 @@
     if update.status != PlatformStatus::Valid {
         return None;
     }
-    let standing = match update.phase {
-        RolloutPhase::Canary => Standing::Trial,
-        RolloutPhase::Released => Standing::Released,
-        RolloutPhase::RollingBack | RolloutPhase::RolledBack => Standing::Over,
+    let phase = match update.phase {
+        RolloutPhase::Canary => StagePhase::Canary,
+        RolloutPhase::Released => StagePhase::Released,
+        RolloutPhase::RollingBack | RolloutPhase::RolledBack => StagePhase::Over,
     };
-    let wave = Wave {
+    let stage = RolloutStage {
         build: update.build,
         stage: update.stage,
     };
-    Some(Event::Stage { wave, standing })
+    Some(Event::StageUpdated { stage, phase })
 }
--- a/crates/rollout-controller/src/codec.rs
+++ b/crates/rollout-controller/src/codec.rs
@@ -1,104 +1,108 @@
-//! How a ballot is written: 26 bytes, the first of which no text begins with, the last four a sum over the rest.
+//! The encoding of votes: 26 bytes, the first of which no text begins with, the last four a checksum over the rest.
 
 use harrierdock_types::BuildId;
 use thiserror::Error;
 
-use crate::{Ballot, Told, Wave, Way};
+use crate::{Decision, RolloutStage, Vote, VoteMessage};
 
-/// Tells ballots apart from text, which never begins with it, and from the other messages of a fleet.
-pub const FIRST: u8 = 0xF9;
-/// The form: another one cannot be read by this version, and is refused.
-const FORM: u8 = 1;
-pub const LENGTH: usize = 26;
-const SUM: usize = LENGTH - 4;
+/// The first byte. No text begins with it, nor does another message between gateways.
+pub const FIRST_BYTE: u8 = 0xF9;
+/// The format's version: another one is refused.
+const FORMAT_VERSION: u8 = 1;
+/// The length of each message.
+pub const MESSAGE_BYTES: usize = 26;
+const CHECKSUM_OFFSET: usize = MESSAGE_BYTES - 4;
 
+const NO_VOTE: u8 = 0;
+const PROMOTE: u8 = 1;
+const ROLL_BACK: u8 = 2;
+
+/// Why bytes are no vote.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum FormError {
-    #[error(
-        "a ballot has {LENGTH} bytes, not {0}: look for another program on the peers' addresses"
-    )]
+pub enum DecodeError {
+    /// Another length, or another kind of message.
+    #[error("a ballot has {MESSAGE_BYTES} bytes, not {0}: look for another program on the peers' addresses")]
     Length(usize),
-    #[error("a ballot's form is {FORM}, not {0}: bring the gateways of the fleet to one version")]
-    Form(u8),
+    /// Another version of the format.
+    #[error("a ballot's form is {FORMAT_VERSION}, not {0}: bring the gateways of the fleet to one version")]
+    Version(u8),
+    /// The bytes were changed on their way.
     #[error("a ballot's sum does not fit: look at the network between the gateways")]
-    Sum,
+    Checksum,
+    /// An unknown decision.
     #[error(
         "a ballot's way is 0, 1 or 2, not {0}: bring the gateways of the fleet to one version"
     )]
-    Way(u8),
+    Decision(u8),
 }
 
-/// FNV-1a over bytes.
-fn sum(bytes: &[u8]) -> u32 {
-    bytes.iter().fold(0x811c_9dc5, |h, b| {
-        (h ^ u32::from(*b)).wrapping_mul(0x0100_0193)
+/// FNV-1a with 32 bits.
+fn checksum(bytes: &[u8]) -> u32 {
+    bytes.iter().fold(0x811c_9dc5, |hash, byte| {
+        (hash ^ u32::from(*byte)).wrapping_mul(0x0100_0193)
     })
 }
 
-pub fn write(told: &Told) -> [u8; LENGTH] {
-    let mut bytes = [0; LENGTH];
-    let (wave, way) = match told.ballot {
-        None => (
-            Wave {
-                build: BuildId(0),
-                stage: 0,
-            },
-            0,
-        ),
-        Some(Ballot { wave, way: Way::On }) => (wave, 1),
-        Some(Ballot {
-            wave,
-            way: Way::Back,
-        }) => (wave, 2),
+/// Encodes a message. A stage's number has three bytes.
+pub fn encode(message: &VoteMessage) -> [u8; MESSAGE_BYTES] {
+    let no_stage = RolloutStage {
+        build: BuildId(0),
+        stage: 0,
+    };
+    let stage = message.vote.map_or(no_stage, |vote| vote.stage);
+    let decision = match message.vote.map(|vote| vote.decision) {
+        None => NO_VOTE,
+        Some(Decision::Promote) => PROMOTE,
+        Some(Decision::RollBack) => ROLL_BACK,
     };
-    (bytes[0], bytes[1]) = (FIRST, FORM);
-    bytes[2..10].copy_from_slice(&told.incarnation.to_le_bytes());
-    bytes[10..14].copy_from_slice(&told.number.to_le_bytes());
-    bytes[14..18].copy_from_slice(&wave.build.0.to_le_bytes());
-    bytes[18..21].copy_from_slice(&(wave.stage as u32).to_le_bytes()[..3]);
-    bytes[21] = way;
-    let sum = sum(&bytes[..SUM]);
-    bytes[SUM..].copy_from_slice(&sum.to_le_bytes());
+    let mut bytes = [0; MESSAGE_BYTES];
+    bytes[0] = FIRST_BYTE;
+    bytes[1] = FORMAT_VERSION;
+    bytes[2..10].copy_from_slice(&message.incarnation.to_le_bytes());
+    bytes[10..14].copy_from_slice(&message.number.to_le_bytes());
+    bytes[14..18].copy_from_slice(&stage.build.0.to_le_bytes());
+    bytes[18..21].copy_from_slice(&(stage.stage as u32).to_le_bytes()[..3]);
+    bytes[21] = decision;
+    let sum = checksum(&bytes[..CHECKSUM_OFFSET]);
+    bytes[CHECKSUM_OFFSET..].copy_from_slice(&sum.to_le_bytes());
     bytes
 }
 
-fn number(bytes: &[u8]) -> u64 {
+fn little_endian(bytes: &[u8]) -> u64 {
     bytes
         .iter()
         .rev()
-        .fold(0, |all, b| all << 8 | u64::from(*b))
+        .fold(0, |number, byte| number << 8 | u64::from(*byte))
 }
 
-/// Reads a ballot.
+/// Decodes a message.
 ///
 /// # Errors
-/// What does not fit: length, form, sum or way.
-pub fn read(bytes: &[u8]) -> Result<Told, FormError> {
-    if bytes.len() != LENGTH || bytes[0] != FIRST {
-        return Err(FormError::Length(bytes.len()));
+/// The length, version, checksum or decision does not fit.
+pub fn decode(bytes: &[u8]) -> Result<VoteMessage, DecodeError> {
+    if bytes.len() != MESSAGE_BYTES || bytes[0] != FIRST_BYTE {
+        return Err(DecodeError::Length(bytes.len()));
     }
-    if bytes[1] != FORM {
-        return Err(FormError::Form(bytes[1]));
+    if bytes[1] != FORMAT_VERSION {
+        return Err(DecodeError::Version(bytes[1]));
     }
-    if number(&bytes[SUM..]) != u64::from(sum(&bytes[..SUM])) {
-        return Err(FormError::Sum);
+    let sum = checksum(&bytes[..CHECKSUM_OFFSET]);
+    if little_endian(&bytes[CHECKSUM_OFFSET..]) != u64::from(sum) {
+        return Err(DecodeError::Checksum);
     }
-    let wave = Wave {
-        build: BuildId(number(&bytes[14..18]) as u32),
-        stage: number(&bytes[18..21]) as usize,
+    let decision = match bytes[21] {
+        NO_VOTE => None,
+        PROMOTE => Some(Decision::Promote),
+        ROLL_BACK => Some(Decision::RollBack),
+        unknown => return Err(DecodeError::Decision(unknown)),
     };
-    let ballot = match bytes[21] {
-        0 => None,
-        1 => Some(Ballot { wave, way: Way::On }),
-        2 => Some(Ballot {
-            wave,
-            way: Way::Back,
-        }),
-        odd => return Err(FormError::Way(odd)),
+    let stage = RolloutStage {
+        build: BuildId(little_endian(&bytes[14..18]) as u32),
+        stage: little_endian(&bytes[18..21]) as usize,
     };
-    Ok(Told {
-        incarnation: number(&bytes[2..10]),
-        number: number(&bytes[10..14]) as u32,
-        ballot,
+    Ok(VoteMessage {
+        incarnation: little_endian(&bytes[2..10]),
+        number: little_endian(&bytes[10..14]) as u32,
+        vote: decision.map(|decision| Vote { stage, decision }),
     })
 }
