--- a/crates/admission/benches/decide.rs
+++ b/crates/admission/benches/decide.rs
@@ -7,8 +7,8 @@
 use std::hint::black_box;
 
 use criterion::{criterion_group, criterion_main, Criterion};
-use harrierdock_admission::news::{read, write, Figures, News};
-use harrierdock_admission::sketch::Sketch;
+use harrierdock_admission::latency_histogram::Sketch;
+use harrierdock_admission::load_report::{read, write, Figures, News};
 use harrierdock_admission::{Admission, Ask, Event, Place};
 use harrierdock_types::{AttemptOutcome, ClassParameters, RequestId};
 use harrierdock_types::{TimeDelta, Timestamp};
--- a/crates/admission/src/gates.rs
+++ b/crates/admission/src/admission_rates.rs
@@ -4,9 +4,9 @@
 use harrierdock_types::TimeDelta;
 use harrierdock_types::{ClassId, ClassParameters, TenantId};
 
-use crate::fair;
-use crate::peers::Sum;
-use crate::sketch::{Odds, Sketch};
+use crate::fair_share;
+use crate::latency_histogram::{Odds, Sketch};
+use crate::peer_reports::Sum;
 use crate::Place;
 
 /// The part of a request class's answers that are to be in time where servers are full. A longer queue wastes work
@@ -281,7 +281,7 @@
                 (self.part[class.0], self.below[class.0]) = (part, below);
                 self.whole[class.0] = below + shares;
                 let row = class.0 * self.tenants..(class.0 + 1) * self.tenants;
-                fair::pass(
+                fair_share::pass(
                     &sum.figures.tenants,
                     &place.tenant_quotas,
                     part,
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -5,12 +5,12 @@
 //! `news` is what gateways tell each other, `peers` what was heard of it, `gates` what follows for each
 //! request class.
 
-pub mod fair;
-pub mod gates;
-pub mod news;
-mod peers;
-pub mod sketch;
-mod waiting;
+pub mod admission_rates;
+pub mod fair_share;
+pub mod latency_histogram;
+pub mod load_report;
+mod peer_reports;
+mod wait_queue;
 
 use harrierdock_types::{
     AttemptOutcome, ClassId, ClassParameters, IdempotencyScope, PeerId, RequestId, RetrySafety,
@@ -19,12 +19,12 @@
 use harrierdock_types::{TimeDelta, Timestamp};
 use nanorand::{Rng, WyRand};
 
-use gates::Gates;
-use news::{Figures, News, MOST_PRODUCTS, MOST_TENANTS, MOST_ZONES};
-use peers::{Peers, Sum};
-pub use peers::{MOST_HEARD, MOST_MEMBERS};
-pub use waiting::MOST_WAITING;
-use waiting::{Waiter, Waiting};
+use admission_rates::Gates;
+use load_report::{Figures, News, MOST_PRODUCTS, MOST_TENANTS, MOST_ZONES};
+use peer_reports::{Peers, Sum};
+pub use peer_reports::{MOST_HEARD, MOST_MEMBERS};
+pub use wait_queue::MOST_WAITING;
+use wait_queue::{Waiter, Waiting};
 
 // Ratios to the shortest latency objective.
 const BEAT: f64 = 0.1; // between two looks at everything, each with one message
@@ -466,7 +466,8 @@
                 self.own.open.len(),
                 self.own.tenants.len(),
             );
-            let (bytes, turn) = news::write(&head, if old { &self.own } else { &blank }, self.turn);
+            let (bytes, turn) =
+                load_report::write(&head, if old { &self.own } else { &blank }, self.turn);
             if n == 0 {
                 self.turn = turn;
             }
--- a/crates/admission/src/news.rs
+++ b/crates/admission/src/load_report.rs
@@ -4,7 +4,7 @@
 
 use thiserror::Error;
 
-use crate::sketch::{Sketch, BUCKETS};
+use crate::latency_histogram::{Sketch, BUCKETS};
 
 /// Builds that know only text mail refuse a message that begins so.
 pub const MARK: u8 = 0xF7;
--- a/crates/admission/src/peers.rs
+++ b/crates/admission/src/peer_reports.rs
@@ -5,8 +5,8 @@
 use harrierdock_types::PeerId;
 use harrierdock_types::{TimeDelta, Timestamp};
 
-use crate::news::{Figures, News};
-use crate::sketch::Sketch;
+use crate::latency_histogram::Sketch;
+use crate::load_report::{Figures, News};
 
 /// Peers whose figures are kept: more than are heard while news counts.
 pub const MOST_HEARD: usize = 48;
--- a/crates/admission/tests/properties.rs
+++ b/crates/admission/tests/bounded_influence.rs
@@ -1,7 +1,7 @@
 //! What holds whatever comes: bounded memory, bounded waits, bounded influence, and no number that is none.
 
-use harrierdock_admission::news::{read, write, Figures, News};
-use harrierdock_admission::sketch::Sketch;
+use harrierdock_admission::latency_histogram::Sketch;
+use harrierdock_admission::load_report::{read, write, Figures, News};
 use harrierdock_admission::{
     Action, Admission, Ask, Decision, Event, Place, MOST_HEARD, MOST_MEMBERS, MOST_WAITING,
 };
--- a/crates/admission/tests/damping.rs
+++ b/crates/admission/tests/fleet_stability.rs
@@ -2,7 +2,7 @@
 //! bears, as news is old and all act on the same. Work is exact, so that what swings is theirs and not
 //! chance.
 
-use harrierdock_admission::news::read;
+use harrierdock_admission::load_report::read;
 use harrierdock_admission::{Action, Admission, Ask, Decision, Event, Place};
 use harrierdock_types::PeerId;
 use harrierdock_types::{AttemptOutcome, ClassParameters, RequestId};
--- a/crates/admission/tests/golden_bytes.rs
+++ b/crates/admission/tests/golden_bytes.rs
@@ -4,8 +4,8 @@
 mod golden;
 
 use golden::{check, Case};
-use harrierdock_admission::news::{read, write, Figures, News, MOST_BYTES};
-use harrierdock_admission::sketch::{Sketch, BUCKETS};
+use harrierdock_admission::latency_histogram::{Sketch, BUCKETS};
+use harrierdock_admission::load_report::{read, write, Figures, News, MOST_BYTES};
 
 /// A report to write: its head, its counts and histograms, and the histogram to begin with.
 type Report = (News, Figures, usize);
--- a/crates/admission/tests/sketches.rs
+++ b/crates/admission/tests/latency_histograms.rs
@@ -2,7 +2,7 @@
 //! exponential work behind a queue. `cargo test -p harrierdock-admission --test sketches -- --nocapture`
 //! prints the table.
 
-use harrierdock_admission::sketch::Sketch;
+use harrierdock_admission::latency_histogram::Sketch;
 use hdrhistogram::serialization::{Serializer, V2Serializer};
 use hdrhistogram::Histogram;
 use nanorand::{Rng, WyRand};
--- a/crates/admission/tests/forms.rs
+++ b/crates/admission/tests/load_report_codec.rs
@@ -1,6 +1,8 @@
 //! The form of news: whatever comes in ends in a value or an error, and what was written is read back.
 
-use harrierdock_admission::news::{read, write, Figures, News, Unreadable, MARK, MOST_BYTES};
+use harrierdock_admission::load_report::{
+    read, write, Figures, News, Unreadable, MARK, MOST_BYTES,
+};
 use nanorand::{Rng, WyRand};
 use proptest::prelude::*;
 
--- a/crates/admission/tests/traces.rs
+++ b/crates/admission/tests/overload_traces.rs
@@ -1,7 +1,7 @@
 //! Short traces of one gateway's admission: what it is told, and what it decides.
 
 use expect_test::expect;
-use harrierdock_admission::news::read;
+use harrierdock_admission::load_report::read;
 use harrierdock_admission::{Action, Admission, Ask, Decision, Event, Place};
 use harrierdock_types::PeerId;
 use harrierdock_types::{
--- a/crates/fault-injection/src/admission/mod.rs
+++ b/crates/fault-injection/src/admission/mod.rs
@@ -9,7 +9,7 @@
 
 pub use day::Fault;
 use day::{Day, TENANTS};
-use harrierdock_admission::fair::{jain, pass};
+use harrierdock_admission::fair_share::{jain, pass};
 use ways::Way;
 use world::{Sums, World};
 
