--- a/crates/admission/src/fair_share.rs
+++ b/crates/admission/src/fair_share.rs
@@ -1,48 +1,55 @@
-//! Shares: how much of each tenant's requests passes where not all can, and how even shares are.
+//! Fair shares: how much of each tenant's requests is admitted where not all can be, and how even shares are.
 
-/// The part that passes of each of these, where `part` of all can: those that want less than their share get
-/// what they want, the rest share what is left by their quotas. None told: all alike.
-pub fn pass(wants: &[f32], quotas: &[f64], part: f32, out: &mut [f32]) {
-    let all: f32 = wants.iter().sum();
-    out.fill(part.min(1.0));
-    if part >= 1.0 || all <= 0.0 || wants.len() < 2 {
+/// Sets the admitted ratio of each tenant's `demand` where `ratio` of all can be admitted: tenants that want less than their share get
+/// what they want, the rest share what is left by their `quotas`. A missing or invalid quota counts as 1.
+pub fn admitted_ratios(demand: &[f32], quotas: &[f64], ratio: f32, admitted: &mut [f32]) {
+    let total: f32 = demand.iter().sum();
+    admitted.fill(ratio.min(1.0));
+    if ratio >= 1.0 || total <= 0.0 || demand.len() < 2 {
         return;
     }
-    let quota = |at: usize| {
+    let quota = |tenant: usize| {
         quotas
-            .get(at)
+            .get(tenant)
             .copied()
-            .filter(|q| *q > 0.0 && q.is_finite())
+            .filter(|quota| *quota > 0.0 && quota.is_finite())
             .unwrap_or(1.0) as f32
     };
-    // Each round, whoever wants no more than its share is served whole; the rest share anew. Ends after as
-    // many rounds as there are tenants at the most.
-    let mut whole = 0_u32;
-    for _ in 0..wants.len() {
-        let rest = |at: usize| whole >> at & 1 == 0;
-        let served: f32 = (0..wants.len())
-            .filter(|at| !rest(*at))
-            .map(|at| wants[at])
+    // In each round, tenants that want no more than their share are satisfied; the rest share anew. There are at most as many rounds
+    // as tenants.
+    let mut satisfied = 0_u32;
+    for _ in 0..demand.len() {
+        let is_open = |tenant: usize| satisfied >> tenant & 1 == 0;
+        let tenants = 0..demand.len();
+        let used: f32 = tenants
+            .clone()
+            .filter(|tenant| !is_open(*tenant))
+            .map(|tenant| demand[tenant])
             .sum();
-        let quotas: f32 = (0..wants.len()).filter(|at| rest(*at)).map(quota).sum();
-        let level = (part * all - served).max(0.0) / quotas.max(f32::EPSILON);
-        let mut more = 0;
-        for at in (0..wants.len()).filter(|at| rest(*at)) {
-            out[at] = (level * quota(at) / wants[at].max(f32::EPSILON)).min(1.0);
-            more |= u32::from(out[at] >= 1.0) << at;
+        let open_quotas: f32 = tenants
+            .clone()
+            .filter(|tenant| is_open(*tenant))
+            .map(quota)
+            .sum();
+        let level = (ratio * total - used).max(0.0) / open_quotas.max(f32::EPSILON);
+        let mut newly_satisfied = 0;
+        for tenant in tenants.filter(|tenant| is_open(*tenant)) {
+            admitted[tenant] = (level * quota(tenant) / demand[tenant].max(f32::EPSILON)).min(1.0);
+            newly_satisfied |= u32::from(admitted[tenant] >= 1.0) << tenant;
         }
-        if more == 0 {
+        if newly_satisfied == 0 {
             return;
         }
-        whole |= more;
+        satisfied |= newly_satisfied;
     }
 }
 
-/// Jain's index of these: 1 if all are equal, one over their number if one has all.
-pub fn jain(of: &[f64]) -> f64 {
-    let (sum, squares) = of.iter().fold((0.0, 0.0), |(s, q), x| (s + x, q + x * x));
+/// Jain's fairness index: 1 if all values are equal, one over their number if one has all.
+pub fn jain_index(values: &[f64]) -> f64 {
+    let sum = values.iter().fold(0.0, |sum, value| sum + value);
+    let squares = values.iter().fold(0.0, |sum, value| sum + value * value);
     if squares > 0.0 {
-        sum * sum / (of.len() as f64 * squares)
+        sum * sum / (values.len() as f64 * squares)
     } else {
         1.0
     }
--- a/crates/admission/src/peer_reports.rs
+++ b/crates/admission/src/peer_reports.rs
@@ -1,203 +1,280 @@
-//! What peers were last heard to say: the latest of each, of so many peers, each with bounded weight.
+//! The latest load report of each peer, and the load of the whole fleet: own counts and peers' together, each peer with bounded weight.
 
 use std::collections::BTreeMap;
 
-use harrierdock_types::PeerId;
-use harrierdock_types::{TimeDelta, Timestamp};
+use harrierdock_types::{PeerId, TimeDelta, Timestamp};
 
-use crate::latency_histogram::Sketch;
-use crate::load_report::{Figures, News};
+use crate::latency_histogram::LatencyHistogram;
+use crate::load_report::{LoadCounts, LoadReport};
 
-/// Peers whose figures are kept: more than are heard while news counts.
-pub const MOST_HEARD: usize = 48;
-/// Members known: as many as the largest fleet has, and room.
-pub const MOST_MEMBERS: usize = 1024;
-/// Guards against one gateway that moves the rest, by mistake or absurd figures: no count of its counts for
-/// more than this many times the median of all heard, and some for chance. A count goes into the view to the
-/// power of 2.5 at the most and is fresher than others by up to a fifth, so that the one that lies about its answers
-/// moves the view by less than eight gateways' part of it. Harms where a single gateway has most of the traffic:
-/// its news counts for less than it is worth; its own figures are whole to itself.
-const MOST_TIMES: f32 = 1.4;
+/// The most peers whose counts are kept: more than send reports while a report counts.
+pub const MAX_REPORTS: usize = 48;
+/// The most members remembered: more than the largest fleet has.
+pub const MAX_MEMBERS: usize = 1024;
+/// No count of one peer counts for more than this many times the median of all, with some margin for chance. A peer that reports wrong
+/// counts, by mistake or on purpose, then moves the sustainable ratio by less than eight gateways' part. The cost: where a single gateway
+/// has most of the traffic, its peers count it for less than that; its own counts are whole to itself.
+const MAX_RATIO_TO_MEDIAN: f32 = 1.4;
+/// Decay times after which a report is forgotten.
+const REPORT_LIFETIME_DECAYS: f64 = 4.0;
+
+/// How much is kept of peers.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct PeerCounts {
+    /// Members.
+    pub members: usize,
+    /// Members whose counts are kept.
+    pub reports: usize,
+}
+
+#[derive(Debug)]
+struct Member {
+    incarnation: u32,
+    /// The number of its latest report.
+    last_number: Option<u32>,
+}
 
 #[derive(Debug)]
-struct Heard {
-    at: Timestamp,
-    view: Option<f32>,
-    figures: Figures,
-    /// What its age leaves of its weight at this beat.
+struct ReceivedReport {
+    received_at: Timestamp,
+    sustainable_ratio: Option<f32>,
+    counts: LoadCounts,
+    /// What its age leaves of its weight.
     weight: f32,
 }
 
+/// The members and their latest reports.
 #[derive(Debug, Default)]
-pub struct Peers {
-    /// The incarnation that counts of each member, and the last number read of it.
-    members: BTreeMap<PeerId, (u32, Option<u32>)>,
-    heard: BTreeMap<PeerId, Heard>,
-    /// For medians, kept to spare allocations.
+pub(crate) struct PeerReports {
+    members: BTreeMap<PeerId, Member>,
+    reports: BTreeMap<PeerId, ReceivedReport>,
+    /// For medians; kept to spare allocations.
     sorted: Vec<f32>,
 }
 
-/// All that counts now: own figures and peers' together.
+/// The load of the whole fleet, as far as it is known.
 #[derive(Debug, Default)]
-pub struct Sum {
-    pub figures: Figures,
-    /// The median of the views heard, how many there are, and the news' mean age in seconds by its weight.
-    pub view: Option<f32>,
-    pub views: usize,
-    pub age: f32,
+pub(crate) struct FleetLoad {
+    pub(crate) counts: LoadCounts,
+    /// The median of peers' sustainable ratios; none if there are none.
+    pub(crate) sustainable_ratio: Option<f32>,
+    /// The reports' mean age by weight.
+    pub(crate) age_seconds: f32,
 }
 
 /// The lower one of an even number: of two, the one that is not absurd.
-fn median(of: &mut [f32]) -> f32 {
-    let middle = of.len().saturating_sub(1) / 2;
-    if of.is_empty() {
-        0.0
-    } else {
-        *of.select_nth_unstable_by(middle, f32::total_cmp).1
+fn median(values: &mut [f32]) -> f32 {
+    if values.is_empty() {
+        return 0.0;
     }
+    let middle = values.len().saturating_sub(1) / 2;
+    *values.select_nth_unstable_by(middle, f32::total_cmp).1
 }
 
-impl Peers {
-    /// A member is there, at this incarnation, or gone. What an earlier incarnation said is forgotten.
-    pub fn member(&mut self, peer: PeerId, incarnation: Option<u32>) {
-        match incarnation {
-            Some(incarnation) if self.members.get(&peer).is_some_and(|m| m.0 >= incarnation) => {}
-            Some(incarnation) => {
-                self.heard.remove(&peer);
-                if self.members.len() < MOST_MEMBERS || self.members.contains_key(&peer) {
-                    self.members.insert(peer, (incarnation, None));
-                }
-            }
-            None => {
-                self.members.remove(&peer);
-                self.heard.remove(&peer);
-            }
+impl PeerReports {
+    /// A peer is a member at this incarnation, or none. What an earlier incarnation reported is forgotten.
+    pub(crate) fn update_member(&mut self, peer: PeerId, incarnation: Option<u32>) {
+        let Some(incarnation) = incarnation else {
+            self.members.remove(&peer);
+            self.reports.remove(&peer);
+            return;
+        };
+        let current = self.members.get(&peer).map(|member| member.incarnation);
+        if current.is_some_and(|current| current >= incarnation) {
+            return;
+        }
+        self.reports.remove(&peer);
+        if self.members.len() < MAX_MEMBERS || current.is_some() {
+            let member = Member {
+                incarnation,
+                last_number: None,
+            };
+            self.members.insert(peer, member);
         }
     }
 
-    pub fn count(&self) -> usize {
-        self.members.len()
+    pub(crate) fn kept(&self) -> PeerCounts {
+        PeerCounts {
+            members: self.members.len(),
+            reports: self.reports.len(),
+        }
     }
 
-    pub fn heard(&self) -> usize {
-        self.heard.len()
+    pub(crate) fn member_at(&self, position: usize) -> Option<PeerId> {
+        self.members.keys().nth(position).copied()
     }
 
-    pub fn nth(&self, at: usize) -> Option<PeerId> {
-        self.members.keys().nth(at).copied()
+    /// Takes a report in. One that is old, duplicated, of an unknown member or another incarnation, or of other numbers of classes, zones
+    /// or tenants than `own`, changes nothing.
+    pub(crate) fn receive(
+        &mut self,
+        now: Timestamp,
+        from: PeerId,
+        report: LoadReport,
+        own: &LoadCounts,
+    ) {
+        if !self.accept(from, &report, own) {
+            return;
+        }
+        if !self.reports.contains_key(&from) && self.reports.len() >= MAX_REPORTS {
+            self.forget_oldest();
+        }
+        let received = self.reports.entry(from).or_insert_with(|| ReceivedReport {
+            received_at: now,
+            sustainable_ratio: None,
+            counts: own.empty_like(),
+            weight: 0.0,
+        });
+        received.received_at = now;
+        received.sustainable_ratio = report.sustainable_ratio;
+        let counts = &mut received.counts;
+        counts.offered = report.offered;
+        counts.offered_by_tenant = report.offered_by_tenant;
+        counts.in_flight = report.in_flight;
+        counts.answered = report.answered;
+        for (number, histogram) in report.histograms {
+            if let Some(kept) = counts.histograms.get_mut(number) {
+                *kept = histogram;
+            }
+        }
     }
 
-    /// Takes news in. What is old, doubled, of an unknown member or of another incarnation changes nothing,
-    /// nor does what was written for other request classes, zones or tenants.
-    pub fn hear(&mut self, now: Timestamp, from: PeerId, news: News, like: &Figures) -> bool {
-        let Some((incarnation, last)) = self.members.get_mut(&from) else {
+    /// Whether a report counts; its number is recorded then.
+    fn accept(&mut self, from: PeerId, report: &LoadReport, own: &LoadCounts) -> bool {
+        let Some(member) = self.members.get_mut(&from) else {
             return false;
         };
-        let fits = news.offered.len() == like.offered.len()
-            && news.open.len() == like.open.len()
-            && news.answered.len() == like.answered.len()
-            && news.tenants.len() == like.tenants.len();
-        if !fits || *incarnation != news.incarnation || last.is_some_and(|l| news.number <= l) {
+        let fits = report.offered.len() == own.offered.len()
+            && report.in_flight.len() == own.in_flight.len()
+            && report.answered.len() == own.answered.len()
+            && report.offered_by_tenant.len() == own.offered_by_tenant.len();
+        let is_newer = member.last_number.is_none_or(|last| report.number > last);
+        if !fits || member.incarnation != report.incarnation || !is_newer {
             return false;
         }
-        *last = Some(news.number);
-        if !self.heard.contains_key(&from) && self.heard.len() >= MOST_HEARD {
-            let oldest = self
-                .heard
-                .iter()
-                .min_by_key(|(_, h)| h.at)
-                .map(|(peer, _)| *peer);
-            oldest.and_then(|peer| self.heard.remove(&peer));
+        member.last_number = Some(report.number);
+        true
+    }
+
+    fn forget_oldest(&mut self) {
+        let oldest = self
+            .reports
+            .iter()
+            .min_by_key(|(_, report)| report.received_at)
+            .map(|(peer, _)| *peer);
+        if let Some(peer) = oldest {
+            self.reports.remove(&peer);
         }
-        let blank = || Heard {
-            at: now,
-            view: None,
-            weight: 0.0,
-            figures: Figures::new(like.offered.len(), like.open.len(), like.tenants.len()),
-        };
-        let heard = self.heard.entry(from).or_insert_with(blank);
-        (heard.at, heard.view) = (now, news.view);
-        let figures = &mut heard.figures;
-        (figures.offered, figures.tenants) = (news.offered, news.tenants);
-        (figures.open, figures.answered) = (news.open, news.answered);
-        for (number, sketch) in news.sketches {
-            if let Some(kept) = figures.sketches.get_mut(number) {
-                *kept = sketch;
-            }
+    }
+
+    /// Adds up own counts and peers': each by its counts, its age and at most its bounded part.
+    pub(crate) fn sum(
+        &mut self,
+        now: Timestamp,
+        own: &LoadCounts,
+        decay_time: TimeDelta,
+        load: &mut FleetLoad,
+    ) {
+        self.reports
+            .retain(|_, report| now - report.received_at < decay_time * REPORT_LIFETIME_DECAYS);
+        for report in self.reports.values_mut() {
+            let age = (now - report.received_at).ratio_to(decay_time);
+            report.weight = (-age).exp().min(1.0) as f32;
         }
-        true
+        load.counts.clone_from(own);
+        self.sum_counts(&mut load.counts);
+        for class in 0..own.offered.len() {
+            self.merge_histograms(class, own, &mut load.counts);
+        }
+        load.age_seconds = self.mean_age_seconds(now);
+        load.sustainable_ratio = self.median_ratio(now, decay_time);
     }
 
-    /// Adds up own figures and what was heard: each by its counts, its age and at most its bounded part. News
-    /// fades over `fades` and is forgotten after four of those.
-    pub fn sum(&mut self, now: Timestamp, own: &Figures, fades: TimeDelta, sum: &mut Sum) {
-        self.heard.retain(|_, h| now - h.at < fades * 4.0);
-        sum.figures.clone_from(own);
-        let Peers { heard, sorted, .. } = self;
-        for h in heard.values_mut() {
-            h.weight = (-(now - h.at).ratio_to(fades)).exp().min(1.0) as f32;
-        }
-        let mut bounded = |own: f32, of: &dyn Fn(&Figures) -> f32| {
-            sorted.clear();
-            sorted.push(own);
-            sorted.extend(heard.values().map(|h| of(&h.figures)));
-            let median = median(sorted);
-            let most = MOST_TIMES * (median + median.sqrt() + 1.0);
-            own + heard
-                .values()
-                .map(|h| h.weight * of(&h.figures).min(most))
-                .sum::<f32>()
-        };
-        for (at, of) in sum.figures.offered.iter_mut().enumerate() {
-            *of = bounded(*of, &|f| f.offered[at]);
+    fn sum_counts(&mut self, counts: &mut LoadCounts) {
+        for (class, count) in counts.offered.iter_mut().enumerate() {
+            *count = self.bounded_sum(*count, |counts| counts.offered[class]);
         }
-        for (at, of) in sum.figures.tenants.iter_mut().enumerate() {
-            *of = bounded(*of, &|f| f.tenants[at]);
+        for (tenant, count) in counts.offered_by_tenant.iter_mut().enumerate() {
+            *count = self.bounded_sum(*count, |counts| counts.offered_by_tenant[tenant]);
         }
-        for (at, of) in sum.figures.open.iter_mut().enumerate() {
-            *of = bounded(*of, &|f| f.open[at]);
+        for (zone, count) in counts.in_flight.iter_mut().enumerate() {
+            *count = self.bounded_sum(*count, |counts| counts.in_flight[zone]);
         }
-        for (at, of) in sum.figures.answered.iter_mut().enumerate() {
-            *of = bounded(*of, &|f| f.answered[at]);
+        for (zone, count) in counts.answered.iter_mut().enumerate() {
+            *count = self.bounded_sum(*count, |counts| counts.answered[zone]);
         }
-        // Guards against one that puts all it has into one request class, whose chances would be mostly its own: bounded
-        // by request class, not by its sketches together.
-        for class in 0..own.offered.len() {
-            let rows = class * own.open.len()..(class + 1) * own.open.len();
-            let total = |f: &Figures| {
-                f.sketches[rows.clone()]
-                    .iter()
-                    .map(Sketch::total)
-                    .sum::<f32>()
-            };
-            sorted.clear();
-            sorted.push(total(own));
-            sorted.extend(heard.values().map(|h| total(&h.figures)));
-            let most = median(sorted) + 1.0;
-            for h in heard.values() {
-                let part = h.weight * (most / total(&h.figures).max(1.0)).min(1.0);
-                let kept = sum.figures.sketches[rows.clone()]
-                    .iter_mut()
-                    .zip(&h.figures.sketches[rows.clone()]);
-                kept.for_each(|(k, s)| k.merge(s, part));
-            }
+    }
+
+    /// The sum of one count over this gateway and its peers.
+    fn bounded_sum(&mut self, own: f32, count_of: impl Fn(&LoadCounts) -> f32) -> f32 {
+        let PeerReports {
+            reports, sorted, ..
+        } = self;
+        sorted.clear();
+        sorted.push(own);
+        sorted.extend(reports.values().map(|report| count_of(&report.counts)));
+        let median = median(sorted);
+        let bound = MAX_RATIO_TO_MEDIAN * (median + median.sqrt() + 1.0);
+        own + reports
+            .values()
+            .map(|report| report.weight * count_of(&report.counts).min(bound))
+            .sum::<f32>()
+    }
+
+    /// Adds peers' histograms of one class. A peer is bounded in the class as a whole: otherwise one that reports all its answers in one
+    /// class would set that class's probabilities.
+    fn merge_histograms(&mut self, class: usize, own: &LoadCounts, sum: &mut LoadCounts) {
+        let PeerReports {
+            reports, sorted, ..
+        } = self;
+        let zones = own.in_flight.len();
+        let range = class * zones..(class + 1) * zones;
+        let total = |counts: &LoadCounts| {
+            counts.histograms[range.clone()]
+                .iter()
+                .map(LatencyHistogram::total)
+                .sum::<f32>()
+        };
+        sorted.clear();
+        sorted.push(total(own));
+        sorted.extend(reports.values().map(|report| total(&report.counts)));
+        let bound = median(sorted) + 1.0;
+        for report in reports.values() {
+            let weight = report.weight * (bound / total(&report.counts).max(1.0)).min(1.0);
+            sum.histograms[range.clone()]
+                .iter_mut()
+                .zip(&report.counts.histograms[range.clone()])
+                .for_each(|(kept, reported)| kept.merge(reported, weight));
         }
-        let (mut weights, mut aged) = (1.0, 0.0);
-        for h in heard.values() {
-            weights += h.weight;
-            aged += h.weight * (now - h.at).as_seconds() as f32;
+    }
+
+    fn mean_age_seconds(&self, now: Timestamp) -> f32 {
+        let mut weights = 1.0;
+        let mut weighted_age = 0.0;
+        for report in self.reports.values() {
+            weights += report.weight;
+            weighted_age += report.weight * (now - report.received_at).as_seconds() as f32;
         }
-        sum.age = aged / weights;
+        weighted_age / weights
+    }
+
+    /// The median of fresh reports. Of one or two, one may be absurd: the fewer, the nearer to all that is offered.
+    fn median_ratio(&mut self, now: Timestamp, decay_time: TimeDelta) -> Option<f32> {
+        let PeerReports {
+            reports, sorted, ..
+        } = self;
         sorted.clear();
         sorted.extend(
-            heard
+            reports
                 .values()
-                .filter(|h| now - h.at < fades)
-                .filter_map(|h| h.view),
+                .filter(|report| now - report.received_at < decay_time)
+                .filter_map(|report| report.sustainable_ratio),
         );
-        sum.views = sorted.len();
-        // Of one or two, one may be absurd: the fewer, the nearer to all that is offered.
-        let sure = sum.views as f32 / (sum.views as f32 + 1.0);
-        sum.view = (!sorted.is_empty()).then(|| median(sorted).max(f32::MIN_POSITIVE).powf(sure));
+        if sorted.is_empty() {
+            return None;
+        }
+        let count = sorted.len() as f32;
+        let confidence = count / (count + 1.0);
+        Some(median(sorted).max(f32::MIN_POSITIVE).powf(confidence))
     }
 }
--- a/crates/admission/src/wait_queue.rs
+++ b/crates/admission/src/wait_queue.rs
@@ -1,80 +1,92 @@
-//! Requests that wait for a place: so many at the most, the dearest first, then those with the least slack.
+//! Requests that wait to be admitted: of the highest priority weight first, then those whose latency objective is over soonest.
 
-use harrierdock_types::Timestamp;
-use harrierdock_types::{ClassId, RequestId, TenantId};
+use harrierdock_types::{ClassId, RequestId, TenantId, Timestamp};
 
-/// More are never kept; whoever comes then is told at once. Bounds what is kept and what a beat costs.
-pub const MOST_WAITING: usize = 256;
+/// The most requests kept; one more is decided on at once. Bounds memory and what a tick costs.
+pub const MAX_WAITING: usize = 256;
 
+/// A waiting request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Waiter {
-    pub id: RequestId,
-    pub class: ClassId,
-    pub tenant: Option<TenantId>,
-    pub zones: u8,
-    /// The part that passed when it came.
-    pub part: f32,
-    pub priority_weight: f64,
-    /// When its latency objective is up, and when its wait is.
-    pub deadline: Timestamp,
-    pub until: Timestamp,
+pub(crate) struct WaitingRequest {
+    pub(crate) id: RequestId,
+    pub(crate) class: ClassId,
+    pub(crate) tenant: Option<TenantId>,
+    pub(crate) zones: u8,
+    /// The highest admitted ratio that the request has been tried at.
+    pub(crate) tried_ratio: f32,
+    pub(crate) priority_weight: f64,
+    /// When its latency objective is over.
+    pub(crate) objective_at: Timestamp,
+    /// When its wait is over.
+    pub(crate) waits_until: Timestamp,
 }
 
+impl WaitingRequest {
+    fn goes_before(&self, other: &WaitingRequest) -> bool {
+        self.priority_weight
+            .total_cmp(&other.priority_weight)
+            .reverse()
+            .then(self.objective_at.cmp(&other.objective_at))
+            .is_le()
+    }
+}
+
+/// All waiting requests, in order.
 #[derive(Debug)]
-pub struct Waiting {
-    all: Vec<Waiter>,
+pub(crate) struct WaitQueue {
+    requests: Vec<WaitingRequest>,
 }
 
-impl Waiting {
-    pub fn new() -> Waiting {
-        Waiting {
-            all: Vec::with_capacity(MOST_WAITING),
+impl WaitQueue {
+    pub(crate) fn new() -> WaitQueue {
+        WaitQueue {
+            requests: Vec::with_capacity(MAX_WAITING),
         }
     }
 
-    /// Keeps it in order, without allocating. False if there is no room.
-    pub fn push(&mut self, waiter: Waiter) -> bool {
-        if self.all.len() >= MOST_WAITING || self.all.iter().any(|w| w.id == waiter.id) {
+    /// Adds a request in order, without allocating. Returns false if the queue is full or has the request already.
+    pub(crate) fn push(&mut self, request: WaitingRequest) -> bool {
+        let is_full = self.requests.len() >= MAX_WAITING;
+        if is_full || self.requests.iter().any(|waiting| waiting.id == request.id) {
             return false;
         }
-        let before = |w: &Waiter| {
-            w.priority_weight
-                .total_cmp(&waiter.priority_weight)
-                .reverse()
-                .then(w.deadline.cmp(&waiter.deadline))
-                .is_le()
-        };
-        let at = self.all.partition_point(before);
-        self.all.insert(at, waiter);
+        let position = self
+            .requests
+            .partition_point(|waiting| waiting.goes_before(&request));
+        self.requests.insert(position, request);
         true
     }
 
-    pub fn remove(&mut self, id: RequestId) {
-        self.all.retain(|w| w.id != id);
+    pub(crate) fn remove(&mut self, id: RequestId) {
+        self.requests.retain(|request| request.id != id);
     }
 
-    /// Goes through all in order; those for whom something is found leave.
-    pub fn look<T>(&mut self, mut find: impl FnMut(&mut Waiter) -> Option<T>, out: &mut Vec<T>) {
-        self.all.retain_mut(|waiter| match find(waiter) {
-            Some(found) => {
-                out.push(found);
+    /// Goes through all requests in order; those for which `resolve` returns something leave.
+    pub(crate) fn resolve_each<T>(
+        &mut self,
+        mut resolve: impl FnMut(&mut WaitingRequest) -> Option<T>,
+        resolved: &mut Vec<T>,
+    ) {
+        self.requests.retain_mut(|request| match resolve(request) {
+            Some(result) => {
+                resolved.push(result);
                 false
             }
             None => true,
         });
     }
 
-    pub fn len(&self) -> usize {
-        self.all.len()
+    pub(crate) fn len(&self) -> usize {
+        self.requests.len()
     }
 
-    pub fn is_empty(&self) -> bool {
-        self.all.is_empty()
+    pub(crate) fn is_empty(&self) -> bool {
+        self.requests.is_empty()
     }
 }
 
-impl Default for Waiting {
-    fn default() -> Waiting {
-        Waiting::new()
+impl Default for WaitQueue {
+    fn default() -> WaitQueue {
+        WaitQueue::new()
     }
 }
--- a/crates/fault-injection/src/admission/mod.rs
+++ b/crates/fault-injection/src/admission/mod.rs
@@ -9,7 +9,7 @@
 
 pub use day::Fault;
 use day::{Day, TENANTS};
-use harrierdock_admission::fair_share::{jain, pass};
+use harrierdock_admission::fair_share::{admitted_ratios, jain_index};
 use ways::Way;
 use world::{Sums, World};
 
@@ -96,7 +96,7 @@
             .iter()
             .fold((0.0, 0.0), |(a, s), t| (a + t.0, s + t.1));
         let mut fair = vec![1.0; wants.len()];
-        pass(
+        admitted_ratios(
             &wants,
             &TENANTS,
             (served / f64::max(all, 1.0)) as f32,
@@ -106,7 +106,7 @@
             *part = (part.0 + tenant.1, part.1 + tenant.0 * f64::from(*fair));
         }
     }
-    jain(
+    jain_index(
         &parts
             .iter()
             .map(|p| p.0 / f64::max(p.1, 1.0))
@@ -115,7 +115,7 @@
 }
 
 fn gateways(sums: &Sums) -> f64 {
-    jain(
+    jain_index(
         &sums
             .gateways
             .iter()
--- a/crates/fault-injection/src/admission/txns.rs
+++ b/crates/fault-injection/src/admission/txns.rs
@@ -1,6 +1,6 @@
 //! What becomes of one request in simulated time, from its coming to its end, at its gateway and at its server.
 
-use harrierdock_admission::{Ask, Decision, Event};
+use harrierdock_admission::{AdmissionRequest, Decision, Event};
 use harrierdock_types::ClassId;
 use harrierdock_types::TenantId;
 use harrierdock_types::TimeDelta;
@@ -59,14 +59,14 @@
             Way::Shared => {
                 let (id, class) = (RequestId(txn as u64), come.class);
                 let (tenant, zones, age, left) = (Some(come.tenant), 0, TimeDelta::ZERO, expiry);
-                let ask = Ask {
+                let ask = AdmissionRequest {
                     id,
                     class: ClassId(class),
                     tenant: tenant.map(TenantId),
                     zones,
                     age,
-                    left,
-                    ran: false,
+                    remaining: left,
+                    may_have_run: false,
                 };
                 let (now, admission) = (self.point(), self.gateways[gateway].admission.as_mut());
                 match admission.map(|a| a.decide(now, &ask)) {
@@ -75,7 +75,7 @@
                         self.waits[txn] = true;
                         self.sums.waited += 1;
                     }
-                    Some(Decision::Decline { .. }) => self.decline(txn),
+                    Some(Decision::Reject { .. }) => self.decline(txn),
                     _ => self.place(txn),
                 }
             }
@@ -150,7 +150,7 @@
         self.gateways[gateway].kept[server].out += 1;
         self.tell(
             gateway,
-            Event::Sent {
+            Event::AttemptStarted {
                 zone: ZoneId(self.day.zone(server)),
             },
         );
@@ -211,11 +211,11 @@
         );
         self.tell(
             job.gateway,
-            Event::Ended {
+            Event::AttemptFinished {
                 class: ClassId(class),
                 zone: ZoneId(zone),
                 outcome,
-                took,
+                duration: took,
             },
         );
         true
--- a/crates/fault-injection/src/admission/ways.rs
+++ b/crates/fault-injection/src/admission/ways.rs
@@ -3,7 +3,7 @@
 
 use std::collections::VecDeque;
 
-use harrierdock_admission::Admission;
+use harrierdock_admission::AdmissionController;
 use harrierdock_types::TimeDelta;
 
 use super::day::{Day, SLOTS};
@@ -140,7 +140,7 @@
     pub up: bool,
     pub kept: Vec<Kept>,
     pub circle: Circle,
-    pub admission: Option<Admission>,
+    pub admission: Option<AdmissionController>,
 }
 
 /// The one dispatcher's choice: the shortest queue, and whether what comes may stand behind it.
