--- a/crates/gateway/src/cli/arguments.rs
+++ b/crates/gateway/src/cli/arguments.rs
@@ -5,6 +5,7 @@
 
 use bpaf::Bpaf;
 use harrierdock_event_loop::logging::{Format, Level};
+use thiserror::Error;
 
 /// The gateway that routes requests and votes on staged releases.
 #[derive(Bpaf, Clone, Debug)]
@@ -18,13 +19,13 @@
         log: Level,
         /// How log lines are written: plain, or json (one object a line)
         #[bpaf(long("log-form"), argument("FORM"), fallback(Format::Plain))]
-        form: Format,
+        format: Format,
         /// The configuration, instead of the file that LB_CONFIG names
         #[bpaf(long("config"), argument("FILE"))]
         config: Option<PathBuf>,
         /// What this installation has beyond the configuration: a JSON file of the form that `schema` prints
         #[bpaf(long("with"), argument("FILE"))]
-        with: Option<PathBuf>,
+        extension: Option<PathBuf>,
     },
     /// Reads a configuration and says what it holds, or in one line what is wrong with it.
     #[bpaf(command)]
@@ -34,14 +35,14 @@
         config: Option<PathBuf>,
         /// The file beside it that `serve --with` would read
         #[bpaf(long("with"), argument("FILE"))]
-        with: Option<PathBuf>,
+        extension: Option<PathBuf>,
     },
     /// Prints the JSON schema of the file that `--with` names.
     #[bpaf(command)]
     Schema,
     /// Makes and shows the keys of links between sites.
     #[bpaf(command)]
-    Keys(#[bpaf(external(keys))] Keys),
+    Keys(#[bpaf(external(keys_command))] KeysCommand),
     /// Prints files of exported flows by release, stage and request class, and draws them.
     #[bpaf(command)]
     Flows {
@@ -60,7 +61,7 @@
         control: PathBuf,
         /// drain: hand this site's requests over and take none; resume: end that; status: how things stand
         #[bpaf(positional("WORD"))]
-        word: Word,
+        command: SiteCommand,
     },
     /// Prints the version.
     #[bpaf(command)]
@@ -69,7 +70,7 @@
 
 /// What `keys` does.
 #[derive(Bpaf, Clone, Debug)]
-pub enum Keys {
+pub enum KeysCommand {
     /// Makes an authority that both sites believe: FOLDER/authority.pem and FOLDER/authority.key.
     #[bpaf(command)]
     Authority {
@@ -102,29 +103,43 @@
     },
 }
 
-/// What can be said by hand.
+/// What an operator may have a gateway do.
 #[derive(Clone, Copy, Debug)]
-pub enum Word {
+pub enum SiteCommand {
+    /// Forward this site's requests and accept none.
     Drain,
+    /// End that.
     Resume,
+    /// Report how things stand.
     Status,
 }
 
-impl Word {
+/// A command has another name.
+#[derive(Debug, Error)]
+#[error("'{name}' is none of drain, resume, status")]
+pub struct UnknownSiteCommand {
+    name: String,
+}
+
+impl SiteCommand {
+    /// Its name, on the command line and on the control socket.
     pub fn as_str(self) -> &'static str {
         match self {
-            Word::Drain => "drain",
-            Word::Resume => "resume",
-            Word::Status => "status",
+            SiteCommand::Drain => "drain",
+            SiteCommand::Resume => "resume",
+            SiteCommand::Status => "status",
         }
     }
 }
 
-impl FromStr for Word {
-    type Err = String;
-    fn from_str(text: &str) -> Result<Word, String> {
-        let known = [Word::Drain, Word::Resume, Word::Status];
-        let found = known.into_iter().find(|w| w.as_str() == text);
-        found.ok_or_else(|| format!("'{text}' is none of drain, resume, status"))
+impl FromStr for SiteCommand {
+    type Err = UnknownSiteCommand;
+
+    fn from_str(name: &str) -> Result<SiteCommand, UnknownSiteCommand> {
+        let commands = [SiteCommand::Drain, SiteCommand::Resume, SiteCommand::Status];
+        commands
+            .into_iter()
+            .find(|command| command.as_str() == name)
+            .ok_or_else(|| UnknownSiteCommand { name: name.into() })
     }
 }
--- a/crates/gateway/src/cli/mod.rs
+++ b/crates/gateway/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! Sub-commands and their arguments.
+//! The command line and `harrierdock keys`.
 
 pub mod arguments;
 pub mod keys;
--- a/crates/gateway/src/config/gateway.rs
+++ b/crates/gateway/src/config/gateway.rs
@@ -1,4 +1,4 @@
-//! What a gateway is told, at its start and again at a reload: the configuration, and the variables beside it.
+//! The platform's configuration of a gateway, read at its start and again at a reload, and the environment beside it.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -8,168 +8,271 @@
 use serde::Deserialize;
 use serde_json::{Map, Value};
 
-use crate::config::extensions::With;
-use crate::config::lease::Beside;
+use super::error::{ConfigError, ExtensionError, FileError};
+use super::extension::ExtensionConfig;
+use super::lease::FleetContext;
 use crate::control_plane::discovery_messages::EndpointListMessage;
 use crate::control_plane::rollout_messages::RolloutMessage;
 
+const PATH_VARIABLE: &str = "LB_CONFIG";
+const HEXADECIMAL: u32 = 16;
+
+/// A field that a variable of the environment may give.
+struct EnvironmentField {
+    variable: &'static str,
+    field: &'static str,
+}
+
+const ENVIRONMENT_FIELDS: [EnvironmentField; 3] = [
+    EnvironmentField {
+        variable: "LB_NAME",
+        field: "name",
+    },
+    EnvironmentField {
+        variable: "LB_LISTEN",
+        field: "listen",
+    },
+    EnvironmentField {
+        variable: "LB_DISCOVERY",
+        field: "discovery",
+    },
+];
+
+/// Whether the environment or the file comes first.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Precedence {
+    Environment,
+    File,
+}
+
+/// The configuration of a gateway.
 #[derive(Deserialize)]
-pub struct Told {
+#[serde(rename = "Told")]
+pub struct GatewayConfig {
+    /// The file it was read from.
     #[serde(skip)]
     pub path: PathBuf,
+    /// This gateway's name.
     #[serde(default)]
     pub name: String,
+    /// Where clients are served.
     pub listen: SocketAddr,
+    /// The address of discovery.
     pub discovery: SocketAddr,
     #[serde(default)]
     seed: String,
+    /// The limits of the process.
     #[serde(default)]
-    pub limits: LimitsTold,
-    pub peer_listen: Option<SocketAddr>,
+    pub limits: ProcessLimits,
+    /// Where peers are heard, if there are any.
+    #[serde(rename = "peer_listen")]
+    pub gossip_listen: Option<SocketAddr>,
+    /// The addresses of all gateways of the fleet, by their `PeerId`.
     #[serde(default)]
     pub peers: Vec<SocketAddr>,
-    pub peers_all: Option<SocketAddr>,
-    pub rollouts: Option<RolloutsTold>,
-    #[serde(default)]
-    pub known: EndpointListMessage,
+    /// Where a datagram reaches all peers.
+    #[serde(rename = "peers_all")]
+    pub broadcast: Option<SocketAddr>,
+    /// The rollout platform, if there is one.
+    pub rollouts: Option<RolloutPlatformConfig>,
+    /// The endpoint list that was kept from an earlier start.
+    #[serde(default, rename = "known")]
+    pub cached_list: EndpointListMessage,
     settings: Value,
 }
 
+/// The limits of the process.
 #[derive(Clone, Deserialize)]
-#[serde(default)]
-pub struct LimitsTold {
+#[serde(default, rename = "LimitsTold")]
+pub struct ProcessLimits {
+    /// Memory in megabytes.
     pub memory_mb: usize,
-    pub sockets: usize,
+    /// File descriptors.
+    #[serde(rename = "sockets")]
+    pub descriptors: usize,
 }
 
-impl Default for LimitsTold {
-    /// The least that a scored day grants.
-    fn default() -> LimitsTold {
-        LimitsTold {
+impl Default for ProcessLimits {
+    /// The least that the platform grants.
+    fn default() -> ProcessLimits {
+        ProcessLimits {
             memory_mb: 192,
-            sockets: 1024,
+            descriptors: 1024,
         }
     }
 }
 
+/// Where the rollout platform is, and what it said last.
 #[derive(Deserialize)]
-pub struct RolloutsTold {
+#[serde(rename = "RolloutsTold")]
+pub struct RolloutPlatformConfig {
+    /// Its address.
     pub address: SocketAddr,
-    pub news: Option<RolloutMessage>,
+    /// The state of the newest rollout, as far as it is known at the start.
+    #[serde(rename = "news")]
+    pub state: Option<RolloutMessage>,
 }
 
-impl Told {
-    /// Reads the configuration at `path`, or at `LB_CONFIG`; the variables of the environment come first.
-    pub fn read(path: Option<PathBuf>) -> Result<Told, String> {
-        let named = || std::env::var_os("LB_CONFIG").map(PathBuf::from);
+impl GatewayConfig {
+    /// Reads the configuration at `path`, or else at the path that `LB_CONFIG` names. Variables of the environment come before
+    /// the file.
+    ///
+    /// # Errors
+    ///
+    /// The file cannot be read, or a field is refused.
+    pub fn read(path: Option<PathBuf>) -> Result<GatewayConfig, ConfigError> {
         let path = path
-            .or_else(named)
-            .ok_or("no configuration: LB_CONFIG is not set")?;
-        Told::parse(&path, |fields, field, value| {
-            fields.insert(field.into(), value);
-        })
+            .or_else(|| std::env::var_os(PATH_VARIABLE).map(PathBuf::from))
+            .ok_or(ConfigError::NoPath)?;
+        GatewayConfig::read_file(&path, Precedence::Environment)
     }
 
-    /// Reads the file again. Guards against the variables of the start, which cannot change, hiding what the
-    /// file tells now: they fill in only what it leaves out.
-    pub fn read_again(path: &Path) -> Result<Told, String> {
-        Told::parse(path, |fields, field, value| {
-            fields.entry(field).or_insert(value);
-        })
+    /// Reads the file again. The environment cannot have changed since the start, so the file comes before it now.
+    ///
+    /// # Errors
+    ///
+    /// As in `read`.
+    pub fn read_again(path: &Path) -> Result<GatewayConfig, ConfigError> {
+        GatewayConfig::read_file(path, Precedence::File)
     }
 
-    fn parse(
-        path: &Path,
-        set: impl Fn(&mut Map<String, Value>, &str, Value),
-    ) -> Result<Told, String> {
-        let wrong = |e: &dyn std::fmt::Display| format!("{}: {e}", path.display());
-        let text = std::fs::read_to_string(path).map_err(|e| wrong(&e))?;
-        let mut value: Value = serde_json::from_str(&text).map_err(|e| wrong(&e))?;
-        let fields = value
-            .as_object_mut()
-            .ok_or_else(|| wrong(&"not an object"))?;
-        for (variable, field) in [
-            ("LB_NAME", "name"),
-            ("LB_LISTEN", "listen"),
-            ("LB_DISCOVERY", "discovery"),
-        ] {
-            if let Ok(value) = std::env::var(variable) {
-                set(fields, field, value.into());
-            }
-        }
-        let told: Told = serde_path_to_error::deserialize(value).map_err(|e| wrong(&e))?;
-        let told = Told {
+    fn read_file(path: &Path, precedence: Precedence) -> Result<GatewayConfig, ConfigError> {
+        let parsed = parse(path, precedence).map_err(|source| ConfigError::File {
+            path: path.into(),
+            source,
+        })?;
+        let config = GatewayConfig {
             path: path.into(),
-            ..told
+            ..parsed
         };
-        told.terms().map(|_| told)
+        config.parameters()?;
+        Ok(config)
     }
 
-    pub fn terms(&self) -> Result<(Parameters, Names), String> {
-        harrierdock_config::read(&self.settings)
-            .map_err(|e| format!("{}: settings.{e}", self.path.display()))
+    /// The policy's parameters, and the names that their ids stand for.
+    ///
+    /// # Errors
+    ///
+    /// A setting is refused. Not after `read` has succeeded.
+    pub fn parameters(&self) -> Result<(Parameters, Names), ConfigError> {
+        harrierdock_config::read(&self.settings).map_err(|source| ConfigError::Settings {
+            path: self.path.clone(),
+            source,
+        })
     }
 
-    /// The seed as a number; one that is not hexadecimal still gives a number of its own.
+    /// The seed as a number. One that is not hexadecimal is hashed.
     pub fn seed(&self) -> u64 {
-        u64::from_str_radix(&self.seed, 16)
+        u64::from_str_radix(&self.seed, HEXADECIMAL)
             .unwrap_or_else(|_| harrierdock_config::fnv1a(&self.seed))
     }
 
-    /// What the configuration and the file beside it hold, in a line each.
-    pub fn checked(&self, with: Option<&Path>) -> Result<String, String> {
-        let held = With::read(with)?;
-        self.check_with(with, &held)?;
+    /// What the configuration and the extension file hold, a line each.
+    ///
+    /// # Errors
+    ///
+    /// The extension file is refused.
+    pub fn describe(&self, extension_path: Option<&Path>) -> Result<String, ConfigError> {
+        let extension = ExtensionConfig::read(extension_path)?;
+        self.check_extension(extension_path, &extension)?;
         let mut lines = vec![self.summary()?];
-        if let Some(sites) = &held.sites {
-            let (own, other) = (sites.own(&self.name), &sites.other);
-            let many = other.gateways.len();
+        if let Some(sites) = &extension.sites {
             lines.push(format!(
-                "{own} links on {} with {many} of {}",
-                sites.listen, other.site
+                "{} links on {} with {} of {}",
+                sites.local_name(&self.name),
+                sites.listen,
+                sites.other.gateways.len(),
+                sites.other.site
             ));
         }
-        lines.extend(held.fleet.as_ref().map(|f| f.summary(&self.name)));
+        if let Some(leases) = &extension.leases {
+            lines.push(leases.summary(&self.name));
+        }
         Ok(lines.join("\n"))
     }
 
-    /// Refuses a file that does not go with the configuration.
-    pub fn check_with(&self, path: Option<&Path>, with: &With) -> Result<(), String> {
-        let (_, names) = self.terms()?;
+    /// Checks that an extension fits the configuration.
+    ///
+    /// # Errors
+    ///
+    /// The field that does not fit, behind the file if it has one.
+    pub fn check_extension(
+        &self,
+        path: Option<&Path>,
+        extension: &ExtensionConfig,
+    ) -> Result<(), ConfigError> {
+        let (_, names) = self.parameters()?;
         let classes: Vec<&str> = names.classes.iter().collect();
-        let file = path.map_or(String::new(), |p| format!("{}: ", p.display()));
-        let fleet = with.check_fleet(&self.beside()?).map_err(|e| e.to_string());
-        fleet
-            .and_then(|()| with.check(&self.name, &classes))
-            .map_err(|e| format!("{file}{e}"))
+        let fleet = self.fleet_context()?;
+        let checked = extension
+            .check_leases(&fleet)
+            .map_err(ExtensionError::from)
+            .and_then(|()| extension.check(&self.name, &classes));
+        match (checked, path) {
+            (Ok(()), _) => Ok(()),
+            (Err(source), None) => Err(source.into()),
+            (Err(source), Some(path)) => Err(ConfigError::ExtensionFile {
+                path: path.into(),
+                source,
+            }),
+        }
     }
 
-    /// The configuration's side of what a fleet is told.
-    pub fn beside(&self) -> Result<Beside<'_>, String> {
-        let ordinal = self.terms()?.0.local_peer.0;
-        let (peers, hears) = (self.peers.len(), self.peer_listen.is_some());
-        Ok(Beside {
+    /// What the lease settings have to agree with.
+    ///
+    /// # Errors
+    ///
+    /// A setting is refused. Not after `read` has succeeded.
+    pub fn fleet_context(&self) -> Result<FleetContext<'_>, ConfigError> {
+        let (parameters, _) = self.parameters()?;
+        Ok(FleetContext {
             name: &self.name,
-            ordinal,
-            peers,
-            hears,
+            ordinal: parameters.local_peer.0,
+            peer_count: self.peers.len(),
+            has_gossip: self.gossip_listen.is_some(),
         })
     }
 
     /// What the configuration holds, in one line.
-    pub fn summary(&self) -> Result<String, String> {
-        let (terms, names) = self.terms()?;
+    ///
+    /// # Errors
+    ///
+    /// A setting is refused. Not after `read` has succeeded.
+    fn summary(&self) -> Result<String, ConfigError> {
+        let (parameters, names) = self.parameters()?;
+        let platform = match &self.rollouts {
+            Some(rollouts) => format!("at {}", rollouts.address),
+            None => "none".into(),
+        };
         Ok(format!(
-            "{} listens on {}, discovery at {}, platform {}, {} of {} gateways, products {}, {} MB, {} descriptors",
+            "{} listens on {}, discovery at {}, platform {platform}, {} of {} gateways, products {}, {} MB, {} descriptors",
             self.name,
             self.listen,
             self.discovery,
-            self.rollouts.as_ref().map_or("none".into(), |r| format!("at {}", r.address)),
-            terms.local_peer,
-            terms.gateway_count,
+            parameters.local_peer,
+            parameters.gateway_count,
             names.classes.iter().collect::<Vec<_>>().join(" "),
             self.limits.memory_mb,
-            self.limits.sockets,
+            self.limits.descriptors,
         ))
     }
 }
+
+fn parse(path: &Path, precedence: Precedence) -> Result<GatewayConfig, FileError> {
+    let text = std::fs::read_to_string(path)?;
+    let mut value: Value = serde_json::from_str(&text)?;
+    let fields = value.as_object_mut().ok_or(FileError::NotAnObject)?;
+    apply_environment(fields, precedence);
+    Ok(serde_path_to_error::deserialize(value)?)
+}
+
+fn apply_environment(fields: &mut Map<String, Value>, precedence: Precedence) {
+    for EnvironmentField { variable, field } in ENVIRONMENT_FIELDS {
+        let Ok(value) = std::env::var(variable) else {
+            continue;
+        };
+        if precedence == Precedence::Environment || !fields.contains_key(field) {
+            fields.insert(field.into(), value.into());
+        }
+    }
+}
--- a/crates/gateway/src/dispatch/leases.rs
+++ b/crates/gateway/src/dispatch/leases.rs
@@ -4,11 +4,12 @@
 use harrierdock_rollout_controller::{self as rollout_controller, Event as RolloutEvent};
 use harrierdock_types::PeerId;
 
-use crate::config::extensions::With;
-use crate::config::gateway::Told;
+use crate::config::extension::ExtensionConfig;
+use crate::config::gateway::GatewayConfig;
 use crate::lease::participant::{LeaseAction, LeaseParticipant, Participation};
 use crate::metrics::Counter;
 use crate::rollout::commands::{CommandTimes, Controller, RolloutCommands};
+use crate::runtime::error::StartError;
 use crate::runtime::gateway::Gateway;
 use crate::runtime::timer::Timer;
 
@@ -20,18 +21,16 @@
     /// The settings do not fit.
     pub fn start_leases(
         &mut self,
-        config: &Told,
-        extension: &With,
+        config: &GatewayConfig,
+        extension: &ExtensionConfig,
         times: &CommandTimes,
-    ) -> Result<(), String> {
-        let Some(settings) = &extension.fleet else {
+    ) -> Result<(), StartError> {
+        let Some(settings) = &extension.leases else {
             return Ok(());
         };
-        let parameters = settings
-            .terms(&config.beside()?)
-            .map_err(|e| e.to_string())?;
+        let parameters = settings.parameters(&config.fleet_context()?)?;
         let now = self.context.now();
-        if let Some(controller) = &settings.steward {
+        if let Some(controller) = &settings.rollout_controller {
             let controller = Controller {
                 settings: controller,
                 name: &config.name,
@@ -126,9 +125,9 @@
     }
 
     /// Applies the lease settings that were read again. Settings that do not fit change nothing.
-    pub fn reload_electorate(&mut self, extension: &With) {
+    pub fn reload_electorate(&mut self, extension: &ExtensionConfig) {
         let now = self.context.now();
-        match (&mut self.leases, &extension.fleet) {
+        match (&mut self.leases, &extension.leases) {
             (Some(leases), Some(settings)) => match leases.reload(now, settings) {
                 Ok(actions) => self.execute_lease_actions(actions),
                 Err(e) => tracing::warn!("fleet: what is held stays: {e}"),
--- a/crates/gateway/src/dispatch/multi_site.rs
+++ b/crates/gateway/src/dispatch/multi_site.rs
@@ -12,7 +12,7 @@
     AffinityKey, BuildId, ClassId, Event as PolicyEvent, RequestId, TimeDelta, Timestamp,
 };
 
-use crate::config::extensions::With;
+use crate::config::extension::ExtensionConfig;
 use crate::downstream::Answer;
 use crate::metrics::Counter;
 use crate::multi_site::forwarding::{InboundAnswer, OutboundAttributes};
@@ -384,18 +384,17 @@
     }
 
     /// Uses new keys and certificates for the connections that come up from now on.
-    pub fn reload_site_keys(&mut self, extension: &With) {
+    pub fn reload_site_keys(&mut self, extension: &ExtensionConfig) {
         let Some(forwarding) = &mut self.forwarding else {
             return;
         };
-        let names_another_site = extension
-            .sites
-            .as_ref()
-            .is_some_and(|sites| sites.other.site != forwarding.other_site);
-        if names_another_site {
+        let Some(settings) = &extension.sites else {
+            return tracing::warn!("sites: the keys held stay: no sites");
+        };
+        if settings.other.site != forwarding.other_site {
             return tracing::warn!("sites: another other site counts from the next start on");
         }
-        match forwarding.reload_keys(extension) {
+        match forwarding.reload_keys(settings, extension.folder()) {
             Ok(()) => tracing::info!("sites: keys are read again"),
             Err(e) => tracing::warn!("sites: the keys held stay: {e}"),
         }
--- a/crates/gateway/src/downstream/listener.rs
+++ b/crates/gateway/src/downstream/listener.rs
@@ -13,6 +13,7 @@
 use super::Downstream;
 use crate::metrics::Counter;
 use crate::runtime::context::Context;
+use crate::runtime::error::WatchError;
 
 const BACKLOG: i32 = 1024;
 /// Connections accepted in one turn of the loop, so that a flood of them gives way to requests under way.
@@ -76,7 +77,7 @@
     /// # Errors
     ///
     /// The loop cannot watch the listener.
-    pub fn start_accepting(&mut self, context: &Context) -> Result<(), String> {
+    pub fn start_accepting(&mut self, context: &Context) -> Result<(), WatchError> {
         let source = Generic::new(self.listener.socket.clone(), Interest::READ, Mode::Level);
         let accept_connections = context.handlers.listener;
         let token = context
@@ -85,7 +86,7 @@
                 accept_connections(gateway);
                 Ok(PostAction::Continue)
             })
-            .map_err(|e| e.to_string())?;
+            .map_err(|e| WatchError(e.error))?;
         self.listener.token = Some(token);
         Ok(())
     }
--- a/crates/gateway/src/gossip.rs
+++ b/crates/gateway/src/gossip.rs
@@ -9,7 +9,7 @@
 use harrierdock_types::gossip;
 use harrierdock_types::{Event, GossipMessage, PeerId};
 
-use crate::config::gateway::Told;
+use crate::config::gateway::GatewayConfig;
 use crate::lease::participant::FIRST_LEASE_BYTE;
 use crate::metrics::Counter;
 use crate::runtime::context::{Context, InternalEvent};
@@ -37,11 +37,11 @@
     /// The address cannot be bound.
     pub fn open<D>(
         handle: &LoopHandle<'static, D>,
-        config: &Told,
+        config: &GatewayConfig,
         local_peer: PeerId,
         handle_readable: impl Fn(&mut D) + 'static,
     ) -> io::Result<Option<GossipSocket>> {
-        let Some(address) = config.peer_listen else {
+        let Some(address) = config.gossip_listen else {
             return Ok(None);
         };
         let socket = UdpSocket::bind(address)?;
@@ -58,7 +58,7 @@
         Ok(Some(GossipSocket {
             socket,
             peers: config.peers.clone(),
-            broadcast: config.peers_all,
+            broadcast: config.broadcast,
             local_peer,
         }))
     }
--- a/crates/gateway/src/lease/message_version.rs
+++ b/crates/gateway/src/lease/message_version.rs
@@ -1,10 +1,10 @@
-//! Overrides that fault injection configures in one gateway, to show that the others bear them: another version of the
+//! Faults that are injected in one gateway, to show that the others bear them: another version of the
 //! messages, and a clock that runs at another rate.
 
 use harrierdock_lease::codec;
 use harrierdock_types::{TimeDelta, Timestamp};
 
-use crate::config::lease::RehearsalTold;
+use crate::config::lease::InjectedFaults;
 
 /// Where the version stands in a message.
 const VERSION_BYTE: usize = 1;
@@ -15,8 +15,8 @@
 
 impl MessageVersion {
     /// The current version, or the one configured.
-    pub(super) fn new(overrides: Option<&RehearsalTold>) -> MessageVersion {
-        MessageVersion(overrides.map_or(codec::FORMAT_VERSION, |o| o.form))
+    pub(super) fn new(faults: Option<&InjectedFaults>) -> MessageVersion {
+        MessageVersion(faults.map_or(codec::FORMAT_VERSION, |o| o.message_version))
     }
 
     /// Exchanges the current version and the configured one in a message, whichever way it goes.
@@ -43,10 +43,10 @@
 
 impl LeaseClock {
     /// A clock that runs at the right rate, or at the one configured.
-    pub(super) fn new(start: Timestamp, overrides: Option<&RehearsalTold>) -> LeaseClock {
+    pub(super) fn new(start: Timestamp, faults: Option<&InjectedFaults>) -> LeaseClock {
         LeaseClock {
             start,
-            rate: overrides.map_or(1.0, |o| o.clock_rate),
+            rate: faults.map_or(1.0, |o| o.clock_rate),
         }
     }
 
--- a/crates/gateway/src/lease/participant.rs
+++ b/crates/gateway/src/lease/participant.rs
@@ -7,7 +7,7 @@
 use harrierdock_types::{PeerId, TimeDelta, Timestamp};
 
 use super::message_version::{LeaseClock, MessageVersion};
-use crate::config::lease::{FleetMisfit, FleetTold};
+use crate::config::lease::{LeaseConfig, LeaseConfigError};
 
 /// Binary messages, about leases or rollout votes, begin with this byte or a higher one. No text does.
 pub const FIRST_LEASE_BYTE: u8 = 0xF5;
@@ -68,7 +68,7 @@
 /// Who takes part, by which settings.
 pub struct Participation<'a> {
     /// The settings of the leases.
-    pub settings: &'a FleetTold,
+    pub settings: &'a LeaseConfig,
     /// The same, checked and parsed.
     pub parameters: LeaseParameters,
     /// This gateway's name.
@@ -82,7 +82,7 @@
     /// The deadline of the timer.
     pub timer_deadline: Option<Timestamp>,
     manager: LeaseManager,
-    settings: FleetTold,
+    settings: LeaseConfig,
     name: String,
     local_peer: PeerId,
     clock: LeaseClock,
@@ -102,7 +102,7 @@
             name,
             seed,
         } = participation;
-        let overrides = settings.rehearsal.as_ref();
+        let faults = settings.injected_faults.as_ref();
         let local_peer = parameters.own;
         let leases = parameters.leases.clone();
         let is_elector = parameters.electorate.electors.contains(&local_peer);
@@ -114,8 +114,8 @@
             settings: settings.clone(),
             name: name.into(),
             local_peer: local_peer,
-            clock: LeaseClock::new(now, overrides),
-            message_version: MessageVersion::new(overrides),
+            clock: LeaseClock::new(now, faults),
+            message_version: MessageVersion::new(faults),
             unreadable: UnreadableMessages::default(),
         };
         let mut actions = participant.handle(now, Event::TimerFired);
@@ -214,8 +214,8 @@
     pub fn reload(
         &mut self,
         now: Timestamp,
-        settings: &FleetTold,
-    ) -> Result<Vec<LeaseAction>, FleetMisfit> {
+        settings: &LeaseConfig,
+    ) -> Result<Vec<LeaseAction>, LeaseConfigError> {
         if settings.differs_beyond_electorate(&self.settings) {
             tracing::warn!(
                 "fleet: what is told beside the electorate counts from the next start on only"
@@ -227,9 +227,7 @@
             return Ok(Vec::new());
         }
         let next = settings.electorate(&self.name)?;
-        self.manager
-            .check_electorate_change(&next)
-            .map_err(FleetMisfit::of)?;
+        self.manager.check_electorate_change(&next)?;
         tracing::info!(
             "fleet: electorate {} begins: {}",
             next.number,
@@ -246,7 +244,7 @@
         let is_elector = next.electors.contains(&self.local_peer);
         let mut actions = self.handle(now, Event::ElectorateChanged(next));
         if was_elector != is_elector {
-            let leases = settings.duties.iter().filter_map(|name| name.parse().ok());
+            let leases = settings.leases.iter().filter_map(|name| name.parse().ok());
             for lease in leases {
                 let event = Event::CandidacyChanged {
                     lease,
@@ -270,7 +268,7 @@
         };
         let holders: String = self
             .settings
-            .duties
+            .leases
             .iter()
             .map(|lease| format!(" {lease}={}", holder_of(lease).unwrap_or("nobody")))
             .collect();
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -1,5 +1,5 @@
-//! `harrierdock`: the decision module as a gateway on sockets. `gateway` holds its parts and its loop; `driver`
-//! alone speaks with the module.
+//! `harrierdock`: a gateway that routes requests to endpoints and votes on the rollout of their new versions. `runtime` holds
+//! its parts and its event loop; `dispatch` alone speaks with the policy.
 
 mod cli;
 mod config;
@@ -14,61 +14,78 @@
 mod runtime;
 mod upstream;
 
+use std::error::Error;
 use std::io::{self, Write};
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
 use harrierdock_event_loop::logging;
 use harrierdock_flow_export::report::FlowReport;
 
-use cli::arguments::{command_line, Command, Keys};
-use config::gateway::Told;
+use cli::arguments::{command_line, Command, KeysCommand};
+use config::gateway::GatewayConfig;
 
-fn say(mut to: impl Write, line: &str) -> Result<(), String> {
-    writeln!(to, "{line}").map_err(|e| format!("cannot write: {e}"))
+/// The exit code of every failure.
+const FAILURE: u8 = 2;
+
+fn print(text: &str) -> Result<(), Box<dyn Error>> {
+    write_line(io::stdout(), text)
+}
+
+fn write_line(mut stream: impl Write, line: &str) -> Result<(), Box<dyn Error>> {
+    writeln!(stream, "{line}").map_err(|e| format!("cannot write: {e}").into())
 }
 
-fn run(command: Command) -> Result<(), String> {
-    let print = |text: String| say(io::stdout(), &text);
+fn run(command: Command) -> Result<(), Box<dyn Error>> {
     match command {
         Command::Serve {
             log,
-            form,
+            format,
             config,
-            with,
+            extension,
         } => {
-            logging::start(log, form);
-            runtime::event_loop::serve(&Told::read(config)?, with)
+            logging::start(log, format);
+            let config = GatewayConfig::read(config)?;
+            Ok(runtime::event_loop::serve(&config, extension)?)
         }
-        Command::Check { config, with } => {
-            let told = Told::read(config)?;
-            print(told.checked(with.as_deref())?)
+        Command::Check { config, extension } => {
+            let config = GatewayConfig::read(config)?;
+            print(&config.describe(extension.as_deref())?)
         }
-        Command::Schema => print(config::extensions::schema()),
-        Command::Keys(Keys::Authority { name, days, folder }) => {
-            print(cli::keys::make_authority(&folder, &name, days)?)
+        Command::Schema => print(&config::extension::schema()),
+        Command::Keys(command) => run_keys(command),
+        Command::Flows { chart, files } => report_flows(chart.as_deref(), &files),
+        Command::Site { command, control } => print(&multi_site::control_socket::send_command(
+            &control,
+            command.as_str(),
+        )?),
+        Command::Version => print(concat!("harrierdock ", env!("CARGO_PKG_VERSION"))),
+    }
+}
+
+fn run_keys(command: KeysCommand) -> Result<(), Box<dyn Error>> {
+    match command {
+        KeysCommand::Authority { name, days, folder } => {
+            print(&cli::keys::make_authority(&folder, &name, days)?)
         }
-        Command::Keys(Keys::Issue {
+        KeysCommand::Issue {
             days,
             folder,
             gateways,
-        }) => print(cli::keys::issue_all(&folder, &gateways, days)?),
-        Command::Keys(Keys::Show { file }) => print(cli::keys::show_file(&file)?),
-        Command::Flows { chart, files } => {
-            let report = FlowReport::read(&files).map_err(|e| e.to_string())?;
-            report
-                .notes()
-                .iter()
-                .try_for_each(|note| say(io::stderr(), note))?;
-            print(report.table())?;
-            chart.map_or(Ok(()), |path| {
-                report.draw_charts(&path).map_err(|e| e.to_string())
-            })
-        }
-        Command::Site { word, control } => print(multi_site::control_socket::send_command(
-            &control,
-            word.as_str(),
-        )?),
-        Command::Version => print(concat!("harrierdock ", env!("CARGO_PKG_VERSION")).into()),
+        } => print(&cli::keys::issue_all(&folder, &gateways, days)?),
+        KeysCommand::Show { file } => print(&cli::keys::show_file(&file)?),
+    }
+}
+
+fn report_flows(chart: Option<&Path>, files: &[PathBuf]) -> Result<(), Box<dyn Error>> {
+    let report = FlowReport::read(files)?;
+    for note in report.notes() {
+        write_line(io::stderr(), note)?;
+    }
+    print(&report.table())?;
+    match chart {
+        Some(path) => Ok(report.draw_charts(path)?),
+        None => Ok(()),
     }
 }
 
@@ -76,12 +93,10 @@
     match run(command_line().run()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
-            // With nobody left to read it, the exit code still tells.
-            let _ = say(
-                io::stderr(),
-                &format!("harrierdock: {}", e.replace('\n', " ")),
-            );
-            ExitCode::from(2)
+            let message = e.to_string().replace('\n', " ");
+            // If nobody reads standard error, the exit code still says it.
+            let _ = write_line(io::stderr(), &format!("harrierdock: {message}"));
+            ExitCode::from(FAILURE)
         }
     }
 }
--- a/crates/gateway/src/multi_site/control_socket.rs
+++ b/crates/gateway/src/multi_site/control_socket.rs
@@ -8,6 +8,7 @@
 use calloop::generic::{Generic, NoIoDrop};
 use calloop::{Interest, LoopHandle, Mode, PostAction, RegistrationToken};
 use harrierdock_types::{TimeDelta, Timestamp};
+use thiserror::Error;
 
 /// Connections at once.
 const MAX_CONNECTIONS: usize = 4;
@@ -17,6 +18,25 @@
 /// How long `send_command` waits for the response.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
 
+/// What is wrong with a control socket.
+#[derive(Debug, Error)]
+#[error("control socket {}: {source}", path.display())]
+pub struct ControlSocketError {
+    path: PathBuf,
+    source: ControlSocketFault,
+}
+
+/// The fault of a control socket.
+#[derive(Debug, Error)]
+pub enum ControlSocketFault {
+    /// It cannot be opened, read or written.
+    #[error("{0}")]
+    Io(#[from] io::Error),
+    /// The gateway closed it without a response.
+    #[error("no answer")]
+    NoResponse,
+}
+
 struct ControlConnection {
     opened_at: Timestamp,
     token: RegistrationToken,
@@ -38,8 +58,8 @@
         handle: &LoopHandle<'static, D>,
         path: PathBuf,
         accepted: fn(&mut D, UnixStream),
-    ) -> Result<ControlSocket, String> {
-        let error = |e: io::Error| socket_error(&path, &e);
+    ) -> Result<ControlSocket, ControlSocketError> {
+        let error = |e: io::Error| socket_error(&path, e.into());
         if UnixStream::connect(&path).is_ok() {
             return Err(error(io::Error::from(ErrorKind::AddrInUse)));
         }
@@ -111,8 +131,11 @@
     }
 }
 
-fn socket_error(path: &Path, error: &dyn std::fmt::Display) -> String {
-    format!("control socket {}: {error}", path.display())
+fn socket_error(path: &Path, source: ControlSocketFault) -> ControlSocketError {
+    ControlSocketError {
+        path: path.into(),
+        source,
+    }
 }
 
 /// Sends a command to a gateway's control socket and returns the response.
@@ -120,8 +143,8 @@
 /// # Errors
 ///
 /// Nobody listens there, or no response comes.
-pub fn send_command(path: &Path, command: &str) -> Result<String, String> {
-    let error = |e: io::Error| socket_error(path, &e);
+pub fn send_command(path: &Path, command: &str) -> Result<String, ControlSocketError> {
+    let error = |e: io::Error| socket_error(path, e.into());
     let mut stream = UnixStream::connect(path).map_err(error)?;
     stream
         .set_read_timeout(Some(RESPONSE_TIMEOUT))
@@ -130,7 +153,7 @@
     let mut response = String::new();
     stream.read_to_string(&mut response).map_err(error)?;
     if response.is_empty() {
-        return Err(socket_error(path, &"no answer"));
+        return Err(socket_error(path, ControlSocketFault::NoResponse));
     }
     Ok(response.trim_end().to_string())
 }
--- a/crates/gateway/src/multi_site/forwarding.rs
+++ b/crates/gateway/src/multi_site/forwarding.rs
@@ -4,6 +4,7 @@
 use std::collections::BTreeMap;
 use std::io::{self, ErrorKind};
 use std::net::{SocketAddr, UdpSocket};
+use std::path::Path;
 use std::rc::Rc;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
@@ -14,14 +15,17 @@
 use harrierdock_site_messages::{
     self as site_messages, ForwardedRequest, ForwardingOutcome, GatewayName, SiteMessage,
 };
-use harrierdock_site_transport::{Delivery, PathId, SiteTransport};
+use harrierdock_site_transport::{Delivery, PathId, SetupError, SiteTransport};
 use harrierdock_types::{AffinityKey, BuildId, Parameters, RequestId, TimeDelta, Timestamp};
 use socket2::{Domain, Protocol, Socket, Type};
+use thiserror::Error;
 
 use super::inbound::InboundRequests;
 use super::log::Refusals;
-use crate::config::extensions::{Between, With};
-use crate::config::gateway::Told;
+use crate::config::error::{ConfigError, ExtensionError};
+use crate::config::extension::ExtensionConfig;
+use crate::config::gateway::GatewayConfig;
+use crate::config::sites::SiteSettings;
 use crate::runtime::context::{Context, OutboundRequest};
 use crate::runtime::timer::Timer;
 
@@ -37,6 +41,31 @@
 /// A transport deadline that moves by less than this keeps its timer.
 const TIMER_SLACK_MICROS: i64 = 1000;
 
+/// Why the transport to the other site cannot be opened, or its keys not be replaced.
+#[derive(Debug, Error)]
+pub enum ForwardingError {
+    /// The configuration is refused.
+    #[error(transparent)]
+    Config(#[from] ConfigError),
+    /// The key files cannot be used.
+    #[error(transparent)]
+    Extension(#[from] ExtensionError),
+    /// The keys do not fit the transport.
+    #[error("sites.keys: {0}")]
+    Keys(#[from] SetupError),
+    /// The socket cannot be opened.
+    #[error("sites.listen: {address}: {source}")]
+    Listen {
+        /// Where.
+        address: SocketAddr,
+        /// Why.
+        source: io::Error,
+    },
+    /// The loop cannot watch the socket.
+    #[error("sites: {0}")]
+    Watch(#[source] calloop::Error),
+}
+
 /// The answer to a request that the other site has forwarded.
 pub struct InboundAnswer {
     /// How it ended.
@@ -125,18 +154,20 @@
     /// The keys cannot be read, or the address cannot be bound.
     pub fn open(
         context: &Context,
-        config: &Told,
-        extension: &With,
-    ) -> Result<Option<Forwarding>, String> {
+        config: &GatewayConfig,
+        extension: &ExtensionConfig,
+    ) -> Result<Option<Forwarding>, ForwardingError> {
         let Some(settings) = &extension.sites else {
             return Ok(None);
         };
-        let (parameters, names) = config.terms()?;
-        let local_name = settings.own(&config.name);
-        let credentials = extension.credentials(&local_name)?;
-        let transport = SiteTransport::new(&credentials, &settings.other.site)
-            .map_err(|e| format!("sites.keys: {e}"))?;
-        let listen_error = |e: io::Error| format!("sites.listen: {}: {e}", settings.listen);
+        let (parameters, names) = config.parameters()?;
+        let local_name = settings.local_name(&config.name);
+        let credentials = settings.credentials(&local_name, extension.folder())?;
+        let transport = SiteTransport::new(&credentials, &settings.other.site)?;
+        let listen_error = |source: io::Error| ForwardingError::Listen {
+            address: settings.listen,
+            source,
+        };
         let socket = Rc::new(bind(settings.listen).map_err(listen_error)?);
         let address = socket.local_addr().map_err(listen_error)?;
         let site_config = MultiSiteConfig {
@@ -257,11 +288,14 @@
     /// # Errors
     ///
     /// They cannot be read, or do not fit; the former keys stay.
-    pub fn reload_keys(&mut self, extension: &With) -> Result<(), String> {
-        let credentials = extension.credentials(&self.local_name)?;
-        self.transport
-            .replace_credentials(&credentials)
-            .map_err(|e| format!("sites.keys: {e}"))
+    pub fn reload_keys(
+        &mut self,
+        settings: &SiteSettings,
+        folder: &Path,
+    ) -> Result<(), ForwardingError> {
+        let credentials = settings.credentials(&self.local_name, folder)?;
+        self.transport.replace_credentials(&credentials)?;
+        Ok(())
     }
 }
 
@@ -275,7 +309,7 @@
     Ok(socket.into())
 }
 
-fn watch(context: &Context, socket: &Rc<UdpSocket>) -> Result<(), String> {
+fn watch(context: &Context, socket: &Rc<UdpSocket>) -> Result<(), ForwardingError> {
     let source = Generic::new(socket.clone(), Interest::READ, Mode::Level);
     let handle_transport = context.handlers.site_transport;
     context
@@ -285,7 +319,7 @@
             Ok(PostAction::Continue)
         })
         .map(|_| ())
-        .map_err(|e| format!("sites: {}", e.error))
+        .map_err(|e| ForwardingError::Watch(e.error))
 }
 
 /// Unix time in microseconds, which is above that of this gateway's earlier starts.
@@ -297,13 +331,13 @@
 }
 
 fn request_classes(
-    settings: &Between,
+    settings: &SiteSettings,
     parameters: &Parameters,
     names: &Names,
 ) -> Vec<RequestClass> {
     let spans = |name: &str| {
         settings
-            .groups_spanning
+            .classes_deduplicated_across_sites
             .iter()
             .any(|spanning| spanning == name)
     };
--- a/crates/gateway/src/rollout/commands.rs
+++ b/crates/gateway/src/rollout/commands.rs
@@ -13,7 +13,7 @@
 
 use super::deployment_messages::{CommandMessage, ResponseMessage, COMMANDS_PATH};
 use super::log;
-use crate::config::lease::StewardTold;
+use crate::config::lease::RolloutControllerConfig;
 
 /// A command that is retried waits for this share of its timeout first.
 const RETRY_DELAY_DIVISOR: f64 = 2.0;
@@ -31,7 +31,7 @@
 /// Who sends commands, and where to.
 pub struct Controller<'a> {
     /// The settings of the rollout controller.
-    pub settings: &'a StewardTold,
+    pub settings: &'a RolloutControllerConfig,
     /// This gateway's name.
     pub name: &'a str,
     /// This gateway.
@@ -136,9 +136,9 @@
         let parameters = RolloutControllerParameters {
             own: controller.local_peer,
             gateway_count: controller.gateway_count,
-            promote_votes_ratio: settings.on_votes,
-            roll_back_votes_ratio: settings.back_votes,
-            decision_timeout: TimeDelta::from_millis(i64::from(settings.bound_ms)),
+            promote_votes_ratio: settings.promote_ratio,
+            roll_back_votes_ratio: settings.roll_back_ratio,
+            decision_timeout: TimeDelta::from_millis(i64::from(settings.decision_timeout_ms)),
             vote_ttl: times.vote_ttl,
             // As often as leases are renewed: a lost vote costs no more than a lost renewal.
             resend_interval: times.heartbeat,
@@ -148,7 +148,7 @@
         RolloutCommands {
             timer_deadline: None,
             controller: RolloutController::new(now, parameters),
-            address: settings.installation,
+            address: settings.deployment_controller,
             gateway_name: controller.name.into(),
             incarnation,
             timeout: times.timeout,
--- a/crates/gateway/src/runtime/event_loop.rs
+++ b/crates/gateway/src/runtime/event_loop.rs
@@ -4,7 +4,8 @@
 
 use calloop::EventLoop;
 
-use crate::config::gateway::Told;
+use crate::config::gateway::GatewayConfig;
+use crate::runtime::error::StartError;
 use crate::runtime::gateway::Gateway;
 use crate::runtime::timer::Timer;
 
@@ -13,14 +14,13 @@
 /// # Errors
 ///
 /// The configuration does not fit, or a socket cannot be opened.
-pub fn serve(config: &Told, extension_path: Option<PathBuf>) -> Result<(), String> {
-    let mut event_loop: EventLoop<Gateway> =
-        EventLoop::try_new().map_err(|e| format!("no event loop: {e}"))?;
+pub fn serve(config: &GatewayConfig, extension_path: Option<PathBuf>) -> Result<(), StartError> {
+    let mut event_loop: EventLoop<Gateway> = EventLoop::try_new().map_err(StartError::EventLoop)?;
     let mut gateway = Gateway::start(config, extension_path, &event_loop)?;
     let address = gateway
         .downstream
         .local_address()
-        .map_err(|e| format!("no address: {e}"))?;
+        .map_err(StartError::Address)?;
     tracing::info!("{} serves on {address}", config.name);
     while !gateway.shutdown.is_complete {
         gateway.turn(&mut event_loop);
--- a/crates/gateway/src/runtime/mod.rs
+++ b/crates/gateway/src/runtime/mod.rs
@@ -1,6 +1,7 @@
 //! The event loop of a gateway: what its parts share, what sockets and timers call, how it starts, reloads and ends.
 
 pub mod context;
+pub mod error;
 pub mod event_loop;
 pub mod gateway;
 mod maintenance;
--- a/crates/gateway/src/runtime/reload.rs
+++ b/crates/gateway/src/runtime/reload.rs
@@ -1,7 +1,8 @@
 //! Reloading: addresses, keys, the electorate and collectors may change while the gateway runs.
 
-use crate::config::extensions::With;
-use crate::config::gateway::{RolloutsTold, Told};
+use crate::config::error::{ConfigError, ExtensionError};
+use crate::config::extension::ExtensionConfig;
+use crate::config::gateway::{GatewayConfig, RolloutPlatformConfig};
 use crate::control_plane::rollout_platform::RolloutPlatform;
 use crate::runtime::gateway::Gateway;
 
@@ -9,7 +10,7 @@
     /// Reads the configuration again and switches to the addresses it names. Connections, requests under way and the endpoint
     /// list stay. A file that cannot be read changes nothing.
     pub(super) fn reload(&mut self) {
-        match Told::read_again(&self.config_path) {
+        match GatewayConfig::read_again(&self.config_path) {
             Ok(config) => {
                 tracing::info!("told to reload");
                 self.apply_reloaded(&config);
@@ -18,13 +19,13 @@
         }
     }
 
-    fn apply_reloaded(&mut self, config: &Told) {
+    fn apply_reloaded(&mut self, config: &GatewayConfig) {
         if self.extension_path.is_some() {
             self.reload_extension(config);
         }
         self.discovery
             .set_address(&mut self.context, config.discovery);
-        if let Some(RolloutsTold { address, .. }) = config.rollouts {
+        if let Some(RolloutPlatformConfig { address, .. }) = config.rollouts {
             let new_client =
                 || RolloutPlatform::new(address, self.vote_timeout, self.maintenance_interval);
             self.rollout_platform
@@ -33,8 +34,8 @@
         }
     }
 
-    fn reload_extension(&mut self, config: &Told) {
-        let extension = match With::read(self.extension_path.as_deref()) {
+    fn reload_extension(&mut self, config: &GatewayConfig) {
+        let extension = match ExtensionConfig::read(self.extension_path.as_deref()) {
             Ok(extension) => extension,
             Err(e) => return tracing::warn!("told to reload, the keys held stay: {e}"),
         };
@@ -46,13 +47,13 @@
         }
     }
 
-    fn apply_extension(&mut self, extension: &With) {
+    fn apply_extension(&mut self, extension: &ExtensionConfig) {
         self.reload_site_keys(extension);
         self.reload_electorate(extension);
         self.reload_collectors(extension);
     }
 
-    fn reload_collectors(&mut self, extension: &With) {
+    fn reload_collectors(&mut self, extension: &ExtensionConfig) {
         let now = self.context.now();
         let renewed = match &mut self.exporter {
             Some(exporter) => exporter.reload(now, extension.flows.as_ref(), extension.folder()),
@@ -69,9 +70,11 @@
 }
 
 /// Checks what may change while the gateway runs: collectors and the electorate.
-fn check_reloaded(config: &Told, extension: &With) -> Result<(), String> {
-    let lease = config
-        .beside()
-        .and_then(|beside| extension.check_fleet(&beside).map_err(|e| e.to_string()));
-    extension.check_flows().and(lease)
+fn check_reloaded(config: &GatewayConfig, extension: &ExtensionConfig) -> Result<(), ConfigError> {
+    let fleet = config.fleet_context()?;
+    extension.check_flows()?;
+    extension
+        .check_leases(&fleet)
+        .map_err(ExtensionError::from)?;
+    Ok(())
 }
--- a/crates/gateway/src/runtime/startup.rs
+++ b/crates/gateway/src/runtime/startup.rs
@@ -6,20 +6,21 @@
 use calloop::EventLoop;
 use harrierdock_config::Names;
 use harrierdock_event_loop::{BufferPool, DescriptorBudget, IoContext};
-use harrierdock_flow_export::{ExporterSetup, FlowExporter};
+use harrierdock_flow_export::{ExporterSetup, FlowExportError, FlowExporter};
 use harrierdock_types::{Parameters, TimeDelta};
 
-use crate::config::extensions::With;
-use crate::config::gateway::Told;
+use crate::config::extension::ExtensionConfig;
+use crate::config::gateway::GatewayConfig;
 use crate::control_plane::discovery::Discovery;
 use crate::control_plane::rollout_platform::RolloutPlatform;
 use crate::dispatch::dispatcher::Dispatcher;
 use crate::downstream::{Downstream, DownstreamSettings, MIN_IDLE_TIME};
 use crate::gossip::GossipSocket;
-use crate::multi_site::control_socket::ControlSocket;
+use crate::multi_site::control_socket::{ControlSocket, ControlSocketError};
 use crate::multi_site::forwarding::Forwarding;
 use crate::rollout::commands::CommandTimes;
 use crate::runtime::context::Context;
+use crate::runtime::error::{StartError, WatchError};
 use crate::runtime::gateway::Gateway;
 use crate::runtime::reporting::REPORT_INTERVAL;
 use crate::runtime::shutdown::ShutdownState;
@@ -42,13 +43,13 @@
     ///
     /// The settings do not fit, or a socket cannot be opened.
     pub(super) fn start(
-        config: &Told,
+        config: &GatewayConfig,
         extension_path: Option<PathBuf>,
         event_loop: &EventLoop<'static, Gateway>,
-    ) -> Result<Gateway, String> {
-        let extension = With::read(extension_path.as_deref())?;
-        config.check_with(extension_path.as_deref(), &extension)?;
-        let (parameters, names) = config.terms()?;
+    ) -> Result<Gateway, StartError> {
+        let extension = ExtensionConfig::read(extension_path.as_deref())?;
+        config.check_extension(extension_path.as_deref(), &extension)?;
+        let (parameters, names) = config.parameters()?;
         let mut context = new_context(config, &extension, event_loop);
         let limits = &parameters.limits;
         let maintenance_interval = limits
@@ -61,7 +62,7 @@
             parameters.local_peer,
             handle_gossip,
         )
-        .map_err(|e| format!("cannot hear peers: {e}"))?;
+        .map_err(StartError::Gossip)?;
         let forwarding = Forwarding::open(&context, config, &extension)?;
         let control_socket = open_control_socket(&context, &extension)?;
         let vote_timeout = parameters.rollout.vote_timeout;
@@ -111,17 +112,17 @@
     /// Applies what the configuration says of endpoints and rollouts, starts the leases, and begins to accept connections.
     fn apply_initial_state(
         &mut self,
-        config: &Told,
-        extension: &With,
+        config: &GatewayConfig,
+        extension: &ExtensionConfig,
         command_times: &CommandTimes,
-    ) -> Result<(), String> {
+    ) -> Result<(), StartError> {
         self.discovery.apply_cached(
             &mut self.context,
             &mut self.dispatcher.names,
             &mut self.upstream,
-            &config.known,
+            &config.cached_list,
         );
-        let update = config.rollouts.as_ref().and_then(|r| r.news);
+        let update = config.rollouts.as_ref().and_then(|r| r.state);
         if let (Some(platform), Some(update)) = (&mut self.rollout_platform, update) {
             platform.apply_update(&mut self.context, update, false);
         }
@@ -130,43 +131,51 @@
         self.start_leases(config, extension, command_times)?;
         self.process_events();
         self.update_readiness();
-        self.downstream.start_accepting(&self.context)
+        self.downstream
+            .start_accepting(&self.context)
+            .map_err(StartError::Watch)
     }
 }
 
 fn new_context(
-    config: &Told,
-    extension: &With,
+    config: &GatewayConfig,
+    extension: &ExtensionConfig,
     event_loop: &EventLoop<'static, Gateway>,
 ) -> Context {
     let pool = BufferPool::new(config.limits.memory_mb);
     let reserved = RESERVED_DESCRIPTORS + extension.descriptors();
-    let descriptors = DescriptorBudget::new(config.limits.sockets, reserved);
+    let descriptors = DescriptorBudget::new(config.limits.descriptors, reserved);
     let io = IoContext::new(event_loop.handle(), pool, descriptors);
     Context::new(io, SocketHandlers::of_gateway())
 }
 
 fn bind_downstream(
-    config: &Told,
+    config: &GatewayConfig,
     parameters: &Parameters,
     names: &Names,
     stall_timeout: TimeDelta,
-) -> Result<Downstream, String> {
+) -> Result<Downstream, StartError> {
     let settings = DownstreamSettings {
         address: config.listen,
         classes: names.classes.clone(),
         idle_timeout: parameters.limits.idle_timeout,
         stall_timeout,
-        descriptor_limit: config.limits.sockets,
+        descriptor_limit: config.limits.descriptors,
     };
-    Downstream::bind(settings).map_err(|e| format!("cannot listen on {}: {e}", config.listen))
+    Downstream::bind(settings).map_err(|source| StartError::Listen {
+        address: config.listen,
+        source,
+    })
 }
 
 fn open_control_socket(
     context: &Context,
-    extension: &With,
-) -> Result<Option<ControlSocket>, String> {
-    let path: Option<&Path> = extension.sites.as_ref().and_then(|s| s.control.as_deref());
+    extension: &ExtensionConfig,
+) -> Result<Option<ControlSocket>, ControlSocketError> {
+    let path: Option<&Path> = extension
+        .sites
+        .as_ref()
+        .and_then(|s| s.control_socket.as_deref());
     path.map(|path| {
         ControlSocket::open(
             &context.handle,
@@ -179,10 +188,10 @@
 
 fn open_exporter(
     context: &Context,
-    config: &Told,
-    extension: &With,
+    config: &GatewayConfig,
+    extension: &ExtensionConfig,
     parameters: &Parameters,
-) -> Result<Option<Box<FlowExporter>>, String> {
+) -> Result<Option<Box<FlowExporter>>, FlowExportError> {
     let Some(settings) = &extension.flows else {
         return Ok(None);
     };
@@ -197,17 +206,19 @@
         latency_objectives,
         seed: config.seed(),
     };
-    let exporter = FlowExporter::open(context.now(), setup).map_err(|e| e.to_string())?;
+    let exporter = FlowExporter::open(context.now(), setup)?;
     Ok(Some(Box::new(exporter)))
 }
 
 /// Blocks the signals that the event loop handles. A thread that starts later inherits the block.
-fn block_signals() -> Result<Signals, String> {
-    Signals::new(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP])
-        .map_err(|e| format!("no signals: {e}"))
+fn block_signals() -> Result<Signals, StartError> {
+    Signals::new(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP]).map_err(StartError::Signals)
 }
 
-fn watch_signals(event_loop: &EventLoop<'static, Gateway>, signals: Signals) -> Result<(), String> {
+fn watch_signals(
+    event_loop: &EventLoop<'static, Gateway>,
+    signals: Signals,
+) -> Result<(), StartError> {
     let handle_signal = |event: SignalEvent, _: &mut (), gateway: &mut Gateway| match event.signal()
     {
         Signal::SIGHUP => gateway.reload(),
@@ -217,20 +228,20 @@
         .handle()
         .insert_source(signals, handle_signal)
         .map(|_| ())
-        .map_err(|e| format!("no signals: {e}"))
+        .map_err(|e| StartError::WatchSignals(WatchError(e.error)))
 }
 
 fn command_times(
     parameters: &Parameters,
-    extension: &With,
+    extension: &ExtensionConfig,
     vote_timeout: TimeDelta,
     maintenance_interval: TimeDelta,
 ) -> CommandTimes {
     let heartbeat = extension
-        .fleet
+        .leases
         .as_ref()
-        .map_or(maintenance_interval, |fleet| {
-            TimeDelta::from_millis(i64::from(fleet.heartbeat_ms))
+        .map_or(maintenance_interval, |leases| {
+            TimeDelta::from_millis(i64::from(leases.heartbeat_ms))
         });
     CommandTimes {
         vote_ttl: parameters.rollout.vote_ttl,
