--- /dev/null
+++ b/crates/gateway/tests/sockets/connection_reuse.rs
@@ -0,0 +1,45 @@
+//! Connections to endpoints that carry one request after another.
+
+use crate::support::*;
+use std::io::Write;
+use std::net::TcpStream;
+use std::sync::Mutex;
+
+#[test]
+fn a_late_duplicate_answer_is_not_taken_for_the_next_requests() {
+    let first: Mutex<Option<TcpStream>> = Mutex::new(None);
+    let answer = |id: &str| {
+        format!(
+            "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\nof {id}",
+            3 + id.len()
+        )
+    };
+    let one = stand_in(move |request| {
+        let id = request.field("X-Txn").unwrap().to_string();
+        // The first answer comes once more when the next request has come, and before that one's own.
+        let answered = first.lock().unwrap().take();
+        match answered {
+            Some(mut first) => drop(first.write_all(answer("aa").as_bytes())),
+            None if id == "aa" => {
+                *first.lock().unwrap() = Some(request.stream.try_clone().unwrap())
+            }
+            None => {}
+        }
+        request.stream.write_all(answer(&id).as_bytes()).is_ok()
+    });
+    let mut told = configuration(silent(), &[member("s-1", one, "ready", 41)]);
+    // A connection rests for a part of the time in which it may come up.
+    told["settings"]["limits"]["connect_timeout"] = 30_000_000.into();
+    told["settings"]["limits"]["conn_idle"] = 90_000_000.into();
+    let gateway = start(&told);
+    let mut caller = gateway.caller();
+    for id in ["aa", "ab", "ac"] {
+        assert_eq!(caller.ask(txn("lodge", id, 9000)), format!("200 of {id}"));
+    }
+    let counts = gateway.end(&[
+        "succeeded",
+        "endpoint-connections-opened",
+        "connections-reused",
+    ]);
+    assert_eq!(counts, "succeeded=3 endpoint-connections-opened=3");
+}
--- /dev/null
+++ b/crates/gateway/tests/sockets/gossip.rs
@@ -0,0 +1,49 @@
+//! Messages of peers.
+
+use std::net::UdpSocket;
+
+use expect_test::expect;
+
+use crate::support::*;
+
+#[test]
+fn a_peer_is_recognised_by_its_address_and_malformed_datagrams_change_nothing() {
+    let trace = Trace::default();
+    let [peer, stranger] = [0; 2].map(|_| UdpSocket::bind("127.0.0.1:0").unwrap());
+    let one = server("one", &trace, &[Way::Settle]);
+    let (platform, _say) = platform(&trace, &[], Some("{}"));
+    let mut told = configuration(silent(), &[member("s-1", one, "ready", 41)]);
+    told["settings"]["balancers"] = 2.into();
+    told["settings"]["ordinal"] = 1.into();
+    told["settings"]["family_info"]["decided_by"] = "clocked".into();
+    told["rollouts"] = json!({"address": platform, "news": news(42, 0, "trial")});
+    told["peer_listen"] = "127.0.0.1:0".into();
+    told["peers"] = json!([peer.local_addr().unwrap(), "127.0.0.1:9"]);
+    let gateway = start(&told);
+    let to = gateway.mail.unwrap();
+    for garbage in [
+        &b"\xff\xfe"[..],
+        b"42.0",
+        b"42.0.99.t ",
+        &[b'a'; 300],
+        b"9:?????",
+    ] {
+        peer.send_to(garbage, to).unwrap();
+    }
+    stranger.send_to(b"42.0.99.t", to).unwrap();
+    gateway.caller().ask(txn("draft", "aa", 9000));
+    assert_eq!(trace.count("platform: {"), 0);
+    // What makes up M by itself is a vote back.
+    peer.send_to(b"42.0.99.t", to).unwrap();
+    trace.wait("platform: {", 1);
+    trace.note(gateway.end(&["gossip-received", "gossip-refused"]));
+    trace.0.lock().unwrap().retain(|l| l != "platform: events");
+    expect(
+        &trace,
+        expect![[r#"
+        one.1: GET /api?obj=7F3a9c21e0b4d655&x=%20 txn aa ""
+        platform: {"image":42,"ring":0,"opinion":"reject"}
+        gossip-received=1 gossip-refused=6
+    "#]],
+    );
+}
--- a/crates/gateway/tests/sockets/main.rs
+++ b/crates/gateway/tests/sockets/main.rs
@@ -4,11 +4,14 @@
 mod attempts;
 mod client_requests;
 mod configuration;
+mod connection_reuse;
 mod discovery;
 mod discovery_updates;
 mod golden;
+mod gossip;
 mod graceful_shutdown;
 mod preconditions;
 mod resource_limits;
+mod rollout_platform;
 mod sticky_versions;
 mod support;
--- /dev/null
+++ b/crates/gateway/tests/sockets/rollout_platform.rs
@@ -0,0 +1,156 @@
+//! What the rollout platform sends, and the votes cast there.
+
+use std::io::Write;
+
+use expect_test::expect;
+
+use crate::support::*;
+
+#[test]
+fn votes_are_repeated_until_one_counts() {
+    let trace = Trace::default();
+    let one = server("one", &trace, &[Way::Settle]);
+    let (platform, _say) = platform(
+        &trace,
+        &["429 Full", "500 No", "silence", "close", "409 Moot"],
+        Some("{}"),
+    );
+    let mut told = configuration(silent(), &[member("s-1", one, "ready", 41)]);
+    told["rollouts"] = json!({"address": platform, "news": news(42, 0, "trial")});
+    let gateway = start(&told);
+    let words: Vec<String> = (0..5)
+        .map(|_| gateway.line("a vote got no state"))
+        .collect();
+    words
+        .iter()
+        .filter_map(|w| w.rsplit(' ').next())
+        .for_each(|w| trace.note(w));
+    // One that is moot stands for half its life; the next one counts.
+    gateway.line("answers a vote: true");
+    trace.note(gateway.end(&["votes-refused", "rollout-updates"]));
+    trace.0.lock().unwrap().retain(|l| l != "platform: events");
+    expect(
+        &trace,
+        expect![[r#"
+        platform: {"image":42,"ring":0,"opinion":"approve"}
+        platform: {"image":42,"ring":0,"opinion":"approve"}
+        platform: {"image":42,"ring":0,"opinion":"approve"}
+        platform: {"image":42,"ring":0,"opinion":"approve"}
+        platform: {"image":42,"ring":0,"opinion":"approve"}
+        Overloaded
+        ServerError
+        TimedOut
+        TimedOut
+        Superseded
+        platform: {"image":42,"ring":0,"opinion":"approve"}
+        rollout-updates=2 votes-refused=5
+    "#]],
+    );
+}
+
+#[test]
+fn a_silent_platform_stream_is_reopened_and_outdated_updates_are_ignored() {
+    let trace = Trace::default();
+    let (platform, say) = platform(&trace, &[], None);
+    let mut told = configuration(silent(), &[]);
+    told["rollouts"] = json!({"address": platform, "news": news(42, 1, "trial")});
+    told["settings"]["family_info"]["decided_by"] = "clocked".into();
+    let gateway = start(&told);
+    trace.wait("platform: events", 1);
+    let tell = |object: Value| {
+        say.send(json!({"type": "news", "object": object}).to_string())
+            .unwrap()
+    };
+    tell(news(42, 1, "rolling_back"));
+    tell(news(42, 1, "trial"));
+    say.send("{}".into()).unwrap();
+    gateway.line("unresponsive, reopened");
+    trace.wait("platform: events", 2);
+    trace.note(gateway.end(&[
+        "rollout-updates",
+        "rollout-updates-outdated",
+        "lines-refused",
+    ]));
+    expect(
+        &trace,
+        expect![[r#"
+        platform: events
+        platform: events
+        rollout-updates=3 rollout-updates-outdated=1
+    "#]],
+    );
+}
+
+#[test]
+fn an_unreadable_line_renews_its_stream_and_keeps_what_is_known() {
+    let trace = Trace::default();
+    let one = server("one", &trace, &[Way::Settle]);
+    let (platform, say) = platform(&trace, &[], Some("{}"));
+    let asked = trace.clone();
+    // A discovery whose first answers are noise, a part of a head, and a part of a line.
+    let discovery = stand_in(move |request| {
+        if request.number <= 4 {
+            asked.note(format!(
+                "discovery: {}",
+                request.head.lines().next().unwrap_or("")
+            ));
+        }
+        let answers = [
+            "noise\r\n\r\n",
+            "HTTP/1.1 20",
+            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\n{\"rev",
+        ];
+        if let Some(answer) = answers.get(request.number - 1) {
+            return request.stream.write_all(answer.as_bytes()).is_ok();
+        }
+        let line = list(42, false, &[member("s-1", one, "ready", 41)]).to_string();
+        let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+        request
+            .stream
+            .write_all(format!("{head}{:x}\r\n{line}\n\r\n", line.len() + 1).as_bytes())
+            .is_ok()
+    });
+    let mut told = configuration(discovery, &[member("s-0", one, "draining", 41)]);
+    told["settings"]["family_info"]["decided_by"] = "clocked".into();
+    told["settings"]["limits"]["connect_timeout"] = 250000.into();
+    told["rollouts"] = json!({"address": platform, "news": news(42, 0, "trial")});
+    let gateway = start(&told);
+    gateway.line("discovery: list 42 ");
+    trace.note(format!(
+        "client: {}",
+        gateway.caller().ask(txn("draft", "aa", 9000))
+    ));
+    trace.wait("platform: events", 1);
+    let learned = |ring: usize| {
+        say.send(json!({"type": "news", "object": news(42, ring, "trial")}).to_string())
+            .unwrap();
+        gateway.line(&format!("stage: {ring}"));
+    };
+    learned(1);
+    // The stand-in lets go of its first stream too.
+    ["not JSON", "close"]
+        .into_iter()
+        .for_each(|line| say.send(line.into()).unwrap());
+    trace.wait("platform: events", 2);
+    learned(2);
+    trace.note(gateway.end(&["rollout-updates", "lines-refused"]));
+    trace
+        .0
+        .lock()
+        .unwrap()
+        .sort_by_key(|l| !l.starts_with("platform"));
+    expect(
+        &trace,
+        expect![[r#"
+        platform: events
+        platform: events
+        discovery: GET /v1/endpoints?stream=1&index=41 HTTP/1.1
+        discovery: GET /v1/endpoints?stream=1&index=41 HTTP/1.1
+        discovery: GET /v1/endpoints?stream=1&index=41 HTTP/1.1
+        discovery: GET /v1/endpoints?stream=1&index=41 HTTP/1.1
+        one.1: GET /api?obj=7F3a9c21e0b4d655&x=%20 txn aa ""
+        client: 200 one settled aa
+        lines-refused=1 rollout-updates=3
+    "#]],
+    );
+}
