--- a/crates/admission/src/admission_rates.rs
+++ b/crates/admission/src/admission_rates.rs
@@ -298,7 +298,8 @@
         };
         let bounded = |ratio: f32| ratio.clamp(MIN_SUSTAINABLE_RATIO, MAX_SUSTAINABLE_RATIO);
         let kept = bounded(before).powf(1.0 - confidence);
-        let ratio = kept * bounded(seen.unwrap_or(before)).powf(confidence);
+        // The product of two powers within the bounds may leave them by rounding.
+        let ratio = bounded(kept * bounded(seen.unwrap_or(before)).powf(confidence));
         let elapsed = measurement.since_last.as_seconds().max(1e-3) as f32;
         let rise = (ratio - self.sustainable_ratio.unwrap_or(ratio)) / elapsed;
         self.rise_per_second += RISE_SMOOTHING * (rise - self.rise_per_second);
