--- a/crates/gateway/src/cli/arguments.rs
+++ b/crates/gateway/src/cli/arguments.rs
@@ -10,7 +10,7 @@
 /// The gateway that routes requests and votes on staged releases.
 #[derive(Bpaf, Clone, Debug)]
 #[bpaf(options, generate(command_line))]
-pub enum Command {
+pub(crate) enum Command {
     /// Serves requests until it is told to end (SIGTERM, SIGINT).
     #[bpaf(command)]
     Serve {
@@ -70,7 +70,7 @@
 
 /// What `keys` does.
 #[derive(Bpaf, Clone, Debug)]
-pub enum KeysCommand {
+pub(crate) enum KeysCommand {
     /// Makes an authority that both sites believe: FOLDER/authority.pem and FOLDER/authority.key.
     #[bpaf(command)]
     Authority {
@@ -105,7 +105,7 @@
 
 /// What an operator may have a gateway do.
 #[derive(Clone, Copy, Debug)]
-pub enum SiteCommand {
+pub(crate) enum SiteCommand {
     /// Forward this site's requests and accept none.
     Drain,
     /// End that.
@@ -117,13 +117,13 @@
 /// A command has another name.
 #[derive(Debug, Error)]
 #[error("'{name}' is none of drain, resume, status")]
-pub struct UnknownSiteCommand {
+pub(crate) struct UnknownSiteCommand {
     name: String,
 }
 
 impl SiteCommand {
     /// Its name, on the command line and on the control socket.
-    pub fn as_str(self) -> &'static str {
+    pub(crate) fn as_str(self) -> &'static str {
         match self {
             SiteCommand::Drain => "drain",
             SiteCommand::Resume => "resume",
--- a/crates/gateway/src/cli/keys.rs
+++ b/crates/gateway/src/cli/keys.rs
@@ -25,7 +25,7 @@
 
 /// Why keys cannot be made or shown.
 #[derive(Debug, Error)]
-pub enum KeysError {
+pub(crate) enum KeysError {
     /// A file cannot be read or written.
     #[error("{}: {source}", path.display())]
     File {
@@ -102,7 +102,7 @@
 /// # Errors
 ///
 /// A file exists already or cannot be written.
-pub fn make_authority(folder: &Path, name: &str, days: u32) -> Result<String, KeysError> {
+pub(crate) fn make_authority(folder: &Path, name: &str, days: u32) -> Result<String, KeysError> {
     fs::create_dir_all(folder).map_err(file_error(folder))?;
     let pair = create_authority(name, valid_for(days))?;
     Ok(path_lines(&write_pair(folder, AUTHORITY_NAME, &pair)?))
@@ -114,7 +114,11 @@
 /// # Errors
 ///
 /// There is no authority, a name is not of its form, or a file exists already or cannot be written.
-pub fn issue_all(folder: &Path, gateways: &[String], days: u32) -> Result<String, KeysError> {
+pub(crate) fn issue_all(
+    folder: &Path,
+    gateways: &[String],
+    days: u32,
+) -> Result<String, KeysError> {
     let authority = CertificatePair {
         certificate: read_authority(folder, CERTIFICATE_EXTENSION)?,
         key: read_authority(folder, KEY_EXTENSION)?,
@@ -150,7 +154,7 @@
 /// # Errors
 ///
 /// The file cannot be read, or holds no certificates.
-pub fn show_file(path: &Path) -> Result<String, KeysError> {
+pub(crate) fn show_file(path: &Path) -> Result<String, KeysError> {
     let pem = fs::read(path).map_err(file_error(path))?;
     let text = describe_certificates(&pem, SystemTime::now()).map_err(|source| {
         KeysError::Certificates {
--- a/crates/gateway/src/cli/mod.rs
+++ b/crates/gateway/src/cli/mod.rs
@@ -1,4 +1,4 @@
 //! The command line and `harrierdock keys`.
 
-pub mod arguments;
-pub mod keys;
+pub(crate) mod arguments;
+pub(crate) mod keys;
--- a/crates/gateway/src/config/error.rs
+++ b/crates/gateway/src/config/error.rs
@@ -14,7 +14,7 @@
 
 /// Why the configuration is refused.
 #[derive(Debug, Error)]
-pub enum ConfigError {
+pub(crate) enum ConfigError {
     /// No file is named.
     #[error("no configuration: LB_CONFIG is not set")]
     NoPath,
@@ -32,7 +32,7 @@
         /// The file.
         path: PathBuf,
         /// Why.
-        source: SettingsError,
+        source: Box<SettingsError>,
     },
     /// The extension file does not fit.
     #[error("{}: {source}", path.display())]
@@ -40,16 +40,22 @@
         /// The file.
         path: PathBuf,
         /// Why.
-        source: ExtensionError,
+        source: Box<ExtensionError>,
     },
     /// The extension does not fit.
     #[error(transparent)]
-    Extension(#[from] ExtensionError),
+    Extension(Box<ExtensionError>),
+}
+
+impl From<ExtensionError> for ConfigError {
+    fn from(error: ExtensionError) -> ConfigError {
+        ConfigError::Extension(Box::new(error))
+    }
 }
 
 /// Why a file is refused as a whole.
 #[derive(Debug, Error)]
-pub enum FileError {
+pub(crate) enum FileError {
     /// It cannot be read.
     #[error("{0}")]
     Unreadable(#[from] io::Error),
@@ -66,7 +72,7 @@
 
 /// Why the extension is refused beside the configuration.
 #[derive(Debug, Error)]
-pub enum ExtensionError {
+pub(crate) enum ExtensionError {
     /// The lease settings do not fit.
     #[error(transparent)]
     Lease(#[from] LeaseConfigError),
@@ -88,7 +94,7 @@
 
 /// Why a field of the site settings is refused.
 #[derive(Debug, Error)]
-pub enum SiteError {
+pub(crate) enum SiteError {
     /// A name is not one that a certificate can hold.
     #[error("{0}")]
     Label(#[from] LabelError),
--- a/crates/gateway/src/config/extension.rs
+++ b/crates/gateway/src/config/extension.rs
@@ -21,16 +21,16 @@
 #[schemars(
     description = "What an installation has beyond the platform's configuration. Without the file, or with nothing in it, the\ngateway is what it is without."
 )]
-pub struct ExtensionConfig {
+pub(crate) struct ExtensionConfig {
     /// Another site that requests may be forwarded to.
     #[schemars(description = "Another site that requests may cross to.")]
-    pub sites: Option<SiteSettings>,
+    pub(crate) sites: Option<SiteSettings>,
     /// Flow export.
-    pub flows: Option<FlowExportSettings>,
+    pub(crate) flows: Option<FlowExportSettings>,
     /// Leases that one gateway of a fleet holds at a time.
     #[serde(rename = "fleet")]
     #[schemars(description = "Duties that one gateway of a fleet holds at a time.")]
-    pub leases: Option<LeaseConfig>,
+    pub(crate) leases: Option<LeaseConfig>,
     /// The folder that paths in the file are relative to.
     #[serde(skip)]
     folder: PathBuf,
@@ -42,7 +42,7 @@
     /// # Errors
     ///
     /// The file cannot be read, or a field is not of its form.
-    pub fn read(path: Option<&Path>) -> Result<ExtensionConfig, ConfigError> {
+    pub(crate) fn read(path: Option<&Path>) -> Result<ExtensionConfig, ConfigError> {
         let Some(path) = path else {
             return Ok(ExtensionConfig::default());
         };
@@ -62,7 +62,7 @@
     /// # Errors
     ///
     /// A field does not fit, or key files cannot be used.
-    pub fn check(&self, name: &str, classes: &[&str]) -> Result<(), ExtensionError> {
+    pub(crate) fn check(&self, name: &str, classes: &[&str]) -> Result<(), ExtensionError> {
         if let Some(flows) = &self.flows {
             flows.validate()?;
             flows.check_key_files(&self.folder)?;
@@ -78,7 +78,7 @@
     /// # Errors
     ///
     /// A field does not fit.
-    pub fn check_flows(&self) -> Result<(), ExtensionError> {
+    pub(crate) fn check_flows(&self) -> Result<(), ExtensionError> {
         if let Some(flows) = &self.flows {
             flows.validate()?;
         }
@@ -90,7 +90,7 @@
     /// # Errors
     ///
     /// A field does not fit.
-    pub fn check_leases(&self, fleet: &FleetContext<'_>) -> Result<(), LeaseConfigError> {
+    pub(crate) fn check_leases(&self, fleet: &FleetContext<'_>) -> Result<(), LeaseConfigError> {
         match &self.leases {
             Some(leases) => leases.parameters(fleet).map(|_| ()),
             None => Ok(()),
@@ -98,7 +98,7 @@
     }
 
     /// How many descriptors are to be set aside for what the file configures.
-    pub fn descriptors(&self) -> usize {
+    pub(crate) fn descriptors(&self) -> usize {
         let sites = self.sites.as_ref().map_or(0, |_| SITE_DESCRIPTORS);
         let flows = self
             .flows
@@ -109,12 +109,12 @@
     }
 
     /// The folder that paths in the file are relative to.
-    pub fn folder(&self) -> &Path {
+    pub(crate) fn folder(&self) -> &Path {
         &self.folder
     }
 
     /// A path in the file.
-    pub fn path(&self, path: &Path) -> PathBuf {
+    pub(crate) fn path(&self, path: &Path) -> PathBuf {
         self.folder.join(path)
     }
 }
@@ -128,6 +128,6 @@
 }
 
 /// The file's schema (JSON Schema, draft 2020-12).
-pub fn schema() -> String {
+pub(crate) fn schema() -> String {
     serde_json::to_string_pretty(&schemars::schema_for!(ExtensionConfig)).unwrap_or_default()
 }
--- a/crates/gateway/src/config/gateway.rs
+++ b/crates/gateway/src/config/gateway.rs
@@ -48,48 +48,48 @@
 /// The configuration of a gateway.
 #[derive(Deserialize)]
 #[serde(rename = "Told")]
-pub struct GatewayConfig {
+pub(crate) struct GatewayConfig {
     /// The file it was read from.
     #[serde(skip)]
-    pub path: PathBuf,
+    pub(crate) path: PathBuf,
     /// This gateway's name.
     #[serde(default)]
-    pub name: String,
+    pub(crate) name: String,
     /// Where clients are served.
-    pub listen: SocketAddr,
+    pub(crate) listen: SocketAddr,
     /// The address of discovery.
-    pub discovery: SocketAddr,
+    pub(crate) discovery: SocketAddr,
     #[serde(default)]
     seed: String,
     /// The limits of the process.
     #[serde(default)]
-    pub limits: ProcessLimits,
+    pub(crate) limits: ProcessLimits,
     /// Where peers are heard, if there are any.
     #[serde(rename = "peer_listen")]
-    pub gossip_listen: Option<SocketAddr>,
+    pub(crate) gossip_listen: Option<SocketAddr>,
     /// The addresses of all gateways of the fleet, by their `PeerId`.
     #[serde(default)]
-    pub peers: Vec<SocketAddr>,
+    pub(crate) peers: Vec<SocketAddr>,
     /// Where a datagram reaches all peers.
     #[serde(rename = "peers_all")]
-    pub broadcast: Option<SocketAddr>,
+    pub(crate) broadcast: Option<SocketAddr>,
     /// The rollout platform, if there is one.
-    pub rollouts: Option<RolloutPlatformConfig>,
+    pub(crate) rollouts: Option<RolloutPlatformConfig>,
     /// The endpoint list that was kept from an earlier start.
     #[serde(default, rename = "known")]
-    pub cached_list: EndpointListMessage,
+    pub(crate) cached_list: EndpointListMessage,
     settings: Value,
 }
 
 /// The limits of the process.
 #[derive(Clone, Deserialize)]
 #[serde(default, rename = "LimitsTold")]
-pub struct ProcessLimits {
+pub(crate) struct ProcessLimits {
     /// Memory in megabytes.
-    pub memory_mb: usize,
+    pub(crate) memory_mb: usize,
     /// File descriptors.
     #[serde(rename = "sockets")]
-    pub descriptors: usize,
+    pub(crate) descriptors: usize,
 }
 
 impl Default for ProcessLimits {
@@ -105,12 +105,12 @@
 /// Where the rollout platform is, and what it said last.
 #[derive(Deserialize)]
 #[serde(rename = "RolloutsTold")]
-pub struct RolloutPlatformConfig {
+pub(crate) struct RolloutPlatformConfig {
     /// Its address.
-    pub address: SocketAddr,
+    pub(crate) address: SocketAddr,
     /// The state of the newest rollout, as far as it is known at the start.
     #[serde(rename = "news")]
-    pub state: Option<RolloutMessage>,
+    pub(crate) state: Option<RolloutMessage>,
 }
 
 impl GatewayConfig {
@@ -120,7 +120,7 @@
     /// # Errors
     ///
     /// The file cannot be read, or a field is refused.
-    pub fn read(path: Option<PathBuf>) -> Result<GatewayConfig, ConfigError> {
+    pub(crate) fn read(path: Option<PathBuf>) -> Result<GatewayConfig, ConfigError> {
         let path = path
             .or_else(|| std::env::var_os(PATH_VARIABLE).map(PathBuf::from))
             .ok_or(ConfigError::NoPath)?;
@@ -132,7 +132,7 @@
     /// # Errors
     ///
     /// As in `read`.
-    pub fn read_again(path: &Path) -> Result<GatewayConfig, ConfigError> {
+    pub(crate) fn read_again(path: &Path) -> Result<GatewayConfig, ConfigError> {
         GatewayConfig::read_file(path, Precedence::File)
     }
 
@@ -154,15 +154,15 @@
     /// # Errors
     ///
     /// A setting is refused. Not after `read` has succeeded.
-    pub fn parameters(&self) -> Result<(Parameters, Names), ConfigError> {
+    pub(crate) fn parameters(&self) -> Result<(Parameters, Names), ConfigError> {
         harrierdock_config::read(&self.settings).map_err(|source| ConfigError::Settings {
             path: self.path.clone(),
-            source,
+            source: Box::new(source),
         })
     }
 
     /// The seed as a number. One that is not hexadecimal is hashed.
-    pub fn seed(&self) -> u64 {
+    pub(crate) fn seed(&self) -> u64 {
         u64::from_str_radix(&self.seed, HEXADECIMAL)
             .unwrap_or_else(|_| harrierdock_config::fnv1a(&self.seed))
     }
@@ -172,7 +172,7 @@
     /// # Errors
     ///
     /// The extension file is refused.
-    pub fn describe(&self, extension_path: Option<&Path>) -> Result<String, ConfigError> {
+    pub(crate) fn describe(&self, extension_path: Option<&Path>) -> Result<String, ConfigError> {
         let extension = ExtensionConfig::read(extension_path)?;
         self.check_extension(extension_path, &extension)?;
         let mut lines = vec![self.summary()?];
@@ -196,7 +196,7 @@
     /// # Errors
     ///
     /// The field that does not fit, behind the file if it has one.
-    pub fn check_extension(
+    pub(crate) fn check_extension(
         &self,
         path: Option<&Path>,
         extension: &ExtensionConfig,
@@ -213,7 +213,7 @@
             (Err(source), None) => Err(source.into()),
             (Err(source), Some(path)) => Err(ConfigError::ExtensionFile {
                 path: path.into(),
-                source,
+                source: Box::new(source),
             }),
         }
     }
@@ -223,7 +223,7 @@
     /// # Errors
     ///
     /// A setting is refused. Not after `read` has succeeded.
-    pub fn fleet_context(&self) -> Result<FleetContext<'_>, ConfigError> {
+    pub(crate) fn fleet_context(&self) -> Result<FleetContext<'_>, ConfigError> {
         let (parameters, _) = self.parameters()?;
         Ok(FleetContext {
             name: &self.name,
--- a/crates/gateway/src/config/lease.rs
+++ b/crates/gateway/src/config/lease.rs
@@ -27,44 +27,44 @@
 #[schemars(
     description = "Duties that one gateway of a fleet holds at a time. All gateways are told the same."
 )]
-pub struct LeaseConfig {
+pub(crate) struct LeaseConfig {
     /// The names of all gateways, in the order of the configuration's `peers`.
-    pub gateways: Vec<String>,
+    pub(crate) gateways: Vec<String>,
     /// The electors, three to seven of them; they alone hold leases.
     #[schemars(description = "Those who vote, three to seven of them; they alone hold duties.")]
-    pub electorate: Vec<String>,
+    pub(crate) electorate: Vec<String>,
     /// Raised by one with each change of the electorate, which changes by one gateway at a time.
     #[serde(default = "first_electorate")]
-    pub electorate_number: u32,
+    pub(crate) electorate_number: u32,
     /// How long a lease lasts without renewal.
     #[serde(default = "default_lease_ms")]
     #[schemars(description = "")]
-    pub lease_ms: u32,
+    pub(crate) lease_ms: u32,
     /// How often it is renewed.
     #[serde(default = "default_heartbeat_ms")]
     #[schemars(description = "")]
-    pub heartbeat_ms: u32,
+    pub(crate) heartbeat_ms: u32,
     /// The longest lease that running gateways may be configured with; by default it never changed.
     #[schemars(
         description = "The longest lease that gateways still running may have been told; by default it never changed."
     )]
-    pub longest_lease_ms: Option<u32>,
+    pub(crate) longest_lease_ms: Option<u32>,
     /// The largest error of a clock's rate, as a ratio.
     #[serde(default = "default_clock_drift", rename = "drift")]
     #[schemars(description = "The largest error of a clock's rate, as a part.")]
-    pub clock_drift_ratio: f64,
+    pub(crate) clock_drift_ratio: f64,
     /// The names of the leases.
     #[serde(rename = "duties")]
     #[schemars(description = "`steward`, `heir`, `speaker:NUMBER`.")]
-    pub leases: Vec<String>,
+    pub(crate) leases: Vec<String>,
     /// For the lease of the rollout controller.
     #[serde(rename = "steward")]
     #[schemars(description = "For the duty `steward`.")]
-    pub rollout_controller: Option<RolloutControllerConfig>,
+    pub(crate) rollout_controller: Option<RolloutControllerConfig>,
     /// Faults to inject, in tests alone.
     #[serde(rename = "rehearsal")]
     #[schemars(description = "For rehearsals alone.")]
-    pub injected_faults: Option<InjectedFaults>,
+    pub(crate) injected_faults: Option<InjectedFaults>,
 }
 
 /// Rollout stages that are moved on by commands to the deployment controller, where no platform counts votes.
@@ -73,23 +73,23 @@
 #[schemars(
     description = "A release's waves, advanced by calls of the installation in place of the platform's count of votes."
 )]
-pub struct RolloutControllerConfig {
+pub(crate) struct RolloutControllerConfig {
     /// The address of the deployment controller (HTTP).
     #[serde(rename = "installation")]
     #[schemars(description = "Where the installation takes calls (HTTP).")]
-    pub deployment_controller: SocketAddr,
+    pub(crate) deployment_controller: SocketAddr,
     /// More than this share of all gateways promotes a build.
     #[serde(default = "default_vote_ratio", rename = "on_votes")]
     #[schemars(description = "More than this part of all gateways moves a wave on.")]
-    pub promote_ratio: f64,
+    pub(crate) promote_ratio: f64,
     /// More than this share of all gateways rolls a build back.
     #[serde(default = "default_vote_ratio", rename = "back_votes")]
     #[schemars(description = "More than this part of all gateways sends a build back.")]
-    pub roll_back_ratio: f64,
+    pub(crate) roll_back_ratio: f64,
     /// A stage without a decision for this long is reported in the log.
     #[serde(default = "default_decision_timeout_ms", rename = "bound_ms")]
     #[schemars(description = "A wave without a decision for so long is told in the log.")]
-    pub decision_timeout_ms: u32,
+    pub(crate) decision_timeout_ms: u32,
 }
 
 /// What fault injection changes in one gateway, to show that the others bear it.
@@ -98,17 +98,17 @@
 #[schemars(
     description = "What a rehearsal makes odd in one gateway, to see that the others bear it."
 )]
-pub struct InjectedFaults {
+pub(crate) struct InjectedFaults {
     /// The version of the messages that this gateway writes and reads.
     #[serde(default = "current_message_version", rename = "form")]
     #[schemars(description = "The form of messages that this gateway writes and reads.")]
-    pub message_version: u8,
+    pub(crate) message_version: u8,
     /// How fast the clock of the leases runs; 1 is right.
     #[serde(default = "normal_clock_rate")]
     #[schemars(
         description = "How fast the clock of this gateway's part in the fleet runs; 1 is right."
     )]
-    pub clock_rate: f64,
+    pub(crate) clock_rate: f64,
 }
 
 fn first_electorate() -> u32 {
@@ -145,7 +145,7 @@
 
 /// Why the lease settings are refused: field, reason, what to do.
 #[derive(Clone, Debug, PartialEq, Error)]
-pub enum LeaseConfigError {
+pub(crate) enum LeaseConfigError {
     /// The settings do not fit by themselves.
     #[error("fleet.{field}: {source}")]
     Settings {
@@ -171,9 +171,9 @@
     OrdinalMismatch {
         /// This gateway's name.
         own: String,
-        /// Its place among the names.
+        /// Its position among the names.
         place: usize,
-        /// Its place in the configuration.
+        /// Its position in the configuration.
         ordinal: usize,
     },
     /// Gateways cannot reach each other.
@@ -252,15 +252,15 @@
 }
 
 /// What the configuration says of the fleet.
-pub struct FleetContext<'a> {
+pub(crate) struct FleetContext<'a> {
     /// This gateway's name.
-    pub name: &'a str,
-    /// Its place among the peers.
-    pub ordinal: usize,
+    pub(crate) name: &'a str,
+    /// Its position among the peers.
+    pub(crate) ordinal: usize,
     /// How many peers there are, itself included.
-    pub peer_count: usize,
+    pub(crate) peer_count: usize,
     /// Whether it hears its peers.
-    pub has_gossip: bool,
+    pub(crate) has_gossip: bool,
 }
 
 impl RolloutControllerConfig {
@@ -305,7 +305,7 @@
     /// # Errors
     ///
     /// A field does not fit.
-    pub fn parameters(
+    pub(crate) fn parameters(
         &self,
         fleet: &FleetContext<'_>,
     ) -> Result<LeaseParameters, LeaseConfigError> {
@@ -355,12 +355,12 @@
     /// # Errors
     ///
     /// A field does not fit.
-    pub fn electorate(&self, own_name: &str) -> Result<Electorate, LeaseConfigError> {
+    pub(crate) fn electorate(&self, own_name: &str) -> Result<Electorate, LeaseConfigError> {
         Ok(self.settings(own_name).electorate()?)
     }
 
     /// Whether anything differs but the electorate, which alone may change while the gateway runs.
-    pub fn differs_beyond_electorate(&self, other: &LeaseConfig) -> bool {
+    pub(crate) fn differs_beyond_electorate(&self, other: &LeaseConfig) -> bool {
         let without_electorate = |config: &LeaseConfig| LeaseConfig {
             electorate: Vec::new(),
             electorate_number: 0,
@@ -370,7 +370,7 @@
     }
 
     /// The settings in one line.
-    pub fn summary(&self, own_name: &str) -> String {
+    pub(crate) fn summary(&self, own_name: &str) -> String {
         format!(
             "{own_name} shares {} with {} gateways, electors {}, lease {} ms, heartbeat {} ms",
             self.leases.join(" "),
--- a/crates/gateway/src/config/mod.rs
+++ b/crates/gateway/src/config/mod.rs
@@ -1,7 +1,7 @@
 //! Configuration: the platform's file, the extension file beside it, and what they may be refused for.
 
-pub mod error;
-pub mod extension;
-pub mod gateway;
-pub mod lease;
-pub mod sites;
+pub(crate) mod error;
+pub(crate) mod extension;
+pub(crate) mod gateway;
+pub(crate) mod lease;
+pub(crate) mod sites;
--- a/crates/gateway/src/config/sites.rs
+++ b/crates/gateway/src/config/sites.rs
@@ -15,61 +15,61 @@
 #[derive(Clone, Debug, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, rename = "Between")]
 #[schemars(description = "This gateway's place between two sites.")]
-pub struct SiteSettings {
+pub(crate) struct SiteSettings {
     /// This site's name: small letters, digits and inner hyphens.
-    pub site: String,
+    pub(crate) site: String,
     /// This gateway's name in its site; by default the configuration's name.
-    pub gateway: Option<String>,
+    pub(crate) gateway: Option<String>,
     /// Where the transport listens (UDP).
     #[schemars(description = "Where the link listens (UDP).")]
-    pub listen: SocketAddr,
+    pub(crate) listen: SocketAddr,
     /// Where the other site's gateways reach it, if that is another address.
-    pub reached_at: Option<SocketAddr>,
+    pub(crate) reached_at: Option<SocketAddr>,
     /// The other site.
     #[schemars(description = "")]
-    pub other: OtherSiteSettings,
+    pub(crate) other: OtherSiteSettings,
     /// This gateway's keys.
     #[schemars(description = "")]
-    pub keys: KeyFiles,
+    pub(crate) keys: KeyFiles,
     /// A Unix socket for `harrierdock site`.
     #[serde(rename = "control")]
-    pub control_socket: Option<PathBuf>,
+    pub(crate) control_socket: Option<PathBuf>,
     /// Classes whose idempotency keys the endpoints of both sites recognise together.
     #[serde(default, rename = "groups_spanning")]
     #[schemars(
         description = "Referenced request classes whose repeats one group of endpoints drops across both sites."
     )]
-    pub classes_deduplicated_across_sites: Vec<String>,
+    pub(crate) classes_deduplicated_across_sites: Vec<String>,
 }
 
 /// The other site.
 #[derive(Clone, Debug, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, rename = "OtherSite")]
 #[schemars(description = "")]
-pub struct OtherSiteSettings {
+pub(crate) struct OtherSiteSettings {
     /// Its name.
     #[schemars(description = "")]
-    pub site: String,
+    pub(crate) site: String,
     /// Some of its gateways, one at least; the rest is learned from them.
-    pub gateways: Vec<OtherGatewaySettings>,
+    pub(crate) gateways: Vec<OtherGatewaySettings>,
 }
 
 /// A gateway of the other site.
 #[derive(Clone, Debug, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, rename = "GatewayTold")]
 #[schemars(description = "")]
-pub struct OtherGatewaySettings {
+pub(crate) struct OtherGatewaySettings {
     /// Its name.
     #[schemars(description = "")]
-    pub gateway: String,
+    pub(crate) gateway: String,
     /// Where its transport listens (UDP).
     #[schemars(description = "Where its link listens (UDP).")]
-    pub address: SocketAddr,
+    pub(crate) address: SocketAddr,
 }
 
 impl SiteSettings {
     /// This gateway's full name. `configured_name` is its name in the configuration.
-    pub fn local_name(&self, configured_name: &str) -> GatewayName {
+    pub(crate) fn local_name(&self, configured_name: &str) -> GatewayName {
         GatewayName {
             site: self.site.clone(),
             gateway: self
@@ -80,7 +80,7 @@
     }
 
     /// The gateways of the other site that are known from the start, with their addresses.
-    pub fn seeds(&self) -> Vec<(GatewayName, SocketAddr)> {
+    pub(crate) fn seeds(&self) -> Vec<(GatewayName, SocketAddr)> {
         let seed = |settings: &OtherGatewaySettings| {
             let name = GatewayName {
                 site: self.other.site.clone(),
@@ -96,7 +96,7 @@
     /// # Errors
     ///
     /// A field does not fit, or the key files cannot be used.
-    pub fn check(
+    pub(crate) fn check(
         &self,
         configured_name: &str,
         classes: &[&str],
@@ -135,7 +135,7 @@
     /// # Errors
     ///
     /// They cannot be used, or are another gateway's.
-    pub fn credentials(
+    pub(crate) fn credentials(
         &self,
         own: &GatewayName,
         folder: &Path,
--- a/crates/gateway/src/control_plane/discovery.rs
+++ b/crates/gateway/src/control_plane/discovery.rs
@@ -76,7 +76,7 @@
 }
 
 /// The discovery client.
-pub struct Discovery {
+pub(crate) struct Discovery {
     stream: LineStream,
     /// The version of the list that is held.
     version: Option<i64>,
@@ -93,7 +93,7 @@
 impl Discovery {
     /// A client that has not connected yet. `retry_interval` is the interval of `run_maintenance`, and how long a connection
     /// may take to come up.
-    pub fn new(
+    pub(crate) fn new(
         now: Timestamp,
         address: SocketAddr,
         retry_interval: TimeDelta,
@@ -117,17 +117,17 @@
     }
 
     /// Whether the list may not be acted on any more.
-    pub fn is_stale(&self, now: Timestamp) -> bool {
+    pub(crate) fn is_stale(&self, now: Timestamp) -> bool {
         self.freshness.is_stale(now)
     }
 
     /// Whether there is a list.
-    pub fn has_list(&self) -> bool {
+    pub(crate) fn has_list(&self) -> bool {
         self.version.is_some()
     }
 
     /// Applies the list that the configuration has kept from an earlier start. An empty one is none.
-    pub fn apply_cached(
+    pub(crate) fn apply_cached(
         &mut self,
         context: &mut Context,
         names: &mut Names,
@@ -163,7 +163,7 @@
     }
 
     /// Switches to another address at once. The list stays.
-    pub fn set_address(&mut self, context: &mut Context, address: SocketAddr) {
+    pub(crate) fn set_address(&mut self, context: &mut Context, address: SocketAddr) {
         if self.stream.set_address(context, address) {
             self.reset_backoff();
             self.open(context);
@@ -199,7 +199,7 @@
 
     /// Reopens a stream that has ended or is unresponsive, and notes whether the list is stale. To be called at the retry
     /// interval.
-    pub fn run_maintenance(&mut self, context: &mut Context) {
+    pub(crate) fn run_maintenance(&mut self, context: &mut Context) {
         let now = context.now();
         self.log_staleness(now);
         // A list may stop between two of its lines while keepalives go on.
@@ -248,7 +248,7 @@
     }
 
     /// Reads what the stream is ready for, and applies the lists that come.
-    pub fn handle_readiness(
+    pub(crate) fn handle_readiness(
         &mut self,
         context: &mut Context,
         names: &mut Names,
--- a/crates/gateway/src/control_plane/discovery_messages.rs
+++ b/crates/gateway/src/control_plane/discovery_messages.rs
@@ -10,30 +10,30 @@
 use crate::upstream::EndpointInstance;
 
 /// The path of a whole list.
-pub const SNAPSHOT_PATH: &str = "/v1/endpoints";
+pub(crate) const SNAPSHOT_PATH: &str = "/v1/endpoints";
 
 /// The path of the stream of changes that follow a version.
-pub fn watch_path(version: i64) -> String {
+pub(crate) fn watch_path(version: i64) -> String {
     format!("/v1/endpoints?stream=1&index={version}")
 }
 
 /// An endpoint list.
 #[derive(Clone, Default, Deserialize)]
-pub struct EndpointListMessage {
+pub(crate) struct EndpointListMessage {
     /// The list's version.
     #[serde(default, rename = "revision")]
-    pub version: i64,
+    pub(crate) version: i64,
     /// Whether it names every endpoint, and not only those that have changed.
     #[serde(default, rename = "complete")]
-    pub is_snapshot: bool,
+    pub(crate) is_snapshot: bool,
     /// The endpoints.
     #[serde(default, rename = "members")]
-    pub endpoints: Vec<EndpointMessage>,
+    pub(crate) endpoints: Vec<EndpointMessage>,
 }
 
 impl EndpointListMessage {
     /// How the list relates to those before it.
-    pub fn kind(&self) -> UpdateKind {
+    pub(crate) fn kind(&self) -> UpdateKind {
         if self.is_snapshot {
             UpdateKind::Snapshot
         } else {
@@ -44,7 +44,7 @@
 
 /// An endpoint on a list.
 #[derive(Clone, Deserialize)]
-pub struct EndpointMessage {
+pub(crate) struct EndpointMessage {
     id: String,
     #[serde(rename = "host_port")]
     address: SocketAddr,
@@ -81,7 +81,12 @@
 
 impl EndpointMessage {
     /// The endpoint as the policy sees it.
-    pub fn record(&self, names: &mut Names, clock: &Clock, now: Timestamp) -> EndpointRecord {
+    pub(crate) fn record(
+        &self,
+        names: &mut Names,
+        clock: &Clock,
+        now: Timestamp,
+    ) -> EndpointRecord {
         EndpointRecord {
             build: BuildId(self.build),
             endpoint: names.endpoints.get_or_assign(&self.id),
@@ -101,7 +106,7 @@
     }
 
     /// What runs at the endpoint. `None` if it is removed.
-    pub fn instance(&self) -> Option<EndpointInstance> {
+    pub(crate) fn instance(&self) -> Option<EndpointInstance> {
         match self.lifecycle {
             LifecycleMessage::Removed => None,
             LifecycleMessage::Ready | LifecycleMessage::Draining => Some(EndpointInstance {
--- a/crates/gateway/src/control_plane/rollout_messages.rs
+++ b/crates/gateway/src/control_plane/rollout_messages.rs
@@ -12,7 +12,7 @@
 
 /// The state of the newest rollout.
 #[derive(Clone, Copy, Debug, Deserialize)]
-pub struct RolloutMessage {
+pub(crate) struct RolloutMessage {
     #[serde(rename = "image")]
     build: u32,
     #[serde(rename = "ring")]
--- a/crates/gateway/src/control_plane/rollout_platform.rs
+++ b/crates/gateway/src/control_plane/rollout_platform.rs
@@ -35,7 +35,7 @@
 }
 
 /// The client of the rollout platform.
-pub struct RolloutPlatform {
+pub(crate) struct RolloutPlatform {
     stream: LineStream,
     /// The votes that wait for their responses.
     pub(super) votes: Votes,
@@ -46,7 +46,7 @@
 impl RolloutPlatform {
     /// A client that has not connected yet. `vote_timeout` is how long a vote waits for its response, `retry_interval` the
     /// interval of `run_maintenance`.
-    pub fn new(
+    pub(crate) fn new(
         address: SocketAddr,
         vote_timeout: TimeDelta,
         retry_interval: TimeDelta,
@@ -61,7 +61,7 @@
 
     /// Tells the policy the state of the newest rollout. The stream and the responses to votes may overtake each other, so a
     /// state that the rollout has left behind is replaced by the latest one.
-    pub fn apply_update(
+    pub(crate) fn apply_update(
         &mut self,
         context: &mut Context,
         message: RolloutMessage,
@@ -112,7 +112,12 @@
     }
 
     /// Reads what the stream is ready for, and applies it.
-    pub fn handle_readiness(&mut self, context: &mut Context, names: &Names, readiness: Readiness) {
+    pub(crate) fn handle_readiness(
+        &mut self,
+        context: &mut Context,
+        names: &Names,
+        readiness: Readiness,
+    ) {
         for event in self.stream.handle_readiness(context, readiness) {
             if self.handle_stream_event(context, names, event) == StreamState::Renewed {
                 break;
@@ -155,7 +160,7 @@
     }
 
     /// Switches to another address. Votes under way stay where they were sent.
-    pub fn set_address(&mut self, context: &mut Context, address: SocketAddr) {
+    pub(crate) fn set_address(&mut self, context: &mut Context, address: SocketAddr) {
         self.votes.set_address(address);
         if self.stream.set_address(context, address) {
             self.open(context);
@@ -163,7 +168,7 @@
     }
 
     /// Reopens a stream that has ended or is unresponsive. To be called at the retry interval.
-    pub fn run_maintenance(&mut self, context: &mut Context) {
+    pub(crate) fn run_maintenance(&mut self, context: &mut Context) {
         let now = context.now();
         if self.stream.is_unresponsive(now, self.retry_interval) || self.may_open(now) {
             self.open(context);
--- a/crates/gateway/src/control_plane/votes.rs
+++ b/crates/gateway/src/control_plane/votes.rs
@@ -163,7 +163,7 @@
 
 impl RolloutPlatform {
     /// Casts a vote.
-    pub fn vote(
+    pub(crate) fn vote(
         &mut self,
         context: &mut Context,
         build: BuildId,
@@ -182,7 +182,7 @@
     }
 
     /// Reads and writes what the connection of a vote is ready for.
-    pub fn handle_vote_readiness(
+    pub(crate) fn handle_vote_readiness(
         &mut self,
         context: &mut Context,
         id: ConnectionId,
@@ -202,7 +202,7 @@
     }
 
     /// A vote has had no response in time. It may have been counted, or may yet be.
-    pub fn time_out_vote(&mut self, context: &mut Context, id: ConnectionId) {
+    pub(crate) fn time_out_vote(&mut self, context: &mut Context, id: ConnectionId) {
         self.votes.close(context, id);
         report_refused_vote(context, PlatformStatus::TimedOut);
     }
--- a/crates/gateway/src/dispatch/answers.rs
+++ b/crates/gateway/src/dispatch/answers.rs
@@ -67,7 +67,7 @@
     }
 
     /// Answers a request, unless it has its answer.
-    pub fn answer(&mut self, id: RequestId, answer: Answer) {
+    pub(crate) fn answer(&mut self, id: RequestId, answer: Answer) {
         let entry = self.dispatcher.requests.get(id);
         let may_have_effect = entry.is_some_and(RequestEntry::may_have_effect);
         let end = match &answer {
@@ -145,7 +145,7 @@
     }
 
     /// Fails a request that the policy has left without an answer beyond its deadline, so that none is ever lost.
-    pub fn fail_overdue_request(&mut self, id: RequestId) {
+    pub(crate) fn fail_overdue_request(&mut self, id: RequestId) {
         self.context
             .counters
             .check_invariant(false, "a request has its answer by its deadline");
@@ -156,7 +156,7 @@
     }
 
     /// Fails every request that has no answer yet.
-    pub fn fail_all_requests(&mut self) {
+    pub(crate) fn fail_all_requests(&mut self) {
         let now = self.context.now();
         let unanswered: Vec<RequestId> = self.dispatcher.requests.unanswered().collect();
         for id in unanswered {
--- a/crates/gateway/src/dispatch/dispatcher.rs
+++ b/crates/gateway/src/dispatch/dispatcher.rs
@@ -16,22 +16,22 @@
 use crate::upstream::AttemptId;
 
 /// The policy, and what is needed to speak with it.
-pub struct Dispatcher {
+pub(crate) struct Dispatcher {
     /// The policy.
-    pub policy: Policy,
+    pub(crate) policy: Policy,
     /// The names that its ids stand for.
-    pub names: Names,
+    pub(crate) names: Names,
     /// The requests under way.
-    pub requests: RequestTable,
+    pub(crate) requests: RequestTable,
     /// How many attempts a request may have.
-    pub max_attempts: usize,
+    pub(crate) max_attempts: usize,
     /// The granularity of the platform's clock.
-    pub tick: TimeDelta,
+    pub(crate) tick: TimeDelta,
 }
 
 impl Dispatcher {
     /// A dispatcher without requests.
-    pub fn new(parameters: Parameters, names: Names, seed: u64) -> Dispatcher {
+    pub(crate) fn new(parameters: Parameters, names: Names, seed: u64) -> Dispatcher {
         Dispatcher {
             names,
             requests: RequestTable::default(),
@@ -42,17 +42,17 @@
     }
 
     /// The oldest build that may answer this key.
-    pub fn sticky_build(&self, key: AffinityKey) -> BuildId {
+    pub(crate) fn sticky_build(&self, key: AffinityKey) -> BuildId {
         self.policy.sticky_build(key)
     }
 
     /// The build that an endpoint runs, if it is listed.
-    pub fn build_of(&self, endpoint: EndpointId) -> Option<BuildId> {
+    pub(crate) fn build_of(&self, endpoint: EndpointId) -> Option<BuildId> {
         Some(self.policy.endpoint(endpoint)?.build)
     }
 
     /// How many endpoints are ready.
-    pub fn ready_endpoint_count(&self) -> usize {
+    pub(crate) fn ready_endpoint_count(&self) -> usize {
         self.policy
             .endpoints()
             .filter(|endpoint| endpoint.lifecycle == Lifecycle::Ready)
@@ -73,7 +73,7 @@
 
 impl Gateway {
     /// Delivers queued events to the policy and executes the actions it returns, until the queue is empty.
-    pub fn process_events(&mut self) {
+    pub(crate) fn process_events(&mut self) {
         loop {
             while let Some(queued) = self.context.events.pop_front() {
                 self.handle_internal_event(queued.at, queued.event);
@@ -146,7 +146,7 @@
     }
 
     /// Has the policy serve a request at this site, within the time that is left.
-    pub fn serve_locally(&mut self, now: Timestamp, id: RequestId, time_left: TimeDelta) {
+    pub(crate) fn serve_locally(&mut self, now: Timestamp, id: RequestId, time_left: TimeDelta) {
         let Some(entry) = self.dispatcher.requests.get_unanswered_mut(id) else {
             return;
         };
@@ -167,7 +167,7 @@
     }
 
     /// Delivers an event to the policy and executes the actions it returns.
-    pub fn handle_policy_event(&mut self, now: Timestamp, event: Event) {
+    pub(crate) fn handle_policy_event(&mut self, now: Timestamp, event: Event) {
         for action in self.dispatcher.policy.handle(now, event) {
             self.execute(now, action);
         }
@@ -212,7 +212,7 @@
     }
 
     /// Tells the policy that its timer has fired.
-    pub fn handle_policy_timer(&mut self) {
+    pub(crate) fn handle_policy_timer(&mut self) {
         let now = self.context.now();
         self.handle_policy_event(now, Event::TimerFired);
     }
--- a/crates/gateway/src/dispatch/leases.rs
+++ b/crates/gateway/src/dispatch/leases.rs
@@ -1,4 +1,4 @@
-//! Leases: peers' messages and the gateway's events are told to the lease participant, and its actions are executed here.
+//! Leases: peers' messages and the gateway's events are passed to the lease participant, and its actions are executed here.
 
 use harrierdock_lease::{Event, LeaseName};
 use harrierdock_rollout_controller::{self as rollout_controller, Event as RolloutEvent};
@@ -19,7 +19,7 @@
     /// # Errors
     ///
     /// The settings do not fit.
-    pub fn start_leases(
+    pub(crate) fn start_leases(
         &mut self,
         config: &GatewayConfig,
         extension: &ExtensionConfig,
@@ -54,7 +54,7 @@
     }
 
     /// Tells the leases what has happened, and executes the actions they return.
-    pub fn handle_lease_event(&mut self, event: Event) {
+    pub(crate) fn handle_lease_event(&mut self, event: Event) {
         let now = self.context.now();
         if let Some(leases) = &mut self.leases {
             let actions = leases.handle(now, event);
@@ -63,7 +63,7 @@
     }
 
     /// The timer of the leases has fired.
-    pub fn handle_lease_timer(&mut self) {
+    pub(crate) fn handle_lease_timer(&mut self) {
         if let Some(leases) = &mut self.leases {
             leases.timer_deadline = None;
         }
@@ -125,7 +125,7 @@
     }
 
     /// Applies the lease settings that were read again. Settings that do not fit change nothing.
-    pub fn reload_electorate(&mut self, extension: &ExtensionConfig) {
+    pub(crate) fn reload_electorate(&mut self, extension: &ExtensionConfig) {
         let now = self.context.now();
         match (&mut self.leases, &extension.leases) {
             (Some(leases), Some(settings)) => match leases.reload(now, settings) {
--- a/crates/gateway/src/dispatch/multi_site.rs
+++ b/crates/gateway/src/dispatch/multi_site.rs
@@ -1,9 +1,9 @@
-//! Cross-site forwarding: the gateway's events are told to `harrierdock-multi-site`, and its actions are executed here.
+//! Cross-site forwarding: the gateway's events are passed to `harrierdock-multi-site`, and its actions are executed here.
 
 use std::time::Instant;
 
 use harrierdock_event_loop::ResourceClass;
-use harrierdock_multi_site::{Action, Change, Event, InboundId, OperatorCommand};
+use harrierdock_multi_site::{Action, Change, Event, InboundId};
 use harrierdock_site_messages::{
     self as site_messages, ForwardedRequest, ForwardingOutcome, ForwardingResponse, SiteMessage,
 };
@@ -12,7 +12,6 @@
     AffinityKey, BuildId, ClassId, Event as PolicyEvent, RequestId, TimeDelta, Timestamp,
 };
 
-use crate::config::extension::ExtensionConfig;
 use crate::downstream::Answer;
 use crate::metrics::Counter;
 use crate::multi_site::forwarding::{InboundAnswer, OutboundAttributes};
@@ -41,7 +40,7 @@
 
 impl Gateway {
     /// Tells cross-site forwarding what has happened, and executes the actions it returns.
-    pub fn handle_multi_site_event(&mut self, now: Timestamp, event: Event) {
+    pub(crate) fn handle_multi_site_event(&mut self, now: Timestamp, event: Event) {
         let Some(forwarding) = &mut self.forwarding else {
             return;
         };
@@ -51,7 +50,7 @@
     }
 
     /// Handles what the transport has received, and sends what waits to be sent.
-    pub fn process_transport(&mut self) {
+    pub(crate) fn process_transport(&mut self) {
         while let Some(event) = self
             .forwarding
             .as_mut()
@@ -66,14 +65,14 @@
     }
 
     /// The transport's timer has fired.
-    pub fn handle_transport_timer(&mut self) {
+    pub(crate) fn handle_transport_timer(&mut self) {
         if let Some(forwarding) = &mut self.forwarding {
             forwarding.handle_transport_timer();
         }
     }
 
     /// The timer of cross-site forwarding has fired.
-    pub fn handle_multi_site_timer(&mut self) {
+    pub(crate) fn handle_multi_site_timer(&mut self) {
         let now = self.context.now();
         if let Some(forwarding) = &mut self.forwarding {
             forwarding.sites_deadline = None;
@@ -114,7 +113,7 @@
                 }
                 Err(e) => {
                     self.context.counters.add(Counter::SiteMessagesRefused);
-                    tracing::debug!("sites: a letter cannot be read: {e}");
+                    tracing::debug!("sites: a message cannot be read: {e}");
                 }
             },
         }
@@ -332,7 +331,7 @@
     }
 
     /// Sends the answer of a request back to the site that has forwarded it. Any other request is ignored.
-    pub fn answer_inbound(&mut self, now: Timestamp, id: RequestId, answer: InboundAnswer) {
+    pub(crate) fn answer_inbound(&mut self, now: Timestamp, id: RequestId, answer: InboundAnswer) {
         let inbound = self
             .forwarding
             .as_mut()
@@ -349,56 +348,12 @@
     }
 
     /// Tells cross-site forwarding how many endpoints are ready at this site.
-    pub fn update_local_capacity(&mut self, now: Timestamp) {
+    pub(crate) fn update_local_capacity(&mut self, now: Timestamp) {
         if self.forwarding.is_some() {
             let ready = self.dispatcher.ready_endpoint_count();
             self.handle_multi_site_event(now, Event::EndpointsUpdated { ready });
         }
     }
-
-    /// Carries out an operator's command and returns the status, in one line of JSON.
-    pub fn handle_control_command(&mut self, command: &str) -> String {
-        let now = self.context.now();
-        let operator_command = match command {
-            "drain" => Some(OperatorCommand::Drain),
-            "resume" => Some(OperatorCommand::Resume),
-            "status" => None,
-            unknown => {
-                return format!(
-                    "{{\"error\":\"unknown word '{}'\"}}\n",
-                    unknown.escape_default()
-                )
-            }
-        };
-        if let Some(operator_command) = operator_command {
-            tracing::warn!("sites: told by hand to {command}");
-            self.handle_multi_site_event(now, Event::OperatorCommand(operator_command));
-            self.process_events();
-        }
-        let status = self
-            .forwarding
-            .as_ref()
-            .and_then(|forwarding| serde_json::to_string(&forwarding.sites.status()).ok());
-        let no_site = || r#"{"error":"no other site is told"}"#.to_string();
-        format!("{}\n", status.unwrap_or_else(no_site))
-    }
-
-    /// Uses new keys and certificates for the connections that come up from now on.
-    pub fn reload_site_keys(&mut self, extension: &ExtensionConfig) {
-        let Some(forwarding) = &mut self.forwarding else {
-            return;
-        };
-        let Some(settings) = &extension.sites else {
-            return tracing::warn!("sites: the keys held stay: no sites");
-        };
-        if settings.other.site != forwarding.other_site {
-            return tracing::warn!("sites: another other site counts from the next start on");
-        }
-        match forwarding.reload_keys(settings, extension.folder()) {
-            Ok(()) => tracing::info!("sites: keys are read again"),
-            Err(e) => tracing::warn!("sites: the keys held stay: {e}"),
-        }
-    }
 }
 
 fn log_change(change: &Change) {
--- a/crates/gateway/src/dispatch/preconditions.rs
+++ b/crates/gateway/src/dispatch/preconditions.rs
@@ -93,7 +93,7 @@
 impl Gateway {
     /// Cancels the attempt on this connection if it is not written in full and its precondition no longer holds. The endpoint
     /// cannot have started on it.
-    pub fn cancel_on_violation(&mut self, connection_id: ConnectionId) {
+    pub(crate) fn cancel_on_violation(&mut self, connection_id: ConnectionId) {
         let Some(attempt) = self.upstream.unsent_attempt(connection_id) else {
             return;
         };
--- a/crates/gateway/src/dispatch/request_table.rs
+++ b/crates/gateway/src/dispatch/request_table.rs
@@ -6,26 +6,26 @@
 use harrierdock_types::{AffinityKey, AttemptOutcome, ClassId, EndpointId, RequestId, Timestamp};
 
 /// An attempt of a request.
-pub struct AttemptRecord {
+pub(crate) struct AttemptRecord {
     /// Where it goes.
-    pub endpoint: EndpointId,
+    pub(crate) endpoint: EndpointId,
     /// When the policy asked for it.
-    pub started_at: Timestamp,
+    pub(crate) started_at: Timestamp,
     /// From when on it counts against the exposure limit.
-    pub exposure_counted_at: Timestamp,
+    pub(crate) exposure_counted_at: Timestamp,
     /// What it was decided on.
-    pub precondition: Precondition,
+    pub(crate) precondition: Precondition,
     /// Whether it has not ended.
-    pub is_open: bool,
+    pub(crate) is_open: bool,
     /// Whether it certainly had no effect.
-    pub had_no_effect: bool,
+    pub(crate) had_no_effect: bool,
     /// The size of the request's body.
-    pub body_bytes: usize,
+    pub(crate) body_bytes: usize,
 }
 
 /// Which site serves a request.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub enum ServingSite {
+pub(crate) enum ServingSite {
     /// It is not decided yet.
     Undecided,
     /// This site.
@@ -37,32 +37,32 @@
 }
 
 /// A request under way.
-pub struct RequestEntry {
+pub(crate) struct RequestEntry {
     /// Its class.
-    pub class: ClassId,
+    pub(crate) class: ClassId,
     /// Its affinity key, if it has one.
-    pub key: Option<AffinityKey>,
+    pub(crate) key: Option<AffinityKey>,
     /// Whether its client has sent it before.
-    pub is_client_retry: bool,
+    pub(crate) is_client_retry: bool,
     /// When it was received.
-    pub received_at: Timestamp,
+    pub(crate) received_at: Timestamp,
     /// When its client's wait ends.
-    pub deadline: Timestamp,
+    pub(crate) deadline: Timestamp,
     /// When it must have been answered, whatever the policy does.
-    pub overdue_at: Timestamp,
+    pub(crate) overdue_at: Timestamp,
     /// Whether it has its answer, or needs none any more.
-    pub is_answered: bool,
+    pub(crate) is_answered: bool,
     /// Which site serves it.
-    pub serving_site: ServingSite,
+    pub(crate) serving_site: ServingSite,
     /// Whether the other site has forwarded it.
-    pub is_inbound: bool,
+    pub(crate) is_inbound: bool,
     /// Its attempts at this site's endpoints, by their number.
-    pub attempts: Vec<AttemptRecord>,
+    pub(crate) attempts: Vec<AttemptRecord>,
 }
 
 impl RequestEntry {
     /// Whether an attempt may have had its effect.
-    pub fn may_have_effect(&self) -> bool {
+    pub(crate) fn may_have_effect(&self) -> bool {
         self.attempts.iter().any(|attempt| !attempt.had_no_effect)
     }
 
@@ -72,69 +72,73 @@
 }
 
 /// What is known of an attempt that has just ended.
-pub struct EndedAttempt {
+pub(crate) struct EndedAttempt {
     /// Where it went.
-    pub endpoint: EndpointId,
+    pub(crate) endpoint: EndpointId,
     /// When the policy asked for it.
-    pub started_at: Timestamp,
+    pub(crate) started_at: Timestamp,
     /// The size of the request's body.
-    pub body_bytes: usize,
+    pub(crate) body_bytes: usize,
 }
 
 /// What the other site needs to know of a request besides its bytes.
-pub struct ForwardedAttributes {
+pub(crate) struct ForwardedAttributes {
     /// Its class.
-    pub class: ClassId,
+    pub(crate) class: ClassId,
     /// Its affinity key, if it has one.
-    pub key: Option<AffinityKey>,
+    pub(crate) key: Option<AffinityKey>,
     /// Whether its client has sent it before.
-    pub is_client_retry: bool,
+    pub(crate) is_client_retry: bool,
 }
 
 /// The requests under way.
 #[derive(Default)]
-pub struct RequestTable {
+pub(crate) struct RequestTable {
     entries: BTreeMap<RequestId, RequestEntry>,
 }
 
 impl RequestTable {
     /// Adds a request.
-    pub fn insert(&mut self, id: RequestId, entry: RequestEntry) {
+    pub(crate) fn insert(&mut self, id: RequestId, entry: RequestEntry) {
         self.entries.insert(id, entry);
     }
 
     /// A request, if it is under way.
-    pub fn get(&self, id: RequestId) -> Option<&RequestEntry> {
+    pub(crate) fn get(&self, id: RequestId) -> Option<&RequestEntry> {
         self.entries.get(&id)
     }
 
     /// A request, if it is under way.
-    pub fn get_mut(&mut self, id: RequestId) -> Option<&mut RequestEntry> {
+    pub(crate) fn get_mut(&mut self, id: RequestId) -> Option<&mut RequestEntry> {
         self.entries.get_mut(&id)
     }
 
     /// A request that has no answer yet.
-    pub fn get_unanswered_mut(&mut self, id: RequestId) -> Option<&mut RequestEntry> {
+    pub(crate) fn get_unanswered_mut(&mut self, id: RequestId) -> Option<&mut RequestEntry> {
         self.get_mut(id).filter(|entry| !entry.is_answered)
     }
 
     /// Whether the request is under way and was forwarded by the other site.
-    pub fn is_inbound(&self, id: RequestId) -> bool {
+    pub(crate) fn is_inbound(&self, id: RequestId) -> bool {
         self.get(id).is_some_and(|entry| entry.is_inbound)
     }
 
     /// Whether the request has its answer, or is not known any more.
-    pub fn is_finished(&self, id: RequestId) -> bool {
+    pub(crate) fn is_finished(&self, id: RequestId) -> bool {
         self.get(id).is_none_or(|entry| entry.is_answered)
     }
 
     /// An attempt of a request.
-    pub fn attempt_mut(&mut self, id: RequestId, attempt: usize) -> Option<&mut AttemptRecord> {
+    pub(crate) fn attempt_mut(
+        &mut self,
+        id: RequestId,
+        attempt: usize,
+    ) -> Option<&mut AttemptRecord> {
         self.get_mut(id)?.attempts.get_mut(attempt)
     }
 
     /// Notes that an attempt has ended. `None` if it is unknown or has ended before.
-    pub fn end_attempt(
+    pub(crate) fn end_attempt(
         &mut self,
         id: RequestId,
         attempt: usize,
@@ -154,7 +158,7 @@
     }
 
     /// Notes that the other site serves a request. `None` if it has its answer already.
-    pub fn mark_forwarded(&mut self, id: RequestId) -> Option<ForwardedAttributes> {
+    pub(crate) fn mark_forwarded(&mut self, id: RequestId) -> Option<ForwardedAttributes> {
         let entry = self.get_unanswered_mut(id)?;
         entry.serving_site = ServingSite::Other;
         Some(ForwardedAttributes {
@@ -165,14 +169,14 @@
     }
 
     /// Removes a request that has its answer and no open attempt.
-    pub fn remove_if_complete(&mut self, id: RequestId) {
+    pub(crate) fn remove_if_complete(&mut self, id: RequestId) {
         if self.get(id).is_some_and(RequestEntry::is_complete) {
             self.entries.remove(&id);
         }
     }
 
     /// The requests that have no answer yet.
-    pub fn unanswered(&self) -> impl Iterator<Item = RequestId> + '_ {
+    pub(crate) fn unanswered(&self) -> impl Iterator<Item = RequestId> + '_ {
         self.entries
             .iter()
             .filter(|(_, entry)| !entry.is_answered)
@@ -180,7 +184,7 @@
     }
 
     /// How many requests have no answer yet.
-    pub fn unanswered_count(&self) -> usize {
+    pub(crate) fn unanswered_count(&self) -> usize {
         self.unanswered().count()
     }
 }
--- a/crates/gateway/src/dispatch/rollout.rs
+++ b/crates/gateway/src/dispatch/rollout.rs
@@ -1,4 +1,4 @@
-//! The rollout controller: votes and rollout updates are told to `harrierdock-rollout-controller`, and its actions are executed
+//! The rollout controller: votes and rollout updates are passed to `harrierdock-rollout-controller`, and its actions are executed
 //! here. The commands to the deployment controller go out under a lease.
 
 use calloop::Readiness;
@@ -55,7 +55,7 @@
             }
             Err(e) => {
                 self.context.counters.add(Counter::GossipRefused);
-                tracing::debug!("fleet: a ballot is refused: {e}");
+                tracing::debug!("fleet: a vote is refused: {e}");
             }
         }
     }
@@ -105,7 +105,7 @@
     }
 
     /// The timer of the rollout controller has fired.
-    pub fn handle_rollout_timer(&mut self) {
+    pub(crate) fn handle_rollout_timer(&mut self) {
         if let Some(commands) = &mut self.rollout_commands {
             commands.timer_deadline = None;
         }
@@ -140,7 +140,7 @@
     }
 
     /// The connection of a command is ready. The lease is checked when its bytes can go out, and not before.
-    pub fn handle_rollout_command_readiness(
+    pub(crate) fn handle_rollout_command_readiness(
         &mut self,
         connection_id: ConnectionId,
         readiness: Readiness,
@@ -159,7 +159,7 @@
     }
 
     /// A command has had no response in time.
-    pub fn time_out_rollout_command(&mut self, connection_id: ConnectionId) {
+    pub(crate) fn time_out_rollout_command(&mut self, connection_id: ConnectionId) {
         let finished = self
             .rollout_commands
             .as_mut()
--- a/crates/gateway/src/downstream/idle_eviction.rs
+++ b/crates/gateway/src/downstream/idle_eviction.rs
@@ -85,7 +85,7 @@
 
     /// Closes the connections that were unused longest while more are unused than clients may keep. Connections that are kept
     /// after one request would otherwise leave none for other clients.
-    pub fn trim_idle(&mut self, context: &mut Context) {
+    pub(crate) fn trim_idle(&mut self, context: &mut Context) {
         while self.idle.between_requests > self.max_unused
             && self.evict(context, IdleKind::BetweenRequests, TimeDelta::ZERO)
         {}
@@ -93,7 +93,7 @@
 
     /// Closes connections whose time is over, and resumes accepting if there are descriptors. A client that has begun a
     /// request gets a response first.
-    pub fn close_expired(&mut self, context: &mut Context) {
+    pub(crate) fn close_expired(&mut self, context: &mut Context) {
         let now = context.now();
         let limits = [
             (IdleKind::NeverUsed, MIN_IDLE_TIME),
@@ -146,7 +146,7 @@
 
     /// Closes one connection for another: those never used first, then those that have stalled, then those unused for as long
     /// as the protocol grants. Returns whether there was one.
-    pub fn evict_stalled(&mut self, context: &mut Context) -> bool {
+    pub(crate) fn evict_stalled(&mut self, context: &mut Context) -> bool {
         let limits = [
             (IdleKind::NeverUsed, TimeDelta::ZERO),
             (IdleKind::PartialRequest, self.stall_timeout),
@@ -159,7 +159,7 @@
     }
 
     /// Closes the connection that was unused longest, however short that is. Returns whether there was one.
-    pub fn evict_idle(&mut self, context: &mut Context) -> bool {
+    pub(crate) fn evict_idle(&mut self, context: &mut Context) -> bool {
         self.evict(context, IdleKind::BetweenRequests, TimeDelta::ZERO)
     }
 
@@ -185,7 +185,7 @@
     }
 
     /// Closes connections between requests, in a shutdown. Returns whether only closing connections are left.
-    pub fn close_between_requests(&mut self, context: &mut Context) -> bool {
+    pub(crate) fn close_between_requests(&mut self, context: &mut Context) -> bool {
         let candidates: Vec<ConnectionId> = self
             .connections
             .iter()
--- a/crates/gateway/src/downstream/listener.rs
+++ b/crates/gateway/src/downstream/listener.rs
@@ -68,7 +68,7 @@
     /// # Errors
     ///
     /// The system does not say it.
-    pub fn local_address(&self) -> io::Result<SocketAddr> {
+    pub(crate) fn local_address(&self) -> io::Result<SocketAddr> {
         self.listener.socket.local_addr()
     }
 
@@ -77,7 +77,7 @@
     /// # Errors
     ///
     /// The loop cannot watch the listener.
-    pub fn start_accepting(&mut self, context: &Context) -> Result<(), WatchError> {
+    pub(crate) fn start_accepting(&mut self, context: &Context) -> Result<(), WatchError> {
         let source = Generic::new(self.listener.socket.clone(), Interest::READ, Mode::Level);
         let accept_connections = context.handlers.listener;
         let token = context
@@ -92,7 +92,7 @@
     }
 
     /// Accepts waiting connections while descriptors last. Returns whether one has to be freed for more.
-    pub fn accept(&mut self, context: &mut Context) -> bool {
+    pub(crate) fn accept(&mut self, context: &mut Context) -> bool {
         for accepted_count in 0..MAX_ACCEPTS_PER_TURN {
             if context.descriptors.available() == 0 {
                 // After the first connection it is not known whether another waits. The listener is ready again if so, and
@@ -140,7 +140,7 @@
     }
 
     /// Stops accepting until `close_expired` finds descriptors, so that the loop does not spin on a listener that stays ready.
-    pub fn pause(&mut self, context: &Context) {
+    pub(crate) fn pause(&mut self, context: &Context) {
         let Some(token) = self.listener.token.filter(|_| !self.listener.is_paused) else {
             return;
         };
@@ -151,7 +151,7 @@
     }
 
     /// Whether accepting has stopped for want of descriptors.
-    pub fn is_paused(&self) -> bool {
+    pub(crate) fn is_paused(&self) -> bool {
         self.listener.is_paused
     }
 
--- a/crates/gateway/src/downstream/mod.rs
+++ b/crates/gateway/src/downstream/mod.rs
@@ -22,10 +22,10 @@
 use idle_eviction::{IdleList, READABLE};
 use listener::Listener;
 
-pub use responses::Answer;
+pub(crate) use responses::Answer;
 
 /// How long the protocol grants a connection without an open request at the least.
-pub const MIN_IDLE_TIME: TimeDelta = TimeDelta(2_000_000);
+pub(crate) const MIN_IDLE_TIME: TimeDelta = TimeDelta(2_000_000);
 /// Clients may use one in this many descriptors for requests, by the protocol.
 const DESCRIPTORS_PER_REQUEST: usize = 3;
 
@@ -40,17 +40,17 @@
 }
 
 /// Where and how clients are served.
-pub struct DownstreamSettings {
+pub(crate) struct DownstreamSettings {
     /// The address of the listener.
-    pub address: SocketAddr,
+    pub(crate) address: SocketAddr,
     /// The request classes.
-    pub classes: ClassNames,
+    pub(crate) classes: ClassNames,
     /// How long a connection is kept unused, or a response unread.
-    pub idle_timeout: TimeDelta,
+    pub(crate) idle_timeout: TimeDelta,
     /// How long a stalled connection is kept while others need its resources.
-    pub stall_timeout: TimeDelta,
+    pub(crate) stall_timeout: TimeDelta,
     /// How many descriptors the process may have.
-    pub descriptor_limit: usize,
+    pub(crate) descriptor_limit: usize,
 }
 
 struct WaitingClient {
@@ -93,7 +93,7 @@
 }
 
 /// The clients' side of the gateway.
-pub struct Downstream {
+pub(crate) struct Downstream {
     listener: Listener,
     connections: BTreeMap<ConnectionId, ClientConnection>,
     idle: IdleList,
@@ -112,7 +112,7 @@
     /// # Errors
     ///
     /// The address cannot be listened on.
-    pub fn bind(settings: DownstreamSettings) -> io::Result<Downstream> {
+    pub(crate) fn bind(settings: DownstreamSettings) -> io::Result<Downstream> {
         Ok(Downstream {
             listener: Listener::bind(settings.address)?,
             connections: BTreeMap::new(),
@@ -127,18 +127,18 @@
     }
 
     /// Answers readiness checks with yes, unless the gateway shuts down.
-    pub fn set_ready(&mut self) {
+    pub(crate) fn set_ready(&mut self) {
         self.readiness = self.readiness.max(Readiness::Ready);
     }
 
     /// Answers readiness checks with no, and closes every connection after its response.
-    pub fn start_shutdown(&mut self) {
+    pub(crate) fn start_shutdown(&mut self) {
         self.readiness = Readiness::ShuttingDown;
     }
 
     /// Whether a request's client still waits, by what its connection says now. A client may have left while the loop was busy
     /// with other sockets, and no attempt is to be sent for it then.
-    pub fn is_client_waiting(&mut self, context: &mut Context, id: RequestId) -> bool {
+    pub(crate) fn is_client_waiting(&mut self, context: &mut Context, id: RequestId) -> bool {
         if let Some(connection_id) = self.waiting.connection_of(id) {
             self.handle_readiness(context, connection_id, READABLE);
         }
@@ -146,7 +146,7 @@
     }
 
     /// Calls a function with a request's bytes, if its client still waits.
-    pub fn with_outbound_request<T>(
+    pub(crate) fn with_outbound_request<T>(
         &self,
         id: RequestId,
         function: impl FnOnce(OutboundRequest<'_>) -> T,
--- a/crates/gateway/src/downstream/requests.rs
+++ b/crates/gateway/src/downstream/requests.rs
@@ -13,7 +13,7 @@
 
 impl Downstream {
     /// Reads and writes what a connection is ready for.
-    pub fn handle_readiness(
+    pub(crate) fn handle_readiness(
         &mut self,
         context: &mut Context,
         id: ConnectionId,
--- a/crates/gateway/src/downstream/responses.rs
+++ b/crates/gateway/src/downstream/responses.rs
@@ -10,12 +10,12 @@
 use crate::runtime::context::{Context, ResponseBody};
 
 /// The answer to a request.
-pub enum Answer {
+pub(crate) enum Answer {
     /// An endpoint's response.
     Succeeded(ResponseBody),
-    /// The request is turned away without effect.
+    /// The request is rejected without effect.
     Rejected {
-        /// When the client may come back, if it is told.
+        /// When the client may retry, if this is said.
         retry_after: Option<TimeDelta>,
     },
     /// The request has ended with unknown effect.
@@ -64,7 +64,7 @@
 
 impl Downstream {
     /// Answers a request, if its client still waits.
-    pub fn answer(&mut self, context: &mut Context, id: RequestId, answer: Answer) {
+    pub(crate) fn answer(&mut self, context: &mut Context, id: RequestId, answer: Answer) {
         let Some(connection_id) = self.waiting.remove(id) else {
             return;
         };
--- a/crates/gateway/src/gossip.rs
+++ b/crates/gateway/src/gossip.rs
@@ -20,7 +20,7 @@
 const MAX_READS_PER_TURN: usize = 32;
 
 /// The socket to the peers.
-pub struct GossipSocket {
+pub(crate) struct GossipSocket {
     socket: Rc<UdpSocket>,
     /// The peers' addresses, by their `PeerId`.
     peers: Vec<SocketAddr>,
@@ -35,7 +35,7 @@
     /// # Errors
     ///
     /// The address cannot be bound.
-    pub fn open<D>(
+    pub(crate) fn open<D>(
         handle: &LoopHandle<'static, D>,
         config: &GatewayConfig,
         local_peer: PeerId,
@@ -64,7 +64,7 @@
     }
 
     /// Reads what has arrived, and queues it as internal events.
-    pub fn receive(&self, context: &mut Context) {
+    pub(crate) fn receive(&self, context: &mut Context) {
         let mut buffer = [0_u8; MAX_DATAGRAM_BYTES + 1];
         for _ in 0..MAX_READS_PER_TURN {
             match self.socket.recv_from(&mut buffer) {
@@ -107,7 +107,12 @@
     }
 
     /// Sends a gossip message to a peer, or to all.
-    pub fn send_gossip(&self, context: &mut Context, to: Option<PeerId>, message: &GossipMessage) {
+    pub(crate) fn send_gossip(
+        &self,
+        context: &mut Context,
+        to: Option<PeerId>,
+        message: &GossipMessage,
+    ) {
         let address = match to {
             Some(peer) => self.peers.get(peer.0).copied(),
             None => self.broadcast,
@@ -116,7 +121,7 @@
     }
 
     /// Sends a binary message, about leases or rollout votes, to a peer.
-    pub fn send_to_peer(&self, context: &mut Context, to: PeerId, bytes: &[u8]) {
+    pub(crate) fn send_to_peer(&self, context: &mut Context, to: PeerId, bytes: &[u8]) {
         self.send_datagram(context, self.peers.get(to.0).copied(), bytes);
     }
 
--- a/crates/gateway/src/lease/mod.rs
+++ b/crates/gateway/src/lease/mod.rs
@@ -1,4 +1,4 @@
 //! Leases: rights that one gateway of a fleet holds at a time.
 
 mod message_version;
-pub mod participant;
+pub(crate) mod participant;
--- a/crates/gateway/src/lease/participant.rs
+++ b/crates/gateway/src/lease/participant.rs
@@ -10,13 +10,13 @@
 use crate::config::lease::{LeaseConfig, LeaseConfigError};
 
 /// Binary messages, about leases or rollout votes, begin with this byte or a higher one. No text does.
-pub const FIRST_LEASE_BYTE: u8 = 0xF5;
+pub(crate) const FIRST_LEASE_BYTE: u8 = 0xF5;
 /// How often it is logged that messages could not be read.
 const UNREADABLE_LOG_INTERVAL: TimeDelta = TimeDelta(10_000_000);
 
 /// What the dispatcher is asked to do.
 #[derive(Clone, Debug, PartialEq)]
-pub enum LeaseAction {
+pub(crate) enum LeaseAction {
     /// Send a message to a peer.
     Send {
         /// The peer.
@@ -66,21 +66,21 @@
 }
 
 /// Who takes part, by which settings.
-pub struct Participation<'a> {
+pub(crate) struct Participation<'a> {
     /// The settings of the leases.
-    pub settings: &'a LeaseConfig,
+    pub(crate) settings: &'a LeaseConfig,
     /// The same, checked and parsed.
-    pub parameters: LeaseParameters,
+    pub(crate) parameters: LeaseParameters,
     /// This gateway's name.
-    pub name: &'a str,
+    pub(crate) name: &'a str,
     /// The seed of its random numbers.
-    pub seed: u64,
+    pub(crate) seed: u64,
 }
 
 /// This gateway's part in the leases.
-pub struct LeaseParticipant {
+pub(crate) struct LeaseParticipant {
     /// The deadline of the timer.
-    pub timer_deadline: Option<Timestamp>,
+    pub(crate) timer_deadline: Option<Timestamp>,
     manager: LeaseManager,
     settings: LeaseConfig,
     name: String,
@@ -92,7 +92,7 @@
 
 impl LeaseParticipant {
     /// Takes part from now on, as a candidate for the configured leases if this gateway is an elector.
-    pub fn start(
+    pub(crate) fn start(
         now: Timestamp,
         participation: Participation<'_>,
     ) -> (LeaseParticipant, Vec<LeaseAction>) {
@@ -113,7 +113,7 @@
             manager: LeaseManager::new(parameters, incarnation, seed ^ incarnation, now),
             settings: settings.clone(),
             name: name.into(),
-            local_peer: local_peer,
+            local_peer,
             clock: LeaseClock::new(now, faults),
             message_version: MessageVersion::new(faults),
             unreadable: UnreadableMessages::default(),
@@ -132,7 +132,7 @@
     }
 
     /// The electors besides this gateway.
-    pub fn other_electors(&self) -> Vec<PeerId> {
+    pub(crate) fn other_electors(&self) -> Vec<PeerId> {
         self.manager
             .electorate()
             .electorate
@@ -145,12 +145,12 @@
 
     /// The epoch in which this gateway may act under a lease right now. To be asked immediately before the bytes of each act are
     /// written: a gateway that was stalled or partitioned cannot know otherwise that its lease has expired.
-    pub fn may_act(&self, now: Timestamp, lease: LeaseName) -> Option<Epoch> {
+    pub(crate) fn may_act(&self, now: Timestamp, lease: LeaseName) -> Option<Epoch> {
         self.manager.may_act(self.clock.at(now), lease)
     }
 
     /// Converts a message to or from the version that this gateway writes and reads.
-    pub fn convert_version(&self, message: &mut [u8]) {
+    pub(crate) fn convert_version(&self, message: &mut [u8]) {
         self.message_version.convert(message);
     }
 
@@ -159,7 +159,7 @@
     /// # Errors
     ///
     /// It cannot be read, and changes nothing.
-    pub fn handle_message(
+    pub(crate) fn handle_message(
         &mut self,
         now: Timestamp,
         from: PeerId,
@@ -174,7 +174,7 @@
     }
 
     /// Tells the leases what has happened, and returns what is to be done.
-    pub fn handle(&mut self, now: Timestamp, event: Event) -> Vec<LeaseAction> {
+    pub(crate) fn handle(&mut self, now: Timestamp, event: Event) -> Vec<LeaseAction> {
         let actions = self.manager.handle(self.clock.at(now), event);
         actions
             .into_iter()
@@ -211,7 +211,7 @@
     /// # Errors
     ///
     /// The electorate does not fit; the former one stays.
-    pub fn reload(
+    pub(crate) fn reload(
         &mut self,
         now: Timestamp,
         settings: &LeaseConfig,
@@ -257,7 +257,7 @@
     }
 
     /// The counters and the holders that are known here, for the log.
-    pub fn counts(&self, now: Timestamp) -> String {
+    pub(crate) fn counts(&self, now: Timestamp) -> String {
         let counts = self.manager.counters();
         let holder_of = |lease: &str| -> Option<&str> {
             let holder = self
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -1,6 +1,8 @@
 //! `harrierdock`: a gateway that routes requests to endpoints and votes on the rollout of their new versions. `runtime` holds
 //! its parts and its event loop; `dispatch` alone speaks with the policy.
 
+#![warn(missing_docs, unreachable_pub)]
+
 mod cli;
 mod config;
 mod control_plane;
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -7,7 +7,7 @@
     ($($(#[$doc:meta])* $counter:ident => $name:literal,)*) => {
         /// What is counted, since the start.
         #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-        pub enum Counter {
+        pub(crate) enum Counter {
             $($(#[$doc])* $counter,)*
         }
 
@@ -20,7 +20,7 @@
     RequestsReceived => "received",
     /// Requests answered with an endpoint's response.
     RequestsSucceeded => "succeeded",
-    /// Requests turned away without effect.
+    /// Requests rejected without effect.
     RequestsRejected => "rejected",
     /// Requests that ended with unknown effect.
     RequestsFailed => "failed",
@@ -34,7 +34,7 @@
     AttemptsSucceeded => "attempt-succeeded",
     /// Attempts that an endpoint answered with an error.
     AttemptsWithServerError => "server-error",
-    /// Attempts that an endpoint turned away.
+    /// Attempts that an endpoint rejected.
     AttemptsRejected => "attempt-rejected",
     /// Attempts without a response in time.
     AttemptsTimedOut => "timed-out",
@@ -97,7 +97,7 @@
 }
 
 /// The value of each counter.
-pub struct Counters([u64; COUNTERS.len()]);
+pub(crate) struct Counters([u64; COUNTERS.len()]);
 
 impl Default for Counters {
     fn default() -> Counters {
@@ -107,12 +107,12 @@
 
 impl Counters {
     /// Adds one.
-    pub fn add(&mut self, counter: Counter) {
+    pub(crate) fn add(&mut self, counter: Counter) {
         self.0[counter as usize] += 1;
     }
 
     /// Sets a counter that is counted elsewhere.
-    pub fn set(&mut self, counter: Counter, value: u64) {
+    pub(crate) fn set(&mut self, counter: Counter, value: u64) {
         self.0[counter as usize] = value;
     }
 
@@ -121,7 +121,7 @@
     /// # Panics
     ///
     /// In debug builds, if it does not hold.
-    pub fn check_invariant(&mut self, holds: bool, invariant: &str) {
+    pub(crate) fn check_invariant(&mut self, holds: bool, invariant: &str) {
         debug_assert!(holds, "{invariant}");
         if !holds {
             self.add(Counter::InvariantViolations);
--- a/crates/gateway/src/multi_site/control_socket.rs
+++ b/crates/gateway/src/multi_site/control_socket.rs
@@ -21,14 +21,14 @@
 /// What is wrong with a control socket.
 #[derive(Debug, Error)]
 #[error("control socket {}: {source}", path.display())]
-pub struct ControlSocketError {
+pub(crate) struct ControlSocketError {
     path: PathBuf,
     source: ControlSocketFault,
 }
 
 /// The fault of a control socket.
 #[derive(Debug, Error)]
-pub enum ControlSocketFault {
+pub(crate) enum ControlSocketFault {
     /// It cannot be opened, read or written.
     #[error("{0}")]
     Io(#[from] io::Error),
@@ -43,7 +43,7 @@
 }
 
 /// The control socket. Its file is removed when it is dropped.
-pub struct ControlSocket {
+pub(crate) struct ControlSocket {
     path: PathBuf,
     connections: Vec<ControlConnection>,
 }
@@ -54,7 +54,7 @@
     /// # Errors
     ///
     /// Another gateway listens there, or the path cannot be bound.
-    pub fn open<D: 'static>(
+    pub(crate) fn open<D: 'static>(
         handle: &LoopHandle<'static, D>,
         path: PathBuf,
         accepted: fn(&mut D, UnixStream),
@@ -82,7 +82,7 @@
     }
 
     /// Waits for the command of a connection. One beyond `MAX_CONNECTIONS` is closed at once.
-    pub fn add_connection<D: 'static>(
+    pub(crate) fn add_connection<D: 'static>(
         &mut self,
         handle: &LoopHandle<'static, D>,
         stream: UnixStream,
@@ -114,7 +114,7 @@
     }
 
     /// Closes connections that have sent no command in time.
-    pub fn close_expired<D>(&mut self, handle: &LoopHandle<'static, D>, now: Timestamp) {
+    pub(crate) fn close_expired<D>(&mut self, handle: &LoopHandle<'static, D>, now: Timestamp) {
         self.connections.retain(|connection| {
             let stays = now - connection.opened_at < COMMAND_TIMEOUT;
             if !stays {
@@ -143,7 +143,7 @@
 /// # Errors
 ///
 /// Nobody listens there, or no response comes.
-pub fn send_command(path: &Path, command: &str) -> Result<String, ControlSocketError> {
+pub(crate) fn send_command(path: &Path, command: &str) -> Result<String, ControlSocketError> {
     let error = |e: io::Error| socket_error(path, e.into());
     let mut stream = UnixStream::connect(path).map_err(error)?;
     stream
--- a/crates/gateway/src/multi_site/forwarding.rs
+++ b/crates/gateway/src/multi_site/forwarding.rs
@@ -43,13 +43,16 @@
 
 /// Why the transport to the other site cannot be opened, or its keys not be replaced.
 #[derive(Debug, Error)]
-pub enum ForwardingError {
+pub(crate) enum ForwardingError {
     /// The configuration is refused.
     #[error(transparent)]
     Config(#[from] ConfigError),
     /// The key files cannot be used.
     #[error(transparent)]
     Extension(#[from] ExtensionError),
+    /// The extension file names no other site any more.
+    #[error("no sites")]
+    NoSites,
     /// The keys do not fit the transport.
     #[error("sites.keys: {0}")]
     Keys(#[from] SetupError),
@@ -67,18 +70,18 @@
 }
 
 /// The answer to a request that the other site has forwarded.
-pub struct InboundAnswer {
+pub(crate) struct InboundAnswer {
     /// How it ended.
-    pub outcome: ForwardingOutcome,
+    pub(crate) outcome: ForwardingOutcome,
     /// The build that answered it.
-    pub build: Option<BuildId>,
+    pub(crate) build: Option<BuildId>,
     /// The response's body.
-    pub body: Vec<u8>,
+    pub(crate) body: Vec<u8>,
 }
 
 impl InboundAnswer {
     /// An answer that no endpoint has given.
-    pub fn without_body(outcome: ForwardingOutcome) -> InboundAnswer {
+    pub(crate) fn without_body(outcome: ForwardingOutcome) -> InboundAnswer {
         InboundAnswer {
             outcome,
             build: None,
@@ -87,23 +90,23 @@
     }
 }
 
-/// What the other site is told of a request besides its bytes.
-pub struct OutboundAttributes {
+/// What is forwarded of a request besides its bytes.
+pub(crate) struct OutboundAttributes {
     /// The name of its class.
-    pub class: String,
+    pub(crate) class: String,
     /// Its affinity key, if it has one.
-    pub key: Option<AffinityKey>,
+    pub(crate) key: Option<AffinityKey>,
     /// Whether its client has sent it before.
-    pub is_client_retry: bool,
+    pub(crate) is_client_retry: bool,
     /// The oldest build that may answer its affinity key.
-    pub sticky_build: BuildId,
+    pub(crate) sticky_build: BuildId,
     /// How long its client still waits.
-    pub time_left: TimeDelta,
+    pub(crate) time_left: TimeDelta,
 }
 
 impl OutboundAttributes {
     /// The message that forwards the request. `blank` holds the rest of its fields.
-    pub fn message(
+    pub(crate) fn message(
         self,
         request: &OutboundRequest<'_>,
         blank: ForwardedRequest,
@@ -126,21 +129,21 @@
 }
 
 /// This gateway's side of the connections between two sites.
-pub struct Forwarding {
+pub(crate) struct Forwarding {
     /// What is decided between the sites.
-    pub sites: MultiSite,
+    pub(crate) sites: MultiSite,
     /// The transport.
-    pub transport: SiteTransport,
+    pub(crate) transport: SiteTransport,
     /// The paths that were opened and have not come up.
-    pub connecting: BTreeMap<PathId, GatewayName>,
+    pub(crate) connecting: BTreeMap<PathId, GatewayName>,
     /// The requests that the other site has forwarded.
-    pub inbound: InboundRequests,
+    pub(crate) inbound: InboundRequests,
     /// The deadline of the forwarding timer.
-    pub sites_deadline: Option<Timestamp>,
+    pub(crate) sites_deadline: Option<Timestamp>,
     /// Connections refused lately.
-    pub refusals: Refusals,
+    pub(crate) refusals: Refusals,
     /// The other site's name.
-    pub other_site: String,
+    pub(crate) other_site: String,
     local_name: GatewayName,
     socket: Rc<UdpSocket>,
     transport_deadline: Option<Timestamp>,
@@ -152,7 +155,7 @@
     /// # Errors
     ///
     /// The keys cannot be read, or the address cannot be bound.
-    pub fn open(
+    pub(crate) fn open(
         context: &Context,
         config: &GatewayConfig,
         extension: &ExtensionConfig,
@@ -204,7 +207,7 @@
     }
 
     /// Reads what has arrived and hands it to the transport.
-    pub fn receive(&mut self) {
+    pub(crate) fn receive(&mut self) {
         let mut buffer = [0_u8; MAX_DATAGRAM_BYTES];
         for _ in 0..MAX_READS_PER_TURN {
             match self.socket.recv_from(&mut buffer) {
@@ -220,7 +223,7 @@
     }
 
     /// Calls a function with the bytes of an inbound request that has no answer yet.
-    pub fn with_inbound_request<T>(
+    pub(crate) fn with_inbound_request<T>(
         &self,
         id: RequestId,
         function: impl FnOnce(OutboundRequest<'_>) -> T,
@@ -229,7 +232,12 @@
     }
 
     /// Sends a message on a connection. Returns whether the transport has taken it.
-    pub fn send(&mut self, context: &mut Context, path: PathId, message: &SiteMessage) -> bool {
+    pub(crate) fn send(
+        &mut self,
+        context: &mut Context,
+        path: PathId,
+        message: &SiteMessage,
+    ) -> bool {
         match site_messages::encode(message) {
             Ok(bytes) => {
                 let delivery = match message {
@@ -241,14 +249,14 @@
             Err(e) => {
                 context
                     .counters
-                    .check_invariant(false, &format!("a letter can be written: {e}"));
+                    .check_invariant(false, &format!("a message can be encoded: {e}"));
                 false
             }
         }
     }
 
     /// Sends what the transport has for the socket, and sets its timer.
-    pub fn flush(&mut self, context: &mut Context) {
+    pub(crate) fn flush(&mut self, context: &mut Context) {
         while let Some((to, bytes)) = self.transport.next_datagram() {
             // A datagram may be lost, so one that cannot be sent needs no handling of its own.
             let _ = self.socket.send_to(&bytes, to);
@@ -278,7 +286,7 @@
     }
 
     /// The transport's timer has fired.
-    pub fn handle_transport_timer(&mut self) {
+    pub(crate) fn handle_transport_timer(&mut self) {
         self.transport_deadline = None;
         self.transport.handle_timeout(Instant::now());
     }
@@ -288,7 +296,7 @@
     /// # Errors
     ///
     /// They cannot be read, or do not fit; the former keys stay.
-    pub fn reload_keys(
+    pub(crate) fn reload_keys(
         &mut self,
         settings: &SiteSettings,
         folder: &Path,
--- a/crates/gateway/src/multi_site/inbound.rs
+++ b/crates/gateway/src/multi_site/inbound.rs
@@ -15,32 +15,32 @@
 
 /// The inbound requests that have no answer yet.
 #[derive(Default)]
-pub struct InboundRequests {
+pub(crate) struct InboundRequests {
     by_id: BTreeMap<RequestId, Inbound>,
     by_number: BTreeMap<InboundId, RequestId>,
 }
 
 impl InboundRequests {
     /// Adds a request.
-    pub fn insert(&mut self, id: RequestId, number: InboundId, message: ForwardedRequest) {
+    pub(crate) fn insert(&mut self, id: RequestId, number: InboundId, message: ForwardedRequest) {
         self.by_id.insert(id, Inbound { number, message });
         self.by_number.insert(number, id);
     }
 
     /// Removes a request and returns its number at the site boundary.
-    pub fn remove(&mut self, id: RequestId) -> Option<InboundId> {
+    pub(crate) fn remove(&mut self, id: RequestId) -> Option<InboundId> {
         let number = self.by_id.remove(&id)?.number;
         self.by_number.remove(&number);
         Some(number)
     }
 
     /// The id of a request with this number.
-    pub fn id_of(&self, number: InboundId) -> Option<RequestId> {
+    pub(crate) fn id_of(&self, number: InboundId) -> Option<RequestId> {
         self.by_number.get(&number).copied()
     }
 
     /// A request as its client wrote it.
-    pub fn outbound_request(&self, id: RequestId) -> Option<OutboundRequest<'_>> {
+    pub(crate) fn outbound_request(&self, id: RequestId) -> Option<OutboundRequest<'_>> {
         let message = &self.by_id.get(&id)?.message;
         Some(OutboundRequest {
             method: &message.method,
--- a/crates/gateway/src/multi_site/log.rs
+++ b/crates/gateway/src/multi_site/log.rs
@@ -12,14 +12,14 @@
 /// Refused connections that are not logged yet. A line in a while says how many there were, so that strangers cannot fill the
 /// log.
 #[derive(Default)]
-pub struct Refusals {
+pub(crate) struct Refusals {
     count: u64,
     logged_at: Option<Timestamp>,
 }
 
 impl Refusals {
     /// Counts a refusal, and logs how many there were if it is time.
-    pub fn log(&mut self, now: Timestamp, remote: &SocketAddr, reason: &str) {
+    pub(crate) fn log(&mut self, now: Timestamp, remote: &SocketAddr, reason: &str) {
         self.count += 1;
         let is_time = self
             .logged_at
@@ -33,7 +33,7 @@
 }
 
 /// A connection that was opened has not come up.
-pub fn connect_failed(peer: &GatewayName, reason: &str) {
+pub(crate) fn connect_failed(peer: &GatewayName, reason: &str) {
     tracing::debug!("sites: {peer} cannot be reached: {reason}");
     if reason.contains("certificate") {
         tracing::warn!("sites: {peer} refused: {reason}");
@@ -41,13 +41,13 @@
 }
 
 /// A connection has ended.
-pub fn disconnected(peer: Option<&GatewayName>, reason: &str) {
+pub(crate) fn disconnected(peer: Option<&GatewayName>, reason: &str) {
     let peer = peer.map_or("a gateway".to_string(), GatewayName::to_string);
     tracing::info!("sites: link with {peer} is down: {reason}");
 }
 
 /// A change of what is known of the other site, in words.
-pub fn describe(change: &Change) -> String {
+pub(crate) fn describe(change: &Change) -> String {
     match change {
         Change::Joined { gateway } => format!("{gateway} is known"),
         Change::Member {
@@ -68,6 +68,8 @@
             let location = status::location_text(*location);
             format!("traffic is {location}: {}", status::reason_text(*reason))
         }
-        Change::UnmatchedResponses { count } => format!("{count} answers matched no crossing"),
+        Change::UnmatchedResponses { count } => {
+            format!("{count} answers matched no forwarded request")
+        }
     }
 }
--- a/crates/gateway/src/multi_site/mod.rs
+++ b/crates/gateway/src/multi_site/mod.rs
@@ -1,6 +1,6 @@
 //! The other site: the transport to its gateways, the requests forwarded between the sites, and the operators' control socket.
 
-pub mod control_socket;
-pub mod forwarding;
+pub(crate) mod control_socket;
+pub(crate) mod forwarding;
 mod inbound;
-pub mod log;
+pub(crate) mod log;
--- a/crates/gateway/src/rollout/commands.rs
+++ b/crates/gateway/src/rollout/commands.rs
@@ -19,34 +19,34 @@
 const RETRY_DELAY_DIVISOR: f64 = 2.0;
 
 /// Times that commands and votes go by, besides the configured ones.
-pub struct CommandTimes {
+pub(crate) struct CommandTimes {
     /// How long a counted vote stands.
-    pub vote_ttl: TimeDelta,
+    pub(crate) vote_ttl: TimeDelta,
     /// How long a command may wait for its response.
-    pub timeout: TimeDelta,
+    pub(crate) timeout: TimeDelta,
     /// How often leases are renewed.
-    pub heartbeat: TimeDelta,
+    pub(crate) heartbeat: TimeDelta,
 }
 
 /// Who sends commands, and where to.
-pub struct Controller<'a> {
+pub(crate) struct Controller<'a> {
     /// The settings of the rollout controller.
-    pub settings: &'a RolloutControllerConfig,
+    pub(crate) settings: &'a RolloutControllerConfig,
     /// This gateway's name.
-    pub name: &'a str,
+    pub(crate) name: &'a str,
     /// This gateway.
-    pub local_peer: PeerId,
+    pub(crate) local_peer: PeerId,
     /// How many gateways the fleet has.
-    pub gateway_count: usize,
+    pub(crate) gateway_count: usize,
 }
 
 /// A command that is to be sent.
 #[derive(Clone, Copy)]
-pub struct Command {
+pub(crate) struct Command {
     /// What is to be done.
-    pub vote: Vote,
+    pub(crate) vote: Vote,
     /// Whether it was sent before.
-    pub is_retry: bool,
+    pub(crate) is_retry: bool,
 }
 
 /// A command under way.
@@ -60,17 +60,17 @@
 }
 
 /// A command that has ended.
-pub struct FinishedCommand {
+pub(crate) struct FinishedCommand {
     /// What was to be done.
-    pub vote: Vote,
+    pub(crate) vote: Vote,
     /// How it ended.
-    pub outcome: CallOutcome,
+    pub(crate) outcome: CallOutcome,
     /// A later epoch that the deployment controller knows.
-    pub later_epoch: Option<Epoch>,
+    pub(crate) later_epoch: Option<Epoch>,
     /// Its connection.
-    pub connection_id: ConnectionId,
+    pub(crate) connection_id: ConnectionId,
     /// The deadline of its timer.
-    pub deadline: Timestamp,
+    pub(crate) deadline: Timestamp,
 }
 
 /// What a response came to.
@@ -112,9 +112,9 @@
 }
 
 /// The commands of this gateway to the deployment controller.
-pub struct RolloutCommands {
+pub(crate) struct RolloutCommands {
     /// The deadline of the rollout controller's timer.
-    pub timer_deadline: Option<Timestamp>,
+    pub(crate) timer_deadline: Option<Timestamp>,
     controller: RolloutController,
     address: SocketAddr,
     gateway_name: String,
@@ -125,7 +125,7 @@
 
 impl RolloutCommands {
     /// Without commands.
-    pub fn new(
+    pub(crate) fn new(
         now: Timestamp,
         controller: &Controller<'_>,
         times: &CommandTimes,
@@ -157,7 +157,7 @@
     }
 
     /// Tells the rollout controller what has happened, logs its reports, and returns its other actions.
-    pub fn handle(&mut self, now: Timestamp, event: Event) -> Vec<Action> {
+    pub(crate) fn handle(&mut self, now: Timestamp, event: Event) -> Vec<Action> {
         let mut actions = self.controller.handle(now, event);
         actions.retain(|action| match action {
             Action::Notify(report) => {
@@ -170,7 +170,7 @@
     }
 
     /// Opens the connection of a command. Returns when it times out, or `None` if it could not be opened.
-    pub fn start<D>(
+    pub(crate) fn start<D>(
         &mut self,
         io: &mut IoContext<D>,
         command: Command,
@@ -191,7 +191,7 @@
 
     /// The connection of a command is ready. `may_act` is asked for the fencing token when the command can be written, and not
     /// before.
-    pub fn handle_readiness<D>(
+    pub(crate) fn handle_readiness<D>(
         &mut self,
         io: &mut IoContext<D>,
         connection_id: ConnectionId,
@@ -244,7 +244,7 @@
     }
 
     /// A command has had no response in time.
-    pub fn time_out<D>(
+    pub(crate) fn time_out<D>(
         &mut self,
         io: &mut IoContext<D>,
         connection_id: ConnectionId,
--- a/crates/gateway/src/rollout/mod.rs
+++ b/crates/gateway/src/rollout/mod.rs
@@ -1,6 +1,6 @@
 //! The rollout controller's side that this gateway holds under a lease: commands to the deployment controller.
 
-pub mod commands;
+pub(crate) mod commands;
 mod deployment_messages;
 mod log;
-pub mod votes;
+pub(crate) mod votes;
--- a/crates/gateway/src/rollout/votes.rs
+++ b/crates/gateway/src/rollout/votes.rs
@@ -4,7 +4,7 @@
 use harrierdock_types::{BuildId, PlatformStatus, RolloutDecision, RolloutPhase, RolloutUpdate};
 
 /// The vote that a decision amounts to. A hold, or a vote taken back, moves nothing.
-pub fn vote(build: BuildId, stage: usize, decision: RolloutDecision) -> Option<Vote> {
+pub(crate) fn vote(build: BuildId, stage: usize, decision: RolloutDecision) -> Option<Vote> {
     let decision = match decision {
         RolloutDecision::Promote => Decision::Promote,
         RolloutDecision::RollBack => Decision::RollBack,
@@ -17,7 +17,7 @@
 }
 
 /// What an update says of a stage. `None` if it brings no state.
-pub fn stage_event(update: &RolloutUpdate) -> Option<Event> {
+pub(crate) fn stage_event(update: &RolloutUpdate) -> Option<Event> {
     if update.status != PlatformStatus::Valid {
         return None;
     }
--- a/crates/gateway/src/runtime/context.rs
+++ b/crates/gateway/src/runtime/context.rs
@@ -16,64 +16,64 @@
 use crate::runtime::timer::Timer;
 
 /// A request as its client wrote it, to be sent on unchanged.
-pub struct OutboundRequest<'a> {
+pub(crate) struct OutboundRequest<'a> {
     /// The HTTP method.
-    pub method: &'a str,
+    pub(crate) method: &'a str,
     /// The request target: path and query.
-    pub target: &'a str,
+    pub(crate) target: &'a str,
     /// The id that its client gave it.
-    pub client_request_id: &'a str,
+    pub(crate) client_request_id: &'a str,
     /// The idempotency key, if it has one.
-    pub idempotency_key: Option<&'a str>,
+    pub(crate) idempotency_key: Option<&'a str>,
     /// The body.
-    pub body: &'a [u8],
+    pub(crate) body: &'a [u8],
 }
 
 /// The body of a response, in the buffer that it was received in.
-pub struct ResponseBody {
+pub(crate) struct ResponseBody {
     /// The buffer, which belongs to the buffer pool.
-    pub buffer: Buffer,
+    pub(crate) buffer: Buffer,
     /// Where the body stands in it.
-    pub range: Range<usize>,
+    pub(crate) range: Range<usize>,
 }
 
 impl ResponseBody {
     /// The bytes of the body.
-    pub fn bytes(&self) -> &[u8] {
+    pub(crate) fn bytes(&self) -> &[u8] {
         &self.buffer[self.range.clone()]
     }
 }
 
 /// A request that was received from a client or from the other site.
-pub struct ReceivedRequest {
+pub(crate) struct ReceivedRequest {
     /// Its id.
-    pub id: RequestId,
+    pub(crate) id: RequestId,
     /// Its class.
-    pub class: ClassId,
+    pub(crate) class: ClassId,
     /// Its affinity key, if it has one.
-    pub key: Option<AffinityKey>,
+    pub(crate) key: Option<AffinityKey>,
     /// Whether its client has sent it before.
-    pub is_client_retry: bool,
+    pub(crate) is_client_retry: bool,
     /// How long its client still waits.
-    pub time_left: TimeDelta,
+    pub(crate) time_left: TimeDelta,
     /// Its number at the site boundary, if the other site forwarded it.
-    pub inbound: Option<InboundId>,
+    pub(crate) inbound: Option<InboundId>,
 }
 
 /// An attempt that has ended.
-pub struct FinishedAttempt {
+pub(crate) struct FinishedAttempt {
     /// The request.
-    pub id: RequestId,
+    pub(crate) id: RequestId,
     /// The attempt, counted from 0.
-    pub attempt: usize,
+    pub(crate) attempt: usize,
     /// How it ended.
-    pub outcome: AttemptOutcome,
+    pub(crate) outcome: AttemptOutcome,
     /// The endpoint's answer, if the attempt succeeded.
-    pub response: Option<ResponseBody>,
+    pub(crate) response: Option<ResponseBody>,
 }
 
 /// What the parts report to the dispatcher.
-pub enum InternalEvent {
+pub(crate) enum InternalEvent {
     /// A request was received.
     RequestReceived(ReceivedRequest),
     /// The client of a request has disconnected, or the other site has abandoned it.
@@ -95,25 +95,25 @@
 }
 
 /// An internal event with the time that it is delivered as of.
-pub struct QueuedEvent {
+pub(crate) struct QueuedEvent {
     /// When it happened.
-    pub at: Timestamp,
+    pub(crate) at: Timestamp,
     /// What happened.
-    pub event: InternalEvent,
+    pub(crate) event: InternalEvent,
 }
 
 /// What the parts share. The sockets' side of it, `IoContext`, is reached by dereference.
-pub struct Context {
+pub(crate) struct Context {
     /// The event loop, clock, buffers and descriptors.
-    pub io: IoContext<Gateway>,
+    pub(crate) io: IoContext<Gateway>,
     /// The counters.
-    pub counters: Counters,
+    pub(crate) counters: Counters,
     /// The timers.
-    pub timers: TimerQueue<Timer>,
+    pub(crate) timers: TimerQueue<Timer>,
     /// Events that wait for the dispatcher.
-    pub events: VecDeque<QueuedEvent>,
+    pub(crate) events: VecDeque<QueuedEvent>,
     /// What the event loop calls for each kind of socket.
-    pub handlers: SocketHandlers,
+    pub(crate) handlers: SocketHandlers,
     last_request_id: u64,
 }
 
@@ -133,7 +133,7 @@
 
 impl Context {
     /// A context without events or timers.
-    pub fn new(io: IoContext<Gateway>, handlers: SocketHandlers) -> Context {
+    pub(crate) fn new(io: IoContext<Gateway>, handlers: SocketHandlers) -> Context {
         Context {
             io,
             counters: Counters::default(),
@@ -145,25 +145,25 @@
     }
 
     /// Queues an event as of now.
-    pub fn emit(&mut self, event: InternalEvent) {
+    pub(crate) fn emit(&mut self, event: InternalEvent) {
         let now = self.now();
         self.emit_at(now, event);
     }
 
     /// Queues an event as of a time at or before now.
-    pub fn emit_at(&mut self, at: Timestamp, event: InternalEvent) {
+    pub(crate) fn emit_at(&mut self, at: Timestamp, event: InternalEvent) {
         self.events.push_back(QueuedEvent { at, event });
     }
 
     /// Sets a timer and returns its deadline.
-    pub fn set_timer_after(&mut self, delay: TimeDelta, timer: Timer) -> Timestamp {
+    pub(crate) fn set_timer_after(&mut self, delay: TimeDelta, timer: Timer) -> Timestamp {
         let deadline = self.now() + delay;
         self.timers.set(deadline, timer);
         deadline
     }
 
     /// Sets a timer in place of an earlier one of its kind, and returns its deadline.
-    pub fn replace_timer(
+    pub(crate) fn replace_timer(
         &mut self,
         earlier: Option<Timestamp>,
         deadline: Timestamp,
@@ -177,7 +177,7 @@
     }
 
     /// A new request id.
-    pub fn next_request_id(&mut self) -> RequestId {
+    pub(crate) fn next_request_id(&mut self) -> RequestId {
         self.last_request_id += 1;
         RequestId(self.last_request_id)
     }
--- a/crates/gateway/src/runtime/error.rs
+++ b/crates/gateway/src/runtime/error.rs
@@ -13,7 +13,7 @@
 
 /// Why a gateway cannot start. The message is one line for operators.
 #[derive(Debug, Error)]
-pub enum StartError {
+pub(crate) enum StartError {
     /// The configuration is refused.
     #[error(transparent)]
     Config(#[from] ConfigError),
@@ -60,4 +60,4 @@
 /// The loop cannot watch a source of events.
 #[derive(Debug, Error)]
 #[error("error inserting event source: {0}")]
-pub struct WatchError(#[source] pub calloop::Error);
+pub(crate) struct WatchError(#[source] pub calloop::Error);
--- a/crates/gateway/src/runtime/event_loop.rs
+++ b/crates/gateway/src/runtime/event_loop.rs
@@ -14,7 +14,10 @@
 /// # Errors
 ///
 /// The configuration does not fit, or a socket cannot be opened.
-pub fn serve(config: &GatewayConfig, extension_path: Option<PathBuf>) -> Result<(), StartError> {
+pub(crate) fn serve(
+    config: &GatewayConfig,
+    extension_path: Option<PathBuf>,
+) -> Result<(), StartError> {
     let mut event_loop: EventLoop<Gateway> = EventLoop::try_new().map_err(StartError::EventLoop)?;
     let mut gateway = Gateway::start(config, extension_path, &event_loop)?;
     let address = gateway
--- a/crates/gateway/src/runtime/gateway.rs
+++ b/crates/gateway/src/runtime/gateway.rs
@@ -19,37 +19,37 @@
 use crate::upstream::Upstream;
 
 /// One gateway.
-pub struct Gateway {
+pub(crate) struct Gateway {
     /// What the parts share.
-    pub context: Context,
+    pub(crate) context: Context,
     /// The policy and the requests under way.
-    pub dispatcher: Dispatcher,
+    pub(crate) dispatcher: Dispatcher,
     /// The clients' side.
-    pub downstream: Downstream,
+    pub(crate) downstream: Downstream,
     /// The endpoints' side.
-    pub upstream: Upstream,
+    pub(crate) upstream: Upstream,
     /// The endpoint list's source.
-    pub discovery: Discovery,
+    pub(crate) discovery: Discovery,
     /// The rollout platform, if one is configured.
-    pub rollout_platform: Option<RolloutPlatform>,
+    pub(crate) rollout_platform: Option<RolloutPlatform>,
     /// The socket to the peers, if any are configured.
-    pub gossip: Option<GossipSocket>,
+    pub(crate) gossip: Option<GossipSocket>,
     /// Forwarding to the other site, if one is configured.
-    pub forwarding: Option<Forwarding>,
+    pub(crate) forwarding: Option<Forwarding>,
     /// The operators' control socket, if one is configured.
-    pub control_socket: Option<ControlSocket>,
+    pub(crate) control_socket: Option<ControlSocket>,
     /// The flow exporter, if collectors are configured.
-    pub exporter: Option<Box<FlowExporter>>,
+    pub(crate) exporter: Option<Box<FlowExporter>>,
     /// This gateway's part in the leases, if any are configured.
-    pub leases: Option<Box<LeaseParticipant>>,
+    pub(crate) leases: Option<Box<LeaseParticipant>>,
     /// The commands to the deployment controller, if one is configured.
-    pub rollout_commands: Option<Box<RolloutCommands>>,
+    pub(crate) rollout_commands: Option<Box<RolloutCommands>>,
     /// How far the shutdown has come.
-    pub shutdown: ShutdownState,
+    pub(crate) shutdown: ShutdownState,
     pub(super) extension_path: Option<PathBuf>,
     pub(super) config_path: PathBuf,
     pub(super) vote_timeout: TimeDelta,
     /// How often idle connections and streams are checked: as long as a connection may take to come up, and often enough to
     /// close the silent ones in time.
-    pub maintenance_interval: TimeDelta,
+    pub(crate) maintenance_interval: TimeDelta,
 }
--- a/crates/gateway/src/runtime/maintenance.rs
+++ b/crates/gateway/src/runtime/maintenance.rs
@@ -36,7 +36,7 @@
 
     /// Closes a connection so that another can be opened, and returns whether there was one to close. Clients' connections
     /// that stall go first, then idle ones to endpoints, and clients' that were used lately go last.
-    pub fn free_descriptor(&mut self) -> bool {
+    pub(crate) fn free_descriptor(&mut self) -> bool {
         let context = &mut self.context;
         self.downstream.evict_stalled(context)
             || self.upstream.close_longest_idle(context)
--- a/crates/gateway/src/runtime/mod.rs
+++ b/crates/gateway/src/runtime/mod.rs
@@ -1,13 +1,13 @@
 //! The event loop of a gateway: what its parts share, what sockets and timers call, how it starts, reloads and ends.
 
-pub mod context;
-pub mod error;
-pub mod event_loop;
-pub mod gateway;
+pub(crate) mod context;
+pub(crate) mod error;
+pub(crate) mod event_loop;
+pub(crate) mod gateway;
 mod maintenance;
 mod reload;
 mod reporting;
-pub mod shutdown;
-pub mod socket_handlers;
+pub(crate) mod shutdown;
+pub(crate) mod socket_handlers;
 mod startup;
-pub mod timer;
+pub(crate) mod timer;
--- a/crates/gateway/src/runtime/shutdown.rs
+++ b/crates/gateway/src/runtime/shutdown.rs
@@ -10,26 +10,26 @@
 const SHUTDOWN_GRACE: TimeDelta = TimeDelta(700_000);
 
 /// How far a gateway has come in its shutdown.
-pub struct ShutdownState {
+pub(crate) struct ShutdownState {
     /// When the first signal came.
-    pub started_at: Option<Timestamp>,
+    pub(crate) started_at: Option<Timestamp>,
     /// Whether the event loop is to end.
-    pub is_complete: bool,
+    pub(crate) is_complete: bool,
     /// The longest time that a request may take; what follows the grace period.
-    pub max_request_time: TimeDelta,
+    pub(crate) max_request_time: TimeDelta,
     /// How often it is checked whether the gateway can end.
-    pub check_interval: TimeDelta,
+    pub(crate) check_interval: TimeDelta,
 }
 
 impl ShutdownState {
     /// Whether the first signal has come.
-    pub fn has_started(&self) -> bool {
+    pub(crate) fn has_started(&self) -> bool {
         self.started_at.is_some()
     }
 
     /// How long a request that is received now may take. After the grace period it has to end by a margin of one connection
     /// set-up before the earliest kill; before that it has until its own deadline.
-    pub fn time_left(&self, now: Timestamp, connect_margin: TimeDelta) -> TimeDelta {
+    pub(crate) fn time_left(&self, now: Timestamp, connect_margin: TimeDelta) -> TimeDelta {
         match self.started_at {
             Some(started_at) if now > started_at + SHUTDOWN_GRACE => {
                 let kill_at = started_at + SHUTDOWN_GRACE + self.max_request_time;
--- a/crates/gateway/src/runtime/socket_handlers.rs
+++ b/crates/gateway/src/runtime/socket_handlers.rs
@@ -10,34 +10,34 @@
 use crate::runtime::gateway::Gateway;
 
 /// Handles the readiness of one of many connections.
-pub type ConnectionHandler = fn(&mut Gateway, ConnectionId, Readiness);
+pub(crate) type ConnectionHandler = fn(&mut Gateway, ConnectionId, Readiness);
 /// Handles the readiness of a stream of which there is one.
-pub type StreamHandler = fn(&mut Gateway, Readiness);
+pub(crate) type StreamHandler = fn(&mut Gateway, Readiness);
 
 /// The functions by the kind of socket.
 #[derive(Clone, Copy)]
-pub struct SocketHandlers {
+pub(crate) struct SocketHandlers {
     /// The listener has connections that wait.
-    pub listener: fn(&mut Gateway),
+    pub(crate) listener: fn(&mut Gateway),
     /// A client's connection is ready.
-    pub downstream: ConnectionHandler,
+    pub(crate) downstream: ConnectionHandler,
     /// A connection to an endpoint is ready.
-    pub upstream: ConnectionHandler,
+    pub(crate) upstream: ConnectionHandler,
     /// The stream of discovery is ready.
-    pub discovery: StreamHandler,
+    pub(crate) discovery: StreamHandler,
     /// The stream of the rollout platform is ready.
-    pub rollout_platform: StreamHandler,
+    pub(crate) rollout_platform: StreamHandler,
     /// A connection with a vote is ready.
-    pub vote: ConnectionHandler,
+    pub(crate) vote: ConnectionHandler,
     /// The socket to the other site's gateways is ready.
-    pub site_transport: fn(&mut Gateway),
+    pub(crate) site_transport: fn(&mut Gateway),
     /// The connection of a rollout command is ready.
-    pub rollout_command: ConnectionHandler,
+    pub(crate) rollout_command: ConnectionHandler,
 }
 
 impl SocketHandlers {
     /// The handlers of a gateway.
-    pub fn of_gateway() -> SocketHandlers {
+    pub(crate) fn of_gateway() -> SocketHandlers {
         SocketHandlers {
             listener: Gateway::accept_connections,
             downstream: handle_downstream,
--- a/crates/gateway/src/runtime/timer.rs
+++ b/crates/gateway/src/runtime/timer.rs
@@ -5,7 +5,7 @@
 
 /// What a timer is for. Timers with one deadline fire in this order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Timer {
+pub(crate) enum Timer {
     /// The policy asked for it.
     Policy,
     /// An attempt has waited for its connection or its response for as long as it may.
--- a/crates/gateway/src/upstream/exchange.rs
+++ b/crates/gateway/src/upstream/exchange.rs
@@ -12,7 +12,7 @@
 
 impl Upstream {
     /// Checks whether a connection that was opened has come up. Returns what it is ready for then.
-    pub fn handle_connected(
+    pub(crate) fn handle_connected(
         &mut self,
         context: &mut Context,
         id: ConnectionId,
@@ -56,7 +56,7 @@
     }
 
     /// Writes and reads what a connection is ready for.
-    pub fn handle_readiness(
+    pub(crate) fn handle_readiness(
         &mut self,
         context: &mut Context,
         id: ConnectionId,
@@ -242,7 +242,7 @@
     }
 
     /// The time of the attempt on this connection is over. The connection is closed, so that nothing more is written for it.
-    pub fn time_out(&mut self, context: &mut Context, id: ConnectionId) {
+    pub(crate) fn time_out(&mut self, context: &mut Context, id: ConnectionId) {
         let Some(pooled) = self.connections.get(&id) else {
             return;
         };
--- a/crates/gateway/src/upstream/mod.rs
+++ b/crates/gateway/src/upstream/mod.rs
@@ -19,33 +19,33 @@
 use crate::runtime::timer::Timer;
 use pool::EndpointConnections;
 
-pub use pool::EndpointInstance;
+pub(crate) use pool::EndpointInstance;
 
 /// An attempt of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct AttemptId {
+pub(crate) struct AttemptId {
     /// The request.
-    pub request: RequestId,
+    pub(crate) request: RequestId,
     /// The attempt, counted from 0.
-    pub attempt: usize,
+    pub(crate) attempt: usize,
 }
 
 /// An attempt that is to start.
-pub struct AttemptStart {
+pub(crate) struct AttemptStart {
     /// The attempt.
-    pub id: AttemptId,
+    pub(crate) id: AttemptId,
     /// Where it goes.
-    pub endpoint: EndpointId,
+    pub(crate) endpoint: EndpointId,
     /// How long it may take.
-    pub timeout: TimeDelta,
+    pub(crate) timeout: TimeDelta,
 }
 
 /// An attempt of whose request the last byte has not been written.
-pub struct UnsentAttempt {
+pub(crate) struct UnsentAttempt {
     /// The attempt.
-    pub id: AttemptId,
+    pub(crate) id: AttemptId,
     /// Whether the instance that its connection leads to is still the one listed for the endpoint.
-    pub is_instance_listed: bool,
+    pub(crate) is_instance_listed: bool,
 }
 
 /// The attempt that a connection carries.
@@ -79,7 +79,7 @@
 }
 
 /// The endpoints' side of the gateway.
-pub struct Upstream {
+pub(crate) struct Upstream {
     /// The endpoints that run.
     endpoints: BTreeMap<EndpointId, EndpointConnections>,
     connections: BTreeMap<ConnectionId, PooledConnection>,
@@ -90,7 +90,7 @@
 
 impl Upstream {
     /// Without endpoints or connections.
-    pub fn new(connect_timeout: TimeDelta, idle_timeout: TimeDelta) -> Upstream {
+    pub(crate) fn new(connect_timeout: TimeDelta, idle_timeout: TimeDelta) -> Upstream {
         Upstream {
             endpoints: BTreeMap::new(),
             connections: BTreeMap::new(),
@@ -105,7 +105,7 @@
     /// # Errors
     ///
     /// It cannot start; the outcome is what this amounts to.
-    pub fn start_attempt(
+    pub(crate) fn start_attempt(
         &mut self,
         context: &mut Context,
         start: &AttemptStart,
@@ -178,7 +178,7 @@
     }
 
     /// The attempt on this connection, if its request is not written in full.
-    pub fn unsent_attempt(&self, id: ConnectionId) -> Option<UnsentAttempt> {
+    pub(crate) fn unsent_attempt(&self, id: ConnectionId) -> Option<UnsentAttempt> {
         let pooled = self
             .connections
             .get(&id)
@@ -192,12 +192,12 @@
 
     /// Cancels an attempt whose request is not written in full. Its connection is closed, so the endpoint cannot have started
     /// on it.
-    pub fn cancel_unsent(&mut self, context: &mut Context, id: ConnectionId) {
+    pub(crate) fn cancel_unsent(&mut self, context: &mut Context, id: ConnectionId) {
         self.fail(context, id, AttemptOutcome::NotSent);
     }
 
     /// Cancels an attempt, if it has not ended.
-    pub fn cancel_attempt(&mut self, context: &mut Context, attempt: AttemptId) {
+    pub(crate) fn cancel_attempt(&mut self, context: &mut Context, attempt: AttemptId) {
         if let Some(id) = self.attempts.get(&attempt).copied() {
             self.fail(context, id, AttemptOutcome::Cancelled);
         }
--- a/crates/gateway/src/upstream/pool.rs
+++ b/crates/gateway/src/upstream/pool.rs
@@ -13,13 +13,13 @@
 
 /// What runs at an endpoint. Another start, build or address is another instance, which has connections of its own.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub struct EndpointInstance {
+pub(crate) struct EndpointInstance {
     /// Where it listens.
-    pub address: SocketAddr,
+    pub(crate) address: SocketAddr,
     /// When it started, in Unix milliseconds, as discovery says.
-    pub started_at_ms: i64,
+    pub(crate) started_at_ms: i64,
     /// Its build.
-    pub build: BuildId,
+    pub(crate) build: BuildId,
 }
 
 /// An endpoint that runs.
@@ -32,7 +32,7 @@
 
 impl Upstream {
     /// Notes what runs at an endpoint, if anything does. Idle connections to what ran there before are closed.
-    pub fn set_instance(
+    pub(crate) fn set_instance(
         &mut self,
         context: &mut Context,
         endpoint: EndpointId,
@@ -57,7 +57,7 @@
     }
 
     /// Whether an idle connection to the endpoint may be used.
-    pub fn has_idle_connection(&self, now: Timestamp, endpoint: EndpointId) -> bool {
+    pub(crate) fn has_idle_connection(&self, now: Timestamp, endpoint: EndpointId) -> bool {
         self.endpoints
             .get(&endpoint)
             .is_some_and(|endpoint| endpoint.idle.iter().any(|id| !self.is_resting(now, *id)))
@@ -113,7 +113,7 @@
     }
 
     /// Closes connections that have been idle for too long.
-    pub fn close_expired(&mut self, context: &mut Context) {
+    pub(crate) fn close_expired(&mut self, context: &mut Context) {
         let now = context.now();
         let is_expired = |pooled: &PooledConnection| {
             pooled.phase == Phase::Idle
@@ -143,7 +143,7 @@
     }
 
     /// Closes the connection that has been idle for longest. Returns whether there was one.
-    pub fn close_longest_idle(&mut self, context: &mut Context) -> bool {
+    pub(crate) fn close_longest_idle(&mut self, context: &mut Context) -> bool {
         let longest_idle = self
             .connections
             .iter()
