--- a/crates/fault-injection/src/fleet/crew.rs
+++ b/crates/fault-injection/src/fleet/crew.rs
@@ -15,8 +15,8 @@
 use super::installation::{Installation, STAGES};
 use super::relay::Relay;
 use super::Day;
-use crate::processes::Process;
-use crate::scripted::{discovery, list, Trace};
+use crate::gateway_process::Process;
+use crate::stand_ins::{discovery_server, endpoint_list, Trace};
 use crate::world::{World, COLD_FROM, EXPIRY, FALL, FALL_MULTIPLE, FIRST_BUILD, MEMORY, RAMP, SLA};
 
 const ZONE: &str = "hobart";
@@ -102,7 +102,7 @@
 impl Crew {
     pub fn new(program: PathBuf, folder: PathBuf, day: &Day) -> std::io::Result<Crew> {
         let gateway = |ix: usize| {
-            let (discovery, say) = discovery(&Trace::default());
+            let (discovery, say) = discovery_server(&Trace::default());
             Gateway {
                 name: format!("g{ix}"),
                 process: None,
@@ -167,7 +167,7 @@
         let told = json!({"name": gateway.name, "listen": "127.0.0.1:0", "discovery": gateway.discovery,
             "seed": seed, "limits": {"memory_mb": 192, "sockets": 1024}, "peer_listen": "127.0.0.1:0",
             "peers": doors, "peers_all": doors[ix], "rollouts": {"address": self.installation.address},
-            "known": list(1, true, &members), "settings": settings(self.day.gateways, ix)});
+            "known": endpoint_list(1, true, &members), "settings": settings(self.day.gateways, ix)});
         let with = self.with(ix);
         let with = Some(&with).filter(|_| !self.day.off);
         let process = Process::start(&self.program, &self.folder, &gateway.name, &told, with)?;
--- a/crates/fault-injection/src/fleet/installation.rs
+++ b/crates/fault-injection/src/fleet/installation.rs
@@ -10,7 +10,7 @@
 use serde::Deserialize;
 use serde_json::json;
 
-use crate::scripted::{stand_in, Request};
+use crate::stand_ins::{serve_requests, ReceivedRequest};
 
 /// Stages of a build, the first being on trial with a part of the servers.
 pub const STAGES: usize = 3;
@@ -153,7 +153,7 @@
     state.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-fn answer(state: &Mutex<State>, request: &mut Request) -> bool {
+fn answer(state: &Mutex<State>, request: &mut ReceivedRequest) -> bool {
     if request.head.starts_with("GET /apis/fleet/events") {
         let (say, lines) = channel();
         let mut state = locked(state);
@@ -164,18 +164,18 @@
         });
         state.streams.push(say);
         drop(state);
-        return request.stream(&Mutex::new(lines), Some("{}"));
+        return request.stream_lines(&Mutex::new(lines), Some("{}"));
     }
     if request.head.starts_with("POST /apis/fleet/votes") {
         locked(state).judged.votes += 1;
-        return request.answer("409 No", "");
+        return request.respond("409 No", "");
     }
     let asked = request
         .head
         .starts_with(&format!("POST {PATH} "))
         .then(|| request.body.clone());
     let Some(asked) = asked.and_then(|body| serde_json::from_str::<Asked>(&body).ok()) else {
-        return request.answer("400 No", "");
+        return request.respond("400 No", "");
     };
     let mut state = locked(state);
     let seen = state.called(&asked);
@@ -188,7 +188,7 @@
     });
     let latest = json!({"epoch": state.latest, "done": seen == Seen::Repeated}).to_string();
     drop(state);
-    request.answer(
+    request.respond(
         if seen == Seen::Advanced {
             "200 OK"
         } else {
@@ -218,7 +218,7 @@
             over: false,
         }));
         let answers = state.clone();
-        let address = stand_in(move |request| answer(&answers, request));
+        let address = serve_requests(move |request| answer(&answers, request));
         let ticks = state.clone();
         std::thread::spawn(move || loop {
             std::thread::sleep(Duration::from_millis(10));
--- a/crates/fault-injection/src/fleet/mod.rs
+++ b/crates/fault-injection/src/fleet/mod.rs
@@ -14,7 +14,7 @@
 use harrierdock_types::{TimeDelta, Timestamp};
 use nanorand::WyRand;
 
-use crate::processes::program;
+use crate::gateway_process::program;
 use crate::world::{Door, Due, World};
 use crew::{Crew, Ending};
 use faults::{Fault, Kind};
--- a/crates/fault-injection/src/flows.rs
+++ b/crates/fault-injection/src/flows.rs
@@ -15,9 +15,9 @@
 use serde_json::json;
 
 use crate::collector::{Collector, Road, Row};
-use crate::processes::program;
+use crate::gateway_process::program;
+use crate::record_tables;
 use crate::sites::{self, Cut};
-use crate::tables;
 use crate::world::Step;
 
 /// What is played.
@@ -216,8 +216,8 @@
     collector.stop();
     if let Some(keep) = &day.keep {
         let counted = collector.counted.lock().map_err(|e| e.to_string())?;
-        tables::parquet(&keep.join("collected.parquet"), &counted.table)?;
-        tables::csv(&keep.join("collected.csv"), &counted.table)?;
+        record_tables::parquet(&keep.join("collected.parquet"), &counted.table)?;
+        record_tables::csv(&keep.join("collected.csv"), &counted.table)?;
     }
     judge(day, &played, &collector)
 }
@@ -379,7 +379,7 @@
     }
     collector.stop();
     let counted = collector.counted.lock().map_err(|e| e.to_string())?;
-    csv.map_or(Ok(()), |path| tables::csv(path, &counted.table))?;
-    parquet.map_or(Ok(()), |path| tables::parquet(path, &counted.table))?;
+    csv.map_or(Ok(()), |path| record_tables::csv(path, &counted.table))?;
+    parquet.map_or(Ok(()), |path| record_tables::parquet(path, &counted.table))?;
     Ok(())
 }
--- a/crates/fault-injection/src/sites.rs
+++ b/crates/fault-injection/src/sites.rs
@@ -20,8 +20,8 @@
 use serde_json::{json, Value};
 
 use crate::collector::Collector;
-use crate::processes::{program, Process};
-use crate::scripted::{discovery, list, Trace};
+use crate::gateway_process::{program, Process};
+use crate::stand_ins::{discovery_server, endpoint_list, Trace};
 use crate::world::*;
 
 /// A fault at a point: `A@3` or, for a cut, `3+10`.
@@ -237,7 +237,7 @@
         );
         let told = json!({"name": name, "listen": "127.0.0.1:0", "discovery": self.gateways[ix].discovery,
             "seed": seed, "limits": {"memory_mb": 192, "sockets": 1024},
-            "known": list(self.revision, true, &members), "settings": settings(site)});
+            "known": endpoint_list(self.revision, true, &members), "settings": settings(site)});
         let other = self
             .gateways
             .iter()
@@ -300,7 +300,7 @@
     /// Discovery tells a site's gateways of its servers.
     fn tell(&mut self, world: &World, site: usize) {
         self.revision += 1;
-        let line = list(self.revision, true, &self.members(world, site)).to_string();
+        let line = endpoint_list(self.revision, true, &self.members(world, site)).to_string();
         for gateway in self.gateways.iter().filter(|g| g.site == site) {
             let _ = gateway.say.send(line.clone());
         }
@@ -514,7 +514,7 @@
         world.add_server(ix % 2)?;
     }
     for ix in 0..2 * day.gateways {
-        let (discovery, say) = discovery(&Trace::default());
+        let (discovery, say) = discovery_server(&Trace::default());
         let name = format!("{}{}", ["h", "l"][ix % 2], ix / 2);
         let (relay, front) = (world_relay(&mut world, ix)?, ix % 2);
         stage.fronts.push(relay.1);
--- a/crates/gateway/tests/leases.rs
+++ b/crates/gateway/tests/leases.rs
@@ -11,7 +11,7 @@
 use harrierdock_fault_injection::fleet::crew::{Ending, Odd};
 use harrierdock_fault_injection::fleet::installation::Seen;
 use harrierdock_fault_injection::fleet::{Day, Stage};
-use harrierdock_fault_injection::scripted::BOUND;
+use harrierdock_fault_injection::stand_ins::BOUND;
 use harrierdock_types::TimeDelta;
 use rustix::process::Signal;
 use serde_json::{json, Value};
