--- /dev/null
+++ b/crates/fault-injection/src/cli/mod.rs
@@ -0,0 +1,242 @@
+//! The command line: runs one sub-command and prints its report as one JSON line.
+
+mod arguments;
+
+use std::process::ExitCode;
+
+use indicatif::{ProgressBar, ProgressDrawTarget};
+use serde::Serialize;
+use thiserror::Error;
+
+use crate::collector::{CollectorTransport, UnknownTransport};
+use crate::{admission, core, duties, fleet, flows, membership, sites};
+use arguments::{
+    command_line, AdmissionArguments, CollectorArguments, Command, CoreArguments, CostArguments,
+    DutiesArguments, FleetArguments, FlowsArguments, MembershipArguments, SitesArguments,
+};
+
+const EXIT_VIOLATED_PROPERTY: u8 = 1;
+const EXIT_BAD_USAGE: u8 = 2;
+/// Steps of the progress bar where progress is a ratio.
+const RATIO_STEPS: f64 = 1000.0;
+const MEMBERSHIP_STEPS: u64 = 30;
+const SMALLEST_FLEET: usize = 3;
+const SHORTEST_LEASE_MS: u32 = 100;
+/// Heartbeats of a lease.
+const HEARTBEATS_PER_LEASE: u32 = 4;
+
+/// Why a sub-command ends without a report.
+#[derive(Debug, Error)]
+enum CliError {
+    #[error("--seeds is above 0, --gateways from 1 to {most_gateways}")]
+    AdmissionRange { most_gateways: usize },
+    #[error("--loss is from 0 to 1; --seconds, --rate, --gateways and --servers are above 0")]
+    SitesRange,
+    #[error("--gateways is 3 or more, --lease 100 or more, --seconds and --rate above 0")]
+    FleetRange,
+    #[error("--form is ipfix, or v9 with --road udp")]
+    WireFormat,
+    #[error(transparent)]
+    Transport(#[from] UnknownTransport),
+    #[error("{0}")]
+    Run(String),
+    #[error(transparent)]
+    Report(#[from] serde_json::Error),
+}
+
+/// Whether all properties hold.
+type Verdict = Result<bool, CliError>;
+
+/// Runs the sub-command that the process's arguments name. Exit code 0 if every property holds, 1 if one does not, 2 if
+/// the run is not possible as asked.
+pub fn run() -> ExitCode {
+    match run_command(command_line().run()) {
+        Ok(true) => ExitCode::SUCCESS,
+        Ok(false) => ExitCode::from(EXIT_VIOLATED_PROPERTY),
+        Err(error) => {
+            let message = error.to_string().replace('\n', " ");
+            eprintln!("harrierdock-fault-injection: {message}");
+            ExitCode::from(EXIT_BAD_USAGE)
+        }
+    }
+}
+
+fn run_command(command: Command) -> Verdict {
+    match command {
+        Command::Core(arguments) => run_core(&arguments),
+        Command::Admission(arguments) => run_admission(&arguments),
+        Command::Sites(arguments) => run_sites(&arguments),
+        Command::Cost(arguments) => run_cost(&arguments),
+        Command::Flows(arguments) => run_flows(arguments),
+        Command::Collector(arguments) => run_collector(&arguments),
+        Command::Fleet(arguments) => run_fleet(arguments),
+        Command::Duties(arguments) => run_duties(&arguments),
+        Command::Membership(arguments) => run_membership(&arguments),
+    }
+}
+
+fn run_core(arguments: &CoreArguments) -> Verdict {
+    let bar = progress_bar(arguments.seeds);
+    let report = core::play(
+        arguments.seed,
+        arguments.seeds,
+        arguments.gateways.max(1),
+        |_| bar.inc(1),
+    );
+    print_report(&report, report.ok)
+}
+
+fn run_admission(arguments: &AdmissionArguments) -> Verdict {
+    let most_gateways = admission::MOST_GATEWAYS;
+    if arguments.seeds == 0 || !(1..=most_gateways).contains(&arguments.gateways) {
+        return Err(CliError::AdmissionRange { most_gateways });
+    }
+    let bar = progress_bar(arguments.seeds);
+    let report = admission::play(
+        arguments.seed,
+        arguments.seeds,
+        arguments.gateways,
+        arguments.fault,
+        |played| bar.set_position(played),
+    );
+    print_report(&report, report.ok)
+}
+
+fn run_sites(arguments: &SitesArguments) -> Verdict {
+    if !(0.0..=1.0).contains(&arguments.loss_ratio)
+        || arguments.seconds <= 0.0
+        || arguments.requests_per_second <= 0.0
+        || arguments.gateways == 0
+        || arguments.endpoints == 0
+    {
+        return Err(CliError::SitesRange);
+    }
+    let day = sites::Day {
+        seed: arguments.seed,
+        seconds: arguments.seconds,
+        kill: arguments.kill,
+        servers_only: arguments.endpoints_only,
+        back_after: arguments.restart_after_seconds,
+        loss: arguments.loss_ratio,
+        one_way: arguments.one_way,
+        cut: arguments.cut,
+        drain: arguments.drain,
+        rolling: arguments.rolling_restart_second,
+        gateways: arguments.gateways,
+        servers: arguments.endpoints,
+        rate: arguments.requests_per_second,
+        skew: arguments.skew,
+        spans: !arguments.separate_idempotency_groups,
+        ..sites::Day::default()
+    };
+    let report = sites::play(&day, ratio_progress()).map_err(CliError::Run)?;
+    print_report(&report, report.ok)
+}
+
+fn run_cost(arguments: &CostArguments) -> Verdict {
+    let report = sites::cost(
+        arguments.seed,
+        arguments.periods.max(1),
+        arguments.requests_per_second.max(1.0),
+        ratio_progress(),
+    )
+    .map_err(CliError::Run)?;
+    print_report(&report, report.ok)
+}
+
+fn run_flows(arguments: FlowsArguments) -> Verdict {
+    let transport: CollectorTransport = arguments.transport.parse()?;
+    let is_possible = match arguments.wire_format.as_str() {
+        "ipfix" => true,
+        "v9" => transport == CollectorTransport::Udp,
+        _ => false,
+    };
+    if !is_possible {
+        return Err(CliError::WireFormat);
+    }
+    let day = flows::Day {
+        seed: arguments.seed,
+        seconds: arguments.seconds,
+        form: arguments.wire_format,
+        transport,
+        collector_down: arguments.collector_outage,
+        slow: arguments.slow_collector,
+        churn: arguments.churn,
+        surge: arguments.surge,
+        bad: arguments.failure_ratio,
+        loss: arguments.loss_ratio,
+        rate: arguments.requests_per_second,
+        keep: arguments.output_folder,
+    };
+    let report = flows::play(&day, ratio_progress()).map_err(CliError::Run)?;
+    print_report(&report, report.ok)
+}
+
+fn run_collector(arguments: &CollectorArguments) -> Verdict {
+    flows::collect(
+        arguments.listen,
+        arguments.transport.parse()?,
+        arguments.seconds,
+        arguments.csv.as_deref(),
+        arguments.parquet.as_deref(),
+    )
+    .map_err(CliError::Run)?;
+    Ok(true)
+}
+
+fn run_fleet(arguments: FleetArguments) -> Verdict {
+    if arguments.gateways < SMALLEST_FLEET
+        || arguments.seconds <= 0.0
+        || arguments.requests_per_second <= 0.0
+        || arguments.lease_ms < SHORTEST_LEASE_MS
+    {
+        return Err(CliError::FleetRange);
+    }
+    let day = fleet::Day {
+        seed: arguments.seed,
+        gateways: arguments.gateways,
+        seconds: arguments.seconds,
+        faults: arguments.faults,
+        rate: arguments.requests_per_second,
+        lease_ms: arguments.lease_ms,
+        heartbeat_ms: arguments.lease_ms / HEARTBEATS_PER_LEASE,
+        off: arguments.without_leases,
+        ..fleet::Day::default()
+    };
+    let report = fleet::play(&day, ratio_progress()).map_err(CliError::Run)?;
+    print_report(&report, report.ok)
+}
+
+fn run_duties(arguments: &DutiesArguments) -> Verdict {
+    let bar = progress_bar(arguments.seeds);
+    let report = duties::play(arguments.seed, arguments.seeds, arguments.gateways, || {
+        bar.inc(1)
+    });
+    print_report(&report, report.ok)
+}
+
+fn run_membership(arguments: &MembershipArguments) -> Verdict {
+    let bar = progress_bar(MEMBERSHIP_STEPS);
+    let report = membership::play(
+        arguments.gateways.max(1),
+        arguments.seed,
+        arguments.bound_rounds,
+        || bar.inc(1),
+    );
+    print_report(&report, report.ok)
+}
+
+fn print_report(report: &impl Serialize, all_properties_hold: bool) -> Verdict {
+    println!("{}", serde_json::to_string(report)?);
+    Ok(all_properties_hold)
+}
+
+fn progress_bar(length: u64) -> ProgressBar {
+    ProgressBar::with_draw_target(Some(length), ProgressDrawTarget::stderr())
+}
+
+/// Shows progress given as a ratio from 0 to 1.
+fn ratio_progress() -> impl FnMut(f64) {
+    let bar = progress_bar(RATIO_STEPS as u64);
+    move |ratio| bar.set_position((ratio * RATIO_STEPS) as u64)
+}
--- a/crates/fault-injection/src/fleet/crew.rs
+++ b/crates/fault-injection/src/fleet/crew.rs
@@ -15,7 +15,7 @@
 use super::installation::{Installation, STAGES};
 use super::relay::Relay;
 use super::Day;
-use crate::gateway_process::Process;
+use crate::gateway_process::GatewayProcess;
 use crate::stand_ins::{discovery_server, endpoint_list, Trace};
 use crate::world::{World, COLD_FROM, EXPIRY, FALL, FALL_MULTIPLE, FIRST_BUILD, MEMORY, RAMP, SLA};
 
@@ -45,7 +45,7 @@
 
 pub struct Gateway {
     pub name: String,
-    pub process: Option<Process>,
+    pub process: Option<GatewayProcess>,
     discovery: SocketAddr,
     // Discovery's stream lasts as long as there is somebody to speak.
     _say: Sender<String>,
@@ -170,13 +170,15 @@
             "known": endpoint_list(1, true, &members), "settings": settings(self.day.gateways, ix)});
         let with = self.with(ix);
         let with = Some(&with).filter(|_| !self.day.off);
-        let process = Process::start(&self.program, &self.folder, &gateway.name, &told, with)?;
-        if let Some(peers) = process.peers {
+        let process =
+            GatewayProcess::start(&self.program, &self.folder, &gateway.name, &told, with)
+                .map_err(|error| error.to_string())?;
+        if let Some(peers) = process.gossip_address {
             self.relay.lead(ix, peers);
         }
         let door = &mut world.doors[ix];
         (door.address, door.life, door.alive, door.open) =
-            (Some(process.serves), door.life + 1, true, true);
+            (Some(process.listen_address), door.life + 1, true, true);
         self.gateways[ix].process = Some(process);
         Ok(())
     }
@@ -187,13 +189,13 @@
         let Some(mut process) = gateway.process.take() else {
             return;
         };
-        process.listen();
-        self.broken += process.broken.len() as u64;
+        process.read_log();
+        self.broken += process.violations.len() as u64;
         process
-            .broken
+            .violations
             .iter()
             .for_each(|line| eprintln!("{}: {line}", gateway.name));
-        gateway.lines.append(&mut process.fleet);
+        gateway.lines.append(&mut process.lease_log);
     }
 
     pub fn kill(&mut self, world: &mut World, ix: usize) {
@@ -260,7 +262,7 @@
     /// Whether a gateway has logged this of the fleet, in any of its lives.
     pub fn logged(&self, ix: usize, part: &str) -> bool {
         let gateway = &self.gateways[ix];
-        let now = gateway.process.iter().flat_map(|p| &p.fleet);
+        let now = gateway.process.iter().flat_map(|p| &p.lease_log);
         gateway
             .lines
             .iter()
@@ -275,7 +277,7 @@
             format!(" fleet: {duty} ended,"),
         );
         let holding = |gateway: &Gateway| {
-            let lines = gateway.process.as_ref()?.fleet.iter().rev();
+            let lines = gateway.process.as_ref()?.lease_log.iter().rev();
             let last = lines
                 .into_iter()
                 .find(|l| l.contains(&holds) || l.contains(&ended))?;
@@ -288,7 +290,7 @@
         let used = self.gateways[ix]
             .process
             .as_ref()
-            .map_or(0.0, |p| p.use_of().1);
+            .map_or(0.0, |p| p.resource_usage().processor_time_us);
         self.gateways[ix].cpu += used;
     }
 
@@ -299,11 +301,11 @@
             let Some(process) = &mut gateway.process else {
                 continue;
             };
-            process.listen();
-            let Some(well) = process.ended() else {
+            process.read_log();
+            let Some(status) = process.exit_status() else {
                 continue;
             };
-            self.crashes += u64::from(!well || gateway.ending.is_none());
+            self.crashes += u64::from(!status.success() || gateway.ending.is_none());
             let ending = gateway.ending.take();
             self.bury(ix);
             world.doors[ix].alive = false;
--- a/crates/fault-injection/src/fleet/mod.rs
+++ b/crates/fault-injection/src/fleet/mod.rs
@@ -14,7 +14,7 @@
 use harrierdock_types::{TimeDelta, Timestamp};
 use nanorand::WyRand;
 
-use crate::gateway_process::program;
+use crate::gateway_process::gateway_program;
 use crate::world::{Door, Due, World};
 use crew::{Crew, Ending};
 use faults::{Fault, Kind};
@@ -198,7 +198,11 @@
         ),
         told => told.to_vec(),
     };
-    let mut stage = Stage::new(day, program()?, folder)?;
+    let mut stage = Stage::new(
+        day,
+        gateway_program().map_err(|error| error.to_string())?,
+        folder,
+    )?;
     let from = stage.start()?;
     let mut steps = script(day, &faults, from).into_iter().peekable();
     let mut whom = vec![Vec::new(); faults.len()];
--- a/crates/fault-injection/src/flows.rs
+++ b/crates/fault-injection/src/flows.rs
@@ -14,10 +14,11 @@
 use serde::Serialize;
 use serde_json::json;
 
-use crate::collector::{Collector, Road, Row};
-use crate::gateway_process::program;
+use crate::collector::{Collector, CollectorOptions, CollectorTransport, RecordKey};
+use crate::gateway_process::gateway_program;
 use crate::record_tables;
-use crate::sites::{self, Cut};
+use crate::schedule::Outage;
+use crate::sites;
 use crate::world::Step;
 
 /// What is played.
@@ -25,8 +26,8 @@
     pub seed: u64,
     pub seconds: f64,
     pub form: String,
-    pub road: Road,
-    pub collector_down: Option<Cut>,
+    pub transport: CollectorTransport,
+    pub collector_down: Option<Outage>,
     pub slow: bool,
     pub churn: bool,
     pub surge: bool,
@@ -71,7 +72,7 @@
 fn tls(folder: &Path) -> Result<Arc<ServerConfig>, String> {
     let keys = folder.join("keys");
     let run = |arguments: &[&str]| {
-        let output = Command::new(program()?)
+        let output = Command::new(gateway_program().map_err(|error| error.to_string())?)
             .args(arguments)
             .output()
             .map_err(|e| e.to_string())?;
@@ -143,17 +144,23 @@
 }
 
 fn on_stage(day: &Day, folder: &Path, mut progress: impl FnMut(f64)) -> Result<Report, String> {
-    let config = if day.road == Road::Tls {
+    let config = if day.transport == CollectorTransport::Tls {
         Some(tls(folder)?)
     } else {
         None
     };
     let listen = SocketAddr::from(([127, 0, 0, 1], 0));
-    let collector = Collector::start(listen, day.road, day.slow, day.loss, config)?;
-    let road = format!("{:?}", day.road).to_lowercase();
-    let mut told =
-        json!({"name": "main", "address": collector.address, "road": road, "form": day.form});
-    if day.road == Road::Tls {
+    let collector = Collector::start(CollectorOptions {
+        listen,
+        transport: day.transport,
+        is_slow: day.slow,
+        loss_ratio: day.loss,
+        tls: config,
+    })
+    .map_err(|error| error.to_string())?;
+    let mut told = json!({"name": "main", "address": collector.address(), "road": day.transport.name(),
+        "form": day.form});
+    if day.transport == CollectorTransport::Tls {
         let key = |name: &str| folder.join("keys").join(name).display().to_string();
         told["keys"] = json!({"authority": key("authority.pem"), "certificate": key("hobart-exporter.pem"),
             "key": key("hobart-exporter.key")});
@@ -171,8 +178,8 @@
         .map(|n| (f64::from(n) * 2.0, Step::Mark))
         .collect();
     if let Some(down) = day.collector_down {
-        more.push((down.second, Step::Collector { up: false }));
-        more.push((down.second + down.seconds, Step::Collector { up: true }));
+        more.push((down.start_second, Step::Collector { up: false }));
+        more.push((down.end_second(), Step::Collector { up: true }));
     }
     if day.churn {
         more.extend((1..(day.seconds * 4.0) as u32).map(|n| (f64::from(n) / 4.0, Step::Churn)));
@@ -215,23 +222,27 @@
     std::thread::sleep(Duration::from_millis(500));
     collector.stop();
     if let Some(keep) = &day.keep {
-        let counted = collector.counted.lock().map_err(|e| e.to_string())?;
-        record_tables::parquet(&keep.join("collected.parquet"), &counted.table)?;
-        record_tables::csv(&keep.join("collected.csv"), &counted.table)?;
+        let counts = collector.counts().map_err(|e| e.to_string())?;
+        record_tables::write_parquet(&keep.join("collected.parquet"), &counts.records)
+            .map_err(|e| e.to_string())?;
+        record_tables::write_csv(&keep.join("collected.csv"), &counts.records)
+            .map_err(|e| e.to_string())?;
     }
     judge(day, &played, &collector)
 }
 
 fn judge(day: &Day, played: &sites::Report, collector: &Collector) -> Result<Report, String> {
-    let counted = collector.counted.lock().map_err(|e| e.to_string())?;
+    let counts = collector.counts().map_err(|e| e.to_string())?;
     let mut report = Report::default();
-    let (mut recorded, mut dropped) = (BTreeMap::<Row, u64>::new(), [0_u64; 2]);
+    let (mut recorded, mut dropped) = (BTreeMap::<RecordKey, u64>::new(), [0_u64; 2]);
     for line in &played.last_lines {
         if let Some(tally) = line.strip_prefix("tally ") {
             let rows: Vec<(String, u64, String, u64)> =
                 serde_json::from_str(tally).map_err(|e| e.to_string())?;
             for (kind, build, class, count) in rows {
-                *recorded.entry((kind, build, class)).or_default() += count;
+                *recorded
+                    .entry(RecordKey { kind, build, class })
+                    .or_default() += count;
             }
         }
         let of = said(line, "dropped");
@@ -243,10 +254,10 @@
         report.messages += said(line, "messages").iter().sum::<u64>();
         report.records_sent += said(line, "records").iter().sum::<u64>();
     }
-    let name = |(kind, build, class): &Row| format!("{kind} {build} {class}");
+    let name = |key: &RecordKey| format!("{} {} {}", key.kind, key.build, key.class);
     report.gateway_tally = recorded.iter().map(|(row, n)| (name(row), *n)).collect();
-    report.collector_tally = counted
-        .sums
+    report.collector_tally = counts
+        .totals
         .iter()
         .map(|(row, n)| (name(row), *n))
         .collect();
@@ -255,26 +266,29 @@
         .zip(dropped)
         .map(|(kind, n)| (kind.to_string(), n))
         .collect();
-    let total = |sums: &BTreeMap<Row, u64>, kind: &str| {
+    let total = |sums: &BTreeMap<RecordKey, u64>, kind: &str| {
         sums.iter()
-            .filter(|(r, _)| r.0 == kind)
+            .filter(|(key, _)| key.kind == kind)
             .map(|(_, n)| n)
             .sum::<u64>()
     };
-    report.records_collected = counted.domains.values().map(|d| d.records).sum();
-    report.sequence_gap = counted.domains.values().map(|d| d.gap).sum();
-    (report.lost_on_the_way, report.faults) = (counted.lost_here, counted.faults);
+    report.records_collected = counts.domains.values().map(|d| d.records).sum();
+    report.sequence_gap = counts.domains.values().map(|d| d.sequence_gap).sum();
+    (report.lost_on_the_way, report.faults) = (counts.dropped_datagrams, counts.malformed_messages);
     let whole = KINDS.iter().zip(dropped).all(|(kind, dropped)| {
-        let (all, got) = (total(&recorded, kind), total(&counted.sums, kind) + dropped);
+        let (all, got) = (
+            total(&recorded, kind),
+            total(&counts.totals, kind) + dropped,
+        );
         // What was written just before a connection broke may have come or not.
         got <= all + report.in_doubt && got + report.in_doubt >= all
     });
-    let exact = dropped != [0; 2] || report.in_doubt > 0 || day.churn || recorded == counted.sums;
+    let exact = dropped != [0; 2] || report.in_doubt > 0 || day.churn || recorded == counts.totals;
     // Over UDP what was lost is seen in the sequence numbers, up to the last message.
     let missing = report.records_sent.saturating_sub(report.records_collected);
-    let lossy = counted.lost_here > 0;
+    let lossy = counts.dropped_datagrams > 0;
     let gap = if day.form == "v9" {
-        counted.lost_here
+        counts.dropped_datagrams
     } else {
         missing
     };
@@ -284,7 +298,7 @@
         whole && exact
     };
     let seen = |pattern: &[u8]| {
-        counted
+        counts
             .raw
             .windows(pattern.len())
             .filter(|w| *w == pattern)
@@ -332,7 +346,7 @@
     if day.surge {
         let half = (day.seconds / 2.0) as u64 + 2;
         let rate = |of: &dyn Fn(u64) -> bool| {
-            let some: Vec<u64> = counted
+            let some: Vec<u64> = counts
                 .octets
                 .iter()
                 .filter(|((d, s), _)| *d == 1 && *s > 3 && of(*s))
@@ -353,33 +367,47 @@
 /// A collector by itself, with a line of JSON each second.
 pub fn collect(
     listen: SocketAddr,
-    road: Road,
+    transport: CollectorTransport,
     seconds: f64,
     csv: Option<&Path>,
     parquet: Option<&Path>,
 ) -> Result<(), String> {
-    if road == Road::Tls {
+    if transport == CollectorTransport::Tls {
         return Err("a collector by itself listens by udp or tcp".into());
     }
-    let collector = Collector::start(listen, road, false, 0.0, None)?;
-    eprintln!("collects on {}", collector.address);
+    let collector = Collector::start(CollectorOptions {
+        listen,
+        transport,
+        is_slow: false,
+        loss_ratio: 0.0,
+        tls: None,
+    })
+    .map_err(|error| error.to_string())?;
+    eprintln!("collects on {}", collector.address());
     let from = Instant::now();
     while from.elapsed().as_secs_f64() < seconds {
         std::thread::sleep(Duration::from_secs(1));
-        let counted = collector.counted.lock().map_err(|e| e.to_string())?;
-        let sums: BTreeMap<String, u64> = counted
-            .sums
+        let counts = collector.counts().map_err(|e| e.to_string())?;
+        let sums: BTreeMap<String, u64> = counts
+            .totals
             .iter()
-            .map(|((k, b, p), n)| (format!("{k} {b} {p}"), *n))
+            .map(|(key, n)| (format!("{} {} {}", key.kind, key.build, key.class), *n))
             .collect();
         println!(
             "{}",
-            json!({"messages": counted.messages, "faults": counted.faults, "sums": sums})
+            json!({"messages": counts.messages, "faults": counts.malformed_messages, "sums": sums})
         );
     }
     collector.stop();
-    let counted = collector.counted.lock().map_err(|e| e.to_string())?;
-    csv.map_or(Ok(()), |path| record_tables::csv(path, &counted.table))?;
-    parquet.map_or(Ok(()), |path| record_tables::parquet(path, &counted.table))?;
+    let counts = collector.counts().map_err(|e| e.to_string())?;
+    csv.map_or(Ok(()), |path| {
+        record_tables::write_csv(path, &counts.records)
+    })
+    .map_err(|e| e.to_string())?;
+    parquet
+        .map_or(Ok(()), |path| {
+            record_tables::write_parquet(path, &counts.records)
+        })
+        .map_err(|e| e.to_string())?;
     Ok(())
 }
--- a/crates/fault-injection/src/gateway_process.rs
+++ b/crates/fault-injection/src/gateway_process.rs
@@ -1,210 +1,288 @@
-//! Built gateways as processes: started with files of their own, heard by their log, killed and started again.
+//! A built gateway as a process: started on files of its own, observed by its log, killed when dropped.
 
 use std::fs;
-use std::io::{BufRead, BufReader};
+use std::io::{self, BufRead, BufReader};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
-use std::process::{Child, Command, Stdio};
+use std::process::{Child, Command, ExitStatus, Stdio};
 use std::sync::mpsc::{channel, Receiver};
+use std::thread;
 use std::time::{Duration, Instant};
 
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::Value;
+use thiserror::Error;
 
-/// How long a gateway may take to start.
-const START: Duration = Duration::from_secs(20);
+/// How long a gateway may take to start, and to end.
+const START_TIMEOUT: Duration = Duration::from_secs(20);
+/// The environment variable that names the gateway's program.
+const PROGRAM_VARIABLE: &str = "HARRIERDOCK";
+/// Environment variables that would change a gateway's configuration.
+const CONFIGURATION_VARIABLES: [&str; 4] = ["LB_NAME", "LB_LISTEN", "LB_DISCOVERY", "LB_CONFIG"];
+const KIB_PER_MIB: f64 = 1024.0;
+const NANOSECONDS_PER_MICROSECOND: f64 = 1000.0;
 
-pub struct Process {
+/// Why a gateway can't be started or ended.
+#[derive(Debug, Error)]
+pub enum GatewayProcessError {
+    /// The path of this program is unknown.
+    #[error("{0}")]
+    OwnPath(#[source] io::Error),
+    /// The gateway isn't built.
+    #[error("{path} is not there: build it, or name it by HARRIERDOCK", path = path.display())]
+    ProgramMissing {
+        /// Where it was looked for.
+        path: PathBuf,
+    },
+    /// A file of the gateway can't be written, or its program not run.
+    #[error("{path}: {source}", path = path.display())]
+    File {
+        /// The file.
+        path: PathBuf,
+        /// Why.
+        source: io::Error,
+    },
+    /// It ended, or said nothing of its listener for too long.
+    #[error("{name} does not start: see {name}.json in {folder}", folder = folder.display())]
+    NotStarted {
+        /// The gateway.
+        name: String,
+        /// Where its files are.
+        folder: PathBuf,
+    },
+    /// It can't be signalled or waited for.
+    #[error("{0}")]
+    Signal(#[source] io::Error),
+    /// It was asked to end and failed.
+    #[error("a gateway told to end did not: {status}")]
+    Failed {
+        /// How it ended.
+        status: ExitStatus,
+    },
+}
+
+/// What a process has used of the machine.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct ResourceUsage {
+    /// Resident memory in MiB.
+    pub memory_mb: f64,
+    /// Processor time since its start, in microseconds.
+    pub processor_time_us: f64,
+}
+
+/// A gateway that runs, or has ended. Killed when dropped.
+pub struct GatewayProcess {
     child: Child,
     log: Receiver<String>,
-    pub serves: SocketAddr,
-    pub links: Option<SocketAddr>,
-    /// Where it hears its peers.
-    pub peers: Option<SocketAddr>,
-    /// Lines that say that something does not hold.
-    pub broken: Vec<String>,
-    /// Lines on what it shares with its fleet.
-    pub fleet: Vec<String>,
+    /// Where it takes clients' requests.
+    pub listen_address: SocketAddr,
+    /// Where it takes the other site's datagrams, if it serves two sites.
+    pub site_address: Option<SocketAddr>,
+    /// Where it takes gossip, if it has peers.
+    pub gossip_address: Option<SocketAddr>,
+    /// Logged lines that report a violated invariant or a panic.
+    pub violations: Vec<String>,
+    /// Logged lines on leases.
+    pub lease_log: Vec<String>,
 }
 
-/// The gateway's program: beside this one, or where HARRIERDOCK says.
-pub fn program() -> Result<PathBuf, String> {
-    if let Some(path) = std::env::var_os("HARRIERDOCK") {
+/// The gateway's program: beside this one, or where the environment variable `HARRIERDOCK` says.
+///
+/// # Errors
+///
+/// It is not built.
+pub fn gateway_program() -> Result<PathBuf, GatewayProcessError> {
+    if let Some(path) = std::env::var_os(PROGRAM_VARIABLE) {
         return Ok(path.into());
     }
-    let own = std::env::current_exe().map_err(|e| e.to_string())?;
-    let beside = own.with_file_name("harrierdock");
-    if beside.exists() {
-        return Ok(beside);
+    let own_path = std::env::current_exe().map_err(GatewayProcessError::OwnPath)?;
+    let path = own_path.with_file_name("harrierdock");
+    if path.exists() {
+        return Ok(path);
     }
-    Err(format!(
-        "{} is not there: build it, or name it by HARRIERDOCK",
-        beside.display()
-    ))
-}
-
-pub fn write_file(folder: &Path, name: &str, text: &str) -> Result<PathBuf, String> {
-    let path = folder.join(name);
-    fs::write(&path, text).map_err(|e| format!("{}: {e}", path.display()))?;
-    Ok(path)
+    Err(GatewayProcessError::ProgramMissing { path })
 }
 
-fn address_in(line: &str, before: &str) -> Option<SocketAddr> {
-    let (_, rest) = line.split_once(before)?;
-    rest.split_whitespace().next()?.parse().ok()
-}
-
-impl Process {
-    /// Starts a gateway on its files, and waits until it serves.
+impl GatewayProcess {
+    /// Starts a gateway on its configuration and extension configuration, written to this folder, and waits until it
+    /// listens.
+    ///
+    /// # Errors
+    ///
+    /// A file can't be written, the program can't be run, or it doesn't listen in time.
     pub fn start(
         program: &Path,
         folder: &Path,
         name: &str,
-        told: &Value,
-        with: Option<&Value>,
-    ) -> Result<Process, String> {
-        let config = write_file(folder, &format!("{name}.json"), &told.to_string())?;
+        configuration: &Value,
+        extensions: Option<&Value>,
+    ) -> Result<GatewayProcess, GatewayProcessError> {
+        let path = write_json(folder, &format!("{name}.json"), configuration)?;
         let mut command = Command::new(program);
-        command
-            .arg("serve")
-            .arg("--config")
-            .arg(config)
-            .args(["--log", "info"]);
-        if let Some(with) = with {
-            command.arg("--with").arg(write_file(
-                folder,
-                &format!("{name}-sites.json"),
-                &with.to_string(),
-            )?);
+        command.arg("serve").arg("--config").arg(path);
+        command.args(["--log", "info"]);
+        if let Some(extensions) = extensions {
+            let path = write_json(folder, &format!("{name}-sites.json"), extensions)?;
+            command.arg("--with").arg(path);
         }
-        for variable in ["LB_NAME", "LB_LISTEN", "LB_DISCOVERY", "LB_CONFIG"] {
+        for variable in CONFIGURATION_VARIABLES {
             command.env_remove(variable);
         }
-        let started = command
+        let mut process = GatewayProcess::spawn(&mut command, program)?;
+        if process.wait_until_listening() {
+            return Ok(process);
+        }
+        Err(GatewayProcessError::NotStarted {
+            name: name.into(),
+            folder: folder.into(),
+        })
+    }
+
+    fn spawn(command: &mut Command, program: &Path) -> Result<Self, GatewayProcessError> {
+        let mut child = command
             .stdin(Stdio::null())
             .stdout(Stdio::null())
             .stderr(Stdio::piped())
-            .spawn();
-        let mut child = started.map_err(|e| format!("{}: {e}", program.display()))?;
-        let (say, log) = channel();
-        if let Some(error) = child.stderr.take() {
-            let lines = BufReader::new(error).lines().map_while(Result::ok);
-            std::thread::spawn(move || lines.into_iter().try_for_each(|line| say.send(line)));
+            .spawn()
+            .map_err(|source| GatewayProcessError::File {
+                path: program.into(),
+                source,
+            })?;
+        let (sender, log) = channel();
+        if let Some(stderr) = child.stderr.take() {
+            let mut lines = BufReader::new(stderr).lines().map_while(Result::ok);
+            thread::spawn(move || lines.try_for_each(|line| sender.send(line)));
         }
-        let serves = SocketAddr::from(([127, 0, 0, 1], 0));
-        let (broken, fleet) = (Vec::new(), Vec::new());
-        let mut process = Process {
+        Ok(GatewayProcess {
             child,
             log,
-            serves,
-            links: None,
-            peers: None,
-            broken,
-            fleet,
-        };
-        let until = Instant::now() + START;
+            listen_address: SocketAddr::from(([127, 0, 0, 1], 0)),
+            site_address: None,
+            gossip_address: None,
+            violations: Vec::new(),
+            lease_log: Vec::new(),
+        })
+    }
+
+    /// Takes the addresses from the log; false if the gateway doesn't come to listen for clients.
+    fn wait_until_listening(&mut self) -> bool {
+        let deadline = Instant::now() + START_TIMEOUT;
         loop {
-            let left = until.saturating_duration_since(Instant::now());
-            let Ok(line) = process.log.recv_timeout(left) else {
-                return Err(format!(
-                    "{name} does not start: see {name}.json in {}",
-                    folder.display()
-                ));
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            let Ok(line) = self.log.recv_timeout(remaining) else {
+                return false;
             };
-            if let Some(links) = address_in(&line, " listens on ") {
-                process.links = Some(links);
+            if let Some(address) = address_after(&line, " listens on ") {
+                self.site_address = Some(address);
             }
-            if let Some(peers) = address_in(&line, " hears peers on ") {
-                process.peers = Some(peers);
+            if let Some(address) = address_after(&line, " hears peers on ") {
+                self.gossip_address = Some(address);
             }
-            if let Some(serves) = address_in(&line, " serves on ") {
-                process.serves = serves;
-                return Ok(process);
+            if let Some(address) = address_after(&line, " serves on ") {
+                self.listen_address = address;
+                return true;
             }
         }
     }
 
-    /// Looks through what was logged since.
-    pub fn listen(&mut self) {
+    /// Sorts the lines that were logged since the last call.
+    pub fn read_log(&mut self) {
         for line in self.log.try_iter() {
             if line.contains(" broken: ") || line.contains("panicked") {
-                self.broken.push(line);
+                self.violations.push(line);
             } else if line.contains(" fleet: ") || line.contains(" fleet.") {
-                self.fleet.push(line);
+                self.lease_log.push(line);
             }
         }
     }
 
+    /// The system's id of the process.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Sends it a signal, if it is still there.
+    /// Sends it a signal, if it still runs.
     pub fn signal(&self, signal: Signal) {
         let _ = kill_process(Pid::from_child(&self.child), signal);
     }
 
     /// How it ended; none while it runs.
-    pub fn ended(&mut self) -> Option<bool> {
-        self.child
-            .try_wait()
-            .ok()
-            .flatten()
-            .map(|status| status.success())
+    pub fn exit_status(&mut self) -> Option<ExitStatus> {
+        self.child.try_wait().ok().flatten()
     }
 
     /// Whether it runs.
-    pub fn lives(&mut self) -> bool {
+    pub fn is_running(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(None))
     }
 
-    /// Tells it to end, waits until it has, and gives back what it said of flows meanwhile.
-    pub fn end(&mut self) -> Result<Vec<String>, String> {
-        kill_process(Pid::from_child(&self.child), Signal::TERM).map_err(|e| e.to_string())?;
-        let until = Instant::now() + START;
+    /// Asks it to shut down, waits until it has, and returns what it logged of flow export meanwhile.
+    ///
+    /// # Errors
+    ///
+    /// It can't be signalled, or fails.
+    pub fn shut_down(&mut self) -> Result<Vec<String>, GatewayProcessError> {
+        kill_process(Pid::from_child(&self.child), Signal::TERM)
+            .map_err(|error| GatewayProcessError::Signal(error.into()))?;
+        let deadline = Instant::now() + START_TIMEOUT;
+        let remaining = || deadline.saturating_duration_since(Instant::now());
         let mut lines = Vec::new();
-        while let Ok(line) = self
-            .log
-            .recv_timeout(until.saturating_duration_since(Instant::now()))
-        {
-            lines.extend(line.split_once("flows: ").map(|(_, said)| said.to_string()));
+        while let Ok(line) = self.log.recv_timeout(remaining()) {
+            if let Some((_, report)) = line.split_once("flows: ") {
+                lines.push(report.to_string());
+            }
         }
-        let code = self.child.wait().map_err(|e| e.to_string())?;
-        if !code.success() {
-            return Err(format!("a gateway told to end did not: {code}"));
+        let status = self.child.wait().map_err(GatewayProcessError::Signal)?;
+        if !status.success() {
+            return Err(GatewayProcessError::Failed { status });
         }
         Ok(lines)
     }
 
+    /// Kills it and waits until it is gone.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Resident memory in MB, and processor time so far in microseconds, as the system tells.
-    pub fn use_of(&self) -> (f64, f64) {
-        let read = |file: &str| {
-            fs::read_to_string(format!("/proc/{}/{file}", self.child.id())).unwrap_or_default()
-        };
-        let status = read("status");
-        let kb = status.lines().find_map(|l| {
-            l.strip_prefix("VmRSS:")?
-                .split_whitespace()
-                .next()?
-                .parse::<f64>()
-                .ok()
-        });
-        // Time on a processor, in nanoseconds: finer than the ticks of `stat`.
-        let spent = read("schedstat")
-            .split_whitespace()
-            .next()
-            .and_then(|n| n.parse::<f64>().ok());
-        (kb.unwrap_or(0.0) / 1024.0, spent.unwrap_or(0.0) / 1000.0)
+    /// What it uses by the system's account; zeros where the system says nothing.
+    pub fn resource_usage(&self) -> ResourceUsage {
+        let memory_kib = self
+            .read_proc_file("status")
+            .lines()
+            .find_map(|line| line.strip_prefix("VmRSS:").and_then(first_number));
+        // `schedstat` counts nanoseconds, `stat` ticks only.
+        let processor_time_ns = first_number(&self.read_proc_file("schedstat"));
+        ResourceUsage {
+            memory_mb: memory_kib.unwrap_or(0.0) / KIB_PER_MIB,
+            processor_time_us: processor_time_ns.unwrap_or(0.0) / NANOSECONDS_PER_MICROSECOND,
+        }
+    }
+
+    fn read_proc_file(&self, name: &str) -> String {
+        fs::read_to_string(format!("/proc/{}/{name}", self.child.id())).unwrap_or_default()
     }
 }
 
-impl Drop for Process {
+impl Drop for GatewayProcess {
     fn drop(&mut self) {
         self.kill();
     }
 }
+
+fn write_json(folder: &Path, name: &str, value: &Value) -> Result<PathBuf, GatewayProcessError> {
+    let path = folder.join(name);
+    match fs::write(&path, value.to_string()) {
+        Ok(()) => Ok(path),
+        Err(source) => Err(GatewayProcessError::File { path, source }),
+    }
+}
+
+fn address_after(line: &str, prefix: &str) -> Option<SocketAddr> {
+    let (_, rest) = line.split_once(prefix)?;
+    rest.split_whitespace().next()?.parse().ok()
+}
+
+fn first_number(text: &str) -> Option<f64> {
+    text.split_whitespace().next()?.parse().ok()
+}
--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -1,6 +1,14 @@
-//! Stand-ins for all that a gateway meets, and rehearsals made of them. Everything stays on loopback.
+//! Fault injection: runs gateways, or their decisions alone, against stand-ins for all that they meet, plays failures drawn
+//! by a seed, and checks the rules that hold whatever happens. Everything stays on loopback.
+//!
+//! - without sockets, in simulated time: [`core`] (two sites), [`duties`] (leases), [`membership`] (members of a site),
+//!   [`admission`] (admission policies compared);
+//! - with built gateways: [`sites`] (two sites), [`fleet`] (leases and rollouts), [`flows`] (flow export);
+//! - what these share: [`gateway_process`], [`collector`], [`record_tables`], [`stand_ins`], [`schedule`], [`world`];
+//! - [`cli`]: the command line.
 
 pub mod admission;
+pub mod cli;
 pub mod collector;
 pub mod core;
 pub mod duties;
@@ -9,6 +17,7 @@
 pub mod gateway_process;
 pub mod membership;
 pub mod record_tables;
+pub mod schedule;
 pub mod sites;
 pub mod stand_ins;
 pub mod world;
--- a/crates/fault-injection/src/sites.rs
+++ b/crates/fault-injection/src/sites.rs
@@ -7,7 +7,6 @@
 use std::os::unix::net::UnixStream;
 use std::path::{Path, PathBuf};
 use std::process::Command;
-use std::str::FromStr;
 use std::sync::mpsc::Sender;
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,63 +19,23 @@
 use serde_json::{json, Value};
 
 use crate::collector::Collector;
-use crate::gateway_process::{program, Process};
+use crate::gateway_process::{gateway_program, GatewayProcess};
+use crate::schedule::{Outage, SiteTime};
 use crate::stand_ins::{discovery_server, endpoint_list, Trace};
 use crate::world::*;
 
-/// A fault at a point: `A@3` or, for a cut, `3+10`.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct At {
-    pub site: usize,
-    pub second: f64,
-}
-
-impl FromStr for At {
-    type Err = String;
-    fn from_str(text: &str) -> Result<At, String> {
-        let wrong = || format!("'{text}' is not SITE@SECOND, as A@3");
-        let (site, second) = text.split_once('@').ok_or_else(wrong)?;
-        let site = ["A", "B"]
-            .iter()
-            .position(|s| *s == site)
-            .ok_or_else(wrong)?;
-        Ok(At {
-            site,
-            second: second.parse().map_err(|_| wrong())?,
-        })
-    }
-}
-
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Cut {
-    pub second: f64,
-    pub seconds: f64,
-}
-
-impl FromStr for Cut {
-    type Err = String;
-    fn from_str(text: &str) -> Result<Cut, String> {
-        let wrong = || format!("'{text}' is not SECOND+SECONDS, as 3+10");
-        let (second, seconds) = text.split_once('+').ok_or_else(wrong)?;
-        Ok(Cut {
-            second: second.parse().map_err(|_| wrong())?,
-            seconds: seconds.parse().map_err(|_| wrong())?,
-        })
-    }
-}
-
 /// What is played.
 #[derive(Clone, Default)]
 pub struct Day {
     pub seed: u64,
     pub seconds: f64,
-    pub kill: Option<At>,
+    pub kill: Option<SiteTime>,
     pub servers_only: bool,
     pub back_after: Option<f64>,
     pub loss: f64,
     pub one_way: bool,
-    pub cut: Option<Cut>,
-    pub drain: Option<At>,
+    pub cut: Option<Outage>,
+    pub drain: Option<SiteTime>,
     /// Gateways restarted one after another, from this second on.
     pub rolling: Option<f64>,
     pub gateways: usize,
@@ -162,7 +121,7 @@
 struct Gateway {
     name: String,
     site: usize,
-    process: Option<Process>,
+    process: Option<GatewayProcess>,
     relay: Option<usize>,
     discovery: SocketAddr,
     say: Sender<String>,
@@ -269,10 +228,12 @@
         } else {
             with
         };
-        let process = Process::start(&self.program, &self.folder, &name, &told, with.as_ref())?;
+        let process =
+            GatewayProcess::start(&self.program, &self.folder, &name, &told, with.as_ref())
+                .map_err(|error| error.to_string())?;
         let door = &mut world.doors[ix];
-        (door.address, door.life, door.alive) = (Some(process.serves), door.life + 1, true);
-        if let Some((relay, links)) = self.gateways[ix].relay.zip(process.links) {
+        (door.address, door.life, door.alive) = (Some(process.listen_address), door.life + 1, true);
+        if let Some((relay, links)) = self.gateways[ix].relay.zip(process.site_address) {
             world.lead(relay, links);
         }
         self.gateways[ix].process = Some(process);
@@ -398,14 +359,15 @@
             }
             Step::Collector { up } => {
                 if let Some(collector) = &self.day.export {
-                    collector.turn(up)?;
+                    collector.set_running(up);
                 }
             }
             Step::Mark => {
-                let ticks = self
-                    .gateways
-                    .iter()
-                    .map(|g| g.process.as_ref().map_or(0.0, |p| p.use_of().1));
+                let ticks = self.gateways.iter().map(|g| {
+                    g.process
+                        .as_ref()
+                        .map_or(0.0, |p| p.resource_usage().processor_time_us)
+                });
                 self.marks
                     .push((world.now(), ticks.collect(), world.txns.len()));
             }
@@ -501,7 +463,7 @@
     world.rate = [day.rate * day.skew, day.rate];
     let mut stage = Stage {
         folder: folder.into(),
-        program: program()?,
+        program: gateway_program().map_err(|error| error.to_string())?,
         gateways: Vec::new(),
         fronts: Vec::new(),
         linked,
@@ -564,8 +526,8 @@
         }
     }
     if let Some(cut) = day.cut {
-        steps.push((at(cut.second), Step::Cut { cut: true }));
-        steps.push((at(cut.second + cut.seconds), Step::Cut { cut: false }));
+        steps.push((at(cut.start_second), Step::Cut { cut: true }));
+        steps.push((at(cut.end_second()), Step::Cut { cut: false }));
     }
     if let Some(drain) = day.drain {
         steps.push((at(drain.second), Step::Drain { site: drain.site }));
@@ -608,14 +570,14 @@
         stage.count(ix);
         let gateway = &mut stage.gateways[ix];
         if let Some(process) = &mut gateway.process {
-            let (used, ticks) = process.use_of();
-            memory = memory.max(used);
-            report.cpu_a_txn += ticks;
-            process.listen();
-            report.broken_lines += process.broken.len() as u64;
-            report.crashes += u64::from(world.doors[ix].alive && !process.lives());
+            let usage = process.resource_usage();
+            memory = memory.max(usage.memory_mb);
+            report.cpu_a_txn += usage.processor_time_us;
+            process.read_log();
+            report.broken_lines += process.violations.len() as u64;
+            report.crashes += u64::from(world.doors[ix].alive && !process.is_running());
             process
-                .broken
+                .violations
                 .iter()
                 .for_each(|line| eprintln!("{}: {line}", gateway.name));
         }
@@ -652,7 +614,10 @@
         }
         took.sort_by(f64::total_cmp);
         let p99 = took.get(took.len() * 99 / 100).copied().unwrap_or(0.0);
-        let used = gateway.process.as_ref().map_or(0.0, |p| p.use_of().0);
+        let used = gateway
+            .process
+            .as_ref()
+            .map_or(0.0, |p| p.resource_usage().memory_mb);
         report
             .of_gateways
             .push((late as f64 / all.max(1) as f64, p99, used));
@@ -660,7 +625,9 @@
     if day.export.is_some() {
         for gateway in &mut stage.gateways {
             if let Some(process) = &mut gateway.process {
-                report.last_lines.extend(process.end()?);
+                report
+                    .last_lines
+                    .extend(process.shut_down().map_err(|error| error.to_string())?);
             }
         }
     }
