--- a/crates/fault-injection/src/fleet/crew.rs
+++ b/crates/fault-injection/src/fleet/crew.rs
@@ -16,8 +16,11 @@
 use super::relay::Relay;
 use super::Day;
 use crate::gateway_process::GatewayProcess;
+use crate::simulation::{
+    Simulation, DEDUPLICATION_WINDOW, FIRST_BUILD, INITIAL_CAPACITY_RATIO, LATENCY_OBJECTIVE,
+    OVERLOAD_RATIO, OVERLOAD_WINDOW, REQUEST_TIMEOUT, SLOW_START_DURATION,
+};
 use crate::stand_ins::{discovery_server, endpoint_list, Trace};
-use crate::world::{World, COLD_FROM, EXPIRY, FALL, FALL_MULTIPLE, FIRST_BUILD, MEMORY, RAMP, SLA};
 
 const ZONE: &str = "hobart";
 /// The error of a skewed clock's rate, which is the drift that gateways are told.
@@ -85,8 +88,8 @@
 
 fn settings(gateways: usize, ordinal: usize) -> Value {
     let class = |name: &str, kind: &str, worth: f64| {
-        json!({"name": name, "aim": SLA.0, "give_up": EXPIRY.0, "idempotency": kind, "group": "all",
-            "memory_span": MEMORY.0, "worth": worth})
+        json!({"name": name, "aim": LATENCY_OBJECTIVE.0, "give_up": REQUEST_TIMEOUT.0, "idempotency": kind, "group": "all",
+            "memory_span": DEDUPLICATION_WINDOW.0, "worth": worth})
     };
     json!({
         "az": ZONE, "azs": [ZONE], "balancers": gateways, "ordinal": ordinal, "tick": 5000,
@@ -96,7 +99,7 @@
             "decided_by": "majority"},
         "limits": {"max_attempts": 3, "cancel": true, "may_tell": true, "retry_after": true,
             "max_retry_after": 1_000_000, "connect_timeout": 250_000, "conn_idle": 30_000_000},
-        "safety": {"cold_from": COLD_FROM, "ramp_time": RAMP.0, "fall": FALL.0, "fall_multiple": FALL_MULTIPLE}})
+        "safety": {"cold_from": INITIAL_CAPACITY_RATIO, "ramp_time": SLOW_START_DURATION.0, "fall": OVERLOAD_WINDOW.0, "fall_multiple": OVERLOAD_RATIO}})
 }
 
 impl Crew {
@@ -148,9 +151,9 @@
         json!({ "fleet": fleet })
     }
 
-    pub fn start(&mut self, world: &mut World, ix: usize) -> Result<(), String> {
-        let members: Vec<Value> = world
-            .servers
+    pub fn start(&mut self, simulation: &mut Simulation, ix: usize) -> Result<(), String> {
+        let members: Vec<Value> = simulation
+            .endpoints
             .iter()
             .enumerate()
             .map(|(at, server)| {
@@ -176,9 +179,18 @@
         if let Some(peers) = process.gossip_address {
             self.relay.lead(ix, peers);
         }
-        let door = &mut world.doors[ix];
-        (door.address, door.life, door.alive, door.open) =
-            (Some(process.listen_address), door.life + 1, true, true);
+        let door = &mut simulation.gateways[ix];
+        (
+            door.address,
+            door.incarnation,
+            door.is_alive,
+            door.accepts_clients,
+        ) = (
+            Some(process.listen_address),
+            door.incarnation + 1,
+            true,
+            true,
+        );
         self.gateways[ix].process = Some(process);
         Ok(())
     }
@@ -198,7 +210,7 @@
         gateway.lines.append(&mut process.lease_log);
     }
 
-    pub fn kill(&mut self, world: &mut World, ix: usize) {
+    pub fn kill(&mut self, simulation: &mut Simulation, ix: usize) {
         if self.gateways[ix].process.is_none() {
             return;
         }
@@ -207,14 +219,18 @@
             process.kill();
         }
         self.gateways[ix].stops.push(unix());
-        self.resume_mark(world, ix);
-        self.killed.insert((ix, world.doors[ix].life));
-        (world.doors[ix].alive, world.doors[ix].open) = (false, false);
+        self.resume_mark(simulation, ix);
+        self.killed
+            .insert((ix, simulation.gateways[ix].incarnation));
+        (
+            simulation.gateways[ix].is_alive,
+            simulation.gateways[ix].accepts_clients,
+        ) = (false, false);
         self.bury(ix);
     }
 
-    pub fn stall(&mut self, world: &mut World, ix: usize) {
-        let now = world.now();
+    pub fn stall(&mut self, simulation: &mut Simulation, ix: usize) {
+        let now = simulation.now();
         let gateway = &mut self.gateways[ix];
         let Some(process) = gateway
             .process
@@ -226,27 +242,27 @@
         process.signal(Signal::STOP);
         gateway.stops.push(unix());
         gateway.stalls.push((now, None));
-        world.doors[ix].open = false;
+        simulation.gateways[ix].accepts_clients = false;
     }
 
-    fn resume_mark(&mut self, world: &World, ix: usize) {
+    fn resume_mark(&mut self, simulation: &Simulation, ix: usize) {
         let open = self.gateways[ix]
             .stalls
             .last_mut()
             .filter(|s| s.1.is_none());
-        open.into_iter().for_each(|s| s.1 = Some(world.now()));
+        open.into_iter().for_each(|s| s.1 = Some(simulation.now()));
     }
 
-    pub fn go_on(&mut self, world: &mut World, ix: usize) {
+    pub fn go_on(&mut self, simulation: &mut Simulation, ix: usize) {
         if let Some(process) = &self.gateways[ix].process {
             process.signal(Signal::CONT);
-            world.doors[ix].open = self.gateways[ix].ending.is_none();
+            simulation.gateways[ix].accepts_clients = self.gateways[ix].ending.is_none();
         }
-        self.resume_mark(world, ix);
+        self.resume_mark(simulation, ix);
     }
 
     /// Tells it to end in order; `look` starts it again where that is wanted.
-    pub fn end(&mut self, world: &mut World, ix: usize, ending: Ending) {
+    pub fn end(&mut self, simulation: &mut Simulation, ix: usize, ending: Ending) {
         let gateway = &mut self.gateways[ix];
         if let Some(process) = gateway
             .process
@@ -255,7 +271,7 @@
         {
             process.signal(Signal::TERM);
             gateway.ending = Some(ending);
-            world.doors[ix].open = false;
+            simulation.gateways[ix].accepts_clients = false;
         }
     }
 
@@ -295,7 +311,7 @@
     }
 
     /// Hears all, and starts again those that have ended and are to come back.
-    pub fn look(&mut self, world: &mut World) -> Result<(), String> {
+    pub fn look(&mut self, simulation: &mut Simulation) -> Result<(), String> {
         for ix in 0..self.gateways.len() {
             let gateway = &mut self.gateways[ix];
             let Some(process) = &mut gateway.process else {
@@ -308,9 +324,9 @@
             self.crashes += u64::from(!status.success() || gateway.ending.is_none());
             let ending = gateway.ending.take();
             self.bury(ix);
-            world.doors[ix].alive = false;
+            simulation.gateways[ix].is_alive = false;
             if ending == Some(Ending::Restarts) {
-                self.start(world, ix)?;
+                self.start(simulation, ix)?;
             }
         }
         Ok(())
@@ -342,23 +358,23 @@
     }
 
     /// A fault begins. Gives back whom it befalls.
-    pub fn befall(&mut self, world: &mut World, kind: Kind) -> Vec<usize> {
+    pub fn befall(&mut self, simulation: &mut Simulation, kind: Kind) -> Vec<usize> {
         let all = self.gateways.len();
         let first = self.target();
         let others =
             |from: usize, many: usize| (0..many).map(|n| (from + n) % all).collect::<Vec<usize>>();
         match kind {
             Kind::Stall => {
-                self.stall(world, first);
+                self.stall(simulation, first);
                 vec![first]
             }
             Kind::Kill => {
-                self.kill(world, first);
+                self.kill(simulation, first);
                 vec![first]
             }
             Kind::KillMost => {
                 let most = others(first, all / 2 + 1);
-                most.iter().for_each(|ix| self.kill(world, *ix));
+                most.iter().for_each(|ix| self.kill(simulation, *ix));
                 most
             }
             Kind::Cut | Kind::CutHalf | Kind::CutOneWay => {
@@ -377,7 +393,7 @@
             Kind::Skew => {
                 let fast = self.chance.generate::<bool>();
                 self.gateways[first].odd.rate = Some(if fast { 1.0 + SKEW } else { 1.0 - SKEW });
-                self.end(world, first, Ending::Restarts);
+                self.end(simulation, first, Ending::Restarts);
                 vec![first]
             }
             Kind::Mixed => {
@@ -391,13 +407,18 @@
     }
 
     /// A fault ends.
-    pub fn relent(&mut self, world: &mut World, kind: Kind, whom: &[usize]) -> Result<(), String> {
+    pub fn relent(
+        &mut self,
+        simulation: &mut Simulation,
+        kind: Kind,
+        whom: &[usize],
+    ) -> Result<(), String> {
         match kind {
-            Kind::Stall => whom.iter().for_each(|ix| self.go_on(world, *ix)),
+            Kind::Stall => whom.iter().for_each(|ix| self.go_on(simulation, *ix)),
             Kind::Kill | Kind::KillMost => {
                 for ix in whom {
                     if self.gateways[*ix].process.is_none() {
-                        self.start(world, *ix)?;
+                        self.start(simulation, *ix)?;
                     }
                 }
             }
@@ -412,7 +433,7 @@
             }),
             Kind::Skew => whom.iter().for_each(|ix| {
                 self.gateways[*ix].odd.rate = None;
-                self.end(world, *ix, Ending::Restarts);
+                self.end(simulation, *ix, Ending::Restarts);
             }),
             Kind::Mixed => whom
                 .iter()
@@ -423,17 +444,17 @@
     }
 
     /// The end of the run: nobody is stalled any more, and what was used is counted.
-    pub fn close(&mut self, world: &mut World) -> Result<(), String> {
+    pub fn close(&mut self, simulation: &mut Simulation) -> Result<(), String> {
         self.over_at = unix();
         for ix in 0..self.gateways.len() {
-            self.go_on(world, ix);
+            self.go_on(simulation, ix);
             self.count(ix);
-            self.end(world, ix, Ending::Ends);
+            self.end(simulation, ix, Ending::Ends);
         }
-        let from = world.now();
+        let from = simulation.now();
         while self.gateways.iter().any(|g| g.process.is_some()) {
-            self.look(world)?;
-            if (world.now() - from).as_seconds() > 20.0 {
+            self.look(simulation)?;
+            if (simulation.now() - from).as_seconds() > 20.0 {
                 return Err("a gateway told to end did not: look at its log".into());
             }
             std::thread::sleep(Duration::from_millis(5));
--- a/crates/fault-injection/src/fleet/mod.rs
+++ b/crates/fault-injection/src/fleet/mod.rs
@@ -15,7 +15,7 @@
 use nanorand::WyRand;
 
 use crate::gateway_process::gateway_program;
-use crate::world::{Door, Due, World};
+use crate::simulation::{GatewayTarget, Simulation, TimerEvent};
 use crew::{Crew, Ending};
 use faults::{Fault, Kind};
 pub use judge::Report;
@@ -82,8 +82,8 @@
 
 /// A fleet with its servers and clients, on one loop.
 pub struct Stage {
-    event_loop: EventLoop<'static, World>,
-    pub world: World,
+    event_loop: EventLoop<'static, Simulation>,
+    pub simulation: Simulation,
     pub crew: Crew,
 }
 
@@ -96,28 +96,30 @@
     /// # Errors
     /// No sockets are to be had.
     pub fn new(day: &Day, program: PathBuf, folder: &Path) -> Result<Stage, String> {
-        let event_loop: EventLoop<World> = EventLoop::try_new().map_err(|e| e.to_string())?;
+        let event_loop: EventLoop<Simulation> = EventLoop::try_new().map_err(|e| e.to_string())?;
         let net = IoContext::new(
             event_loop.handle(),
             BufferPool::new(2048),
             DescriptorBudget::new(4096, 0),
         );
-        let mut world = World::new(net, day.seed, true);
-        world.rate = [day.rate, 0.0];
-        (0..day.servers).try_for_each(|_| world.add_server(0))?;
-        let door = Door {
+        let mut simulation = Simulation::new(net, day.seed, true);
+        simulation.requests_per_second = [day.rate, 0.0];
+        (0..day.servers)
+            .try_for_each(|_| simulation.add_endpoint(0))
+            .map_err(|error| error.to_string())?;
+        let door = GatewayTarget {
             site: 0,
             address: None,
-            life: 0,
-            alive: false,
-            open: false,
+            incarnation: 0,
+            is_alive: false,
+            accepts_clients: false,
             weight: 1.0,
         };
-        world.doors = vec![door; day.gateways];
+        simulation.gateways = vec![door; day.gateways];
         let crew = Crew::new(program, folder.into(), day).map_err(|e| e.to_string())?;
         Ok(Stage {
             event_loop,
-            world,
+            simulation,
             crew,
         })
     }
@@ -127,10 +129,11 @@
     /// # Errors
     /// A gateway does not start.
     pub fn start(&mut self) -> Result<Timestamp, String> {
-        (0..self.crew.gateways.len()).try_for_each(|ix| self.crew.start(&mut self.world, ix))?;
-        let from = self.world.now() + TimeDelta(i64::from(self.crew.day.lease_ms) * 1000);
-        self.world.arriving = true;
-        self.world.dues.set(from, Due::Arrival(0));
+        (0..self.crew.gateways.len())
+            .try_for_each(|ix| self.crew.start(&mut self.simulation, ix))?;
+        let from = self.simulation.now() + TimeDelta(i64::from(self.crew.day.lease_ms) * 1000);
+        self.simulation.sends_requests = true;
+        self.simulation.timers.set(from, TimerEvent::Arrival(0));
         Ok(from)
     }
 
@@ -139,18 +142,18 @@
     /// # Errors
     /// The loop fails, or a gateway does not start again.
     pub fn turn(&mut self, until: Timestamp) -> Result<(), String> {
-        let wait = until.min(self.world.now() + NAP);
+        let wait = until.min(self.simulation.now() + NAP);
         let wait = self
-            .world
-            .dues
+            .simulation
+            .timers
             .next_deadline()
             .map_or(wait, |due| due.min(wait));
-        let wait = self.world.net.clock.duration_until(wait);
+        let wait = self.simulation.io.clock.duration_until(wait);
         self.event_loop
-            .dispatch(wait, &mut self.world)
+            .dispatch(wait, &mut self.simulation)
             .map_err(|e| e.to_string())?;
-        self.world.fall_due();
-        self.crew.look(&mut self.world)
+        self.simulation.run_due_events();
+        self.crew.look(&mut self.simulation)
     }
 }
 
@@ -209,31 +212,33 @@
     let groups = groups(day);
     loop {
         stage.turn(steps.peek().map_or(from, |s| s.0))?;
-        let Stage { world, crew, .. } = &mut stage;
-        let now = world.now();
+        let Stage {
+            simulation, crew, ..
+        } = &mut stage;
+        let now = simulation.now();
         progress((now - from).as_seconds() / (day.seconds + 2.2));
         let Some((_, step)) = steps.next_if(|s| s.0 <= now) else {
             continue;
         };
         match step {
-            Step::Begin(ix) => whom[ix] = crew.befall(world, faults[ix].kind),
-            Step::End(ix) => crew.relent(world, faults[ix].kind, &whom[ix])?,
+            Step::Begin(ix) => whom[ix] = crew.befall(simulation, faults[ix].kind),
+            Step::End(ix) => crew.relent(simulation, faults[ix].kind, &whom[ix])?,
             Step::Restart(ix, group) => {
                 let some = (group..day.gateways).step_by(groups);
                 some.filter(|g| whom[ix].contains(g))
-                    .for_each(|g| crew.end(world, g, Ending::Restarts));
+                    .for_each(|g| crew.end(simulation, g, Ending::Restarts));
             }
-            Step::StopArrivals => world.arriving = false,
+            Step::StopArrivals => simulation.sends_requests = false,
             Step::Over => break,
         }
     }
     let Stage {
-        mut world,
+        mut simulation,
         mut crew,
         ..
     } = stage;
-    let ran = (world.now() - from).as_seconds();
-    crew.close(&mut world)?;
+    let ran = (simulation.now() - from).as_seconds();
+    crew.close(&mut simulation)?;
     let told: Vec<String> = faults.iter().map(Fault::to_string).collect();
-    Ok(judge::judge(day, &crew, &world, told, ran))
+    Ok(judge::judge(day, &crew, &simulation, told, ran))
 }
--- a/crates/fault-injection/src/flows.rs
+++ b/crates/fault-injection/src/flows.rs
@@ -18,8 +18,8 @@
 use crate::gateway_process::gateway_program;
 use crate::record_tables;
 use crate::schedule::Outage;
+use crate::simulation::ScenarioStep;
 use crate::sites;
-use crate::world::Step;
 
 /// What is played.
 pub struct Day {
@@ -174,31 +174,45 @@
             .map_err(|e| format!("{}: {e}", keep.display()))?;
         told_flows["keep"] = json!(keep);
     }
-    let mut more: Vec<(f64, Step)> = (0..=(day.seconds / 2.0) as u32)
-        .map(|n| (f64::from(n) * 2.0, Step::Mark))
+    let mut more: Vec<(f64, ScenarioStep)> = (0..=(day.seconds / 2.0) as u32)
+        .map(|n| (f64::from(n) * 2.0, ScenarioStep::RecordUsage))
         .collect();
     if let Some(down) = day.collector_down {
-        more.push((down.start_second, Step::Collector { up: false }));
-        more.push((down.end_second(), Step::Collector { up: true }));
+        more.push((
+            down.start_second,
+            ScenarioStep::SetCollectorRunning { is_running: false },
+        ));
+        more.push((
+            down.end_second(),
+            ScenarioStep::SetCollectorRunning { is_running: true },
+        ));
     }
     if day.churn {
-        more.extend((1..(day.seconds * 4.0) as u32).map(|n| (f64::from(n) / 4.0, Step::Churn)));
+        more.extend(
+            (1..(day.seconds * 4.0) as u32)
+                .map(|n| (f64::from(n) / 4.0, ScenarioStep::RenameEndpoints)),
+        );
     }
     if day.bad > 0.0 {
-        more.push((day.seconds / 3.0, Step::Release { fails: day.bad }));
+        more.push((
+            day.seconds / 3.0,
+            ScenarioStep::ReleaseBuild {
+                failure_ratio: day.bad,
+            },
+        ));
     }
     if day.surge {
         // Of a site's two gateways the first gets a hundredth, and from half-time on a fifth.
         more.push((
             0.0,
-            Step::Weigh {
+            ScenarioStep::SetGatewayWeight {
                 gateway: 0,
                 weight: 0.0101,
             },
         ));
         more.push((
             day.seconds / 2.0,
-            Step::Weigh {
+            ScenarioStep::SetGatewayWeight {
                 gateway: 0,
                 weight: 0.25,
             },
--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -4,7 +4,7 @@
 //! - without sockets, in simulated time: [`core`] (two sites), [`duties`] (leases), [`membership`] (members of a site),
 //!   [`admission`] (admission policies compared);
 //! - with built gateways: [`sites`] (two sites), [`fleet`] (leases and rollouts), [`flows`] (flow export);
-//! - what these share: [`gateway_process`], [`collector`], [`record_tables`], [`stand_ins`], [`schedule`], [`world`];
+//! - what these share: [`gateway_process`], [`collector`], [`record_tables`], [`stand_ins`], [`schedule`], [`simulation`];
 //! - [`cli`]: the command line.
 
 pub mod admission;
@@ -18,6 +18,6 @@
 pub mod membership;
 pub mod record_tables;
 pub mod schedule;
+pub mod simulation;
 pub mod sites;
 pub mod stand_ins;
-pub mod world;
--- /dev/null
+++ b/crates/fault-injection/src/simulation/endpoints.rs
@@ -0,0 +1,265 @@
+//! Simulated endpoints: cores, a queue, slow start with overload, and idempotency groups.
+
+use std::collections::VecDeque;
+use std::net::{SocketAddr, TcpListener};
+
+use calloop::generic::{Generic, NoIoDrop};
+use calloop::{Interest, Mode, PostAction, RegistrationToken};
+use harrierdock_event_loop::ConnectionId;
+use harrierdock_types::Timestamp;
+use nanorand::Rng;
+
+use super::parameters::{
+    CORES_PER_ENDPOINT, DEDUPLICATION_WINDOW, DRAIN_GRACE, FIRST_BUILD, INITIAL_CAPACITY_RATIO,
+    MEAN_WORK, OVERLOAD_RATIO, OVERLOAD_WINDOW, QUEUE_LIMIT, SLOW_START_DURATION,
+};
+use super::{request_number, Simulation, SimulationError, TimerEvent};
+
+/// An endpoint of one of the sites.
+pub struct Endpoint {
+    /// Its site.
+    pub site: usize,
+    /// Where it listens.
+    pub address: SocketAddr,
+    listener: Option<RegistrationToken>,
+    incarnation: u32,
+    /// When its slow start began; none if it was warm at its start.
+    pub slow_start_began: Option<Timestamp>,
+    /// Since when it must get no more requests.
+    pub draining_since: Option<Timestamp>,
+    /// It was overloaded while it warmed up, and answers no more.
+    pub is_overloaded: bool,
+    /// The build that it runs.
+    pub build: u32,
+    /// The share of requests that its build fails.
+    pub failure_ratio: f64,
+    busy_cores: usize,
+    queue: VecDeque<ConnectionId>,
+    arrivals: VecDeque<Timestamp>,
+}
+
+/// What an endpoint does with a request at once.
+pub(super) enum Admission {
+    /// It answers with this status.
+    Answer(u16),
+    /// It never answers.
+    Ignore,
+    /// The request waits for a core.
+    Queue,
+}
+
+impl Simulation {
+    /// Starts a stopped endpoint on a port of its own, warm or with a slow start.
+    ///
+    /// # Errors
+    ///
+    /// No socket is to be had.
+    pub fn start_endpoint(&mut self, index: usize, is_cold: bool) -> Result<(), SimulationError> {
+        let listener = TcpListener::bind("127.0.0.1:0")?;
+        listener.set_nonblocking(true)?;
+        let address = listener.local_addr()?;
+        let on_acceptable =
+            move |_, listener: &mut NoIoDrop<TcpListener>, simulation: &mut Simulation| {
+                while let Ok((stream, _)) = listener.accept() {
+                    simulation.accept_endpoint_connection(index, stream);
+                }
+                Ok(PostAction::Continue)
+            };
+        let source = Generic::new(listener, Interest::READ, Mode::Level);
+        let token = self
+            .io
+            .handle
+            .insert_source(source, on_acceptable)
+            .map_err(|error| SimulationError::EventSource(error.error))?;
+        let now = self.now();
+        let endpoint = &mut self.endpoints[index];
+        endpoint.address = address;
+        endpoint.listener = Some(token);
+        endpoint.is_overloaded = false;
+        endpoint.slow_start_began = is_cold.then_some(now);
+        endpoint.draining_since = None;
+        Ok(())
+    }
+
+    /// Adds a warm endpoint to a site and starts it.
+    ///
+    /// # Errors
+    ///
+    /// No socket is to be had.
+    pub fn add_endpoint(&mut self, site: usize) -> Result<(), SimulationError> {
+        self.endpoints.push(Endpoint {
+            site,
+            address: SocketAddr::from(([127, 0, 0, 1], 0)),
+            listener: None,
+            incarnation: 0,
+            slow_start_began: None,
+            draining_since: None,
+            is_overloaded: false,
+            build: FIRST_BUILD,
+            failure_ratio: 0.0,
+            busy_cores: 0,
+            queue: VecDeque::new(),
+            arrivals: VecDeque::new(),
+        });
+        self.start_endpoint(self.endpoints.len() - 1, false)
+    }
+
+    /// Stops an endpoint with all its connections and work.
+    pub fn stop_endpoint(&mut self, index: usize) {
+        let endpoint = &mut self.endpoints[index];
+        if let Some(token) = endpoint.listener.take() {
+            self.io.handle.remove(token);
+        }
+        endpoint.incarnation += 1;
+        endpoint.busy_cores = 0;
+        endpoint.queue = VecDeque::new();
+        endpoint.arrivals = VecDeque::new();
+        self.close_endpoint_connections(index);
+    }
+
+    /// Whether an endpoint listens.
+    pub fn is_endpoint_running(&self, index: usize) -> bool {
+        self.endpoints[index].listener.is_some()
+    }
+
+    /// The share of its capacity that an endpoint has by now.
+    pub fn capacity_ratio(&self, index: usize) -> f64 {
+        let Some(began) = self.endpoints[index].slow_start_began else {
+            return 1.0;
+        };
+        let progress = (self.now() - began).ratio_to(SLOW_START_DURATION);
+        (INITIAL_CAPACITY_RATIO + (1.0 - INITIAL_CAPACITY_RATIO) * progress).min(1.0)
+    }
+
+    /// Removes a connection that its gateway closed from the queue.
+    pub(super) fn remove_from_queue(&mut self, index: usize, connection: ConnectionId) {
+        self.endpoints[index]
+            .queue
+            .retain(|waiting| *waiting != connection);
+    }
+
+    /// Decides on a request that has come whole now. `deduplication_key` is its idempotency key, if it has one.
+    pub(super) fn admit_request(
+        &mut self,
+        index: usize,
+        now: Timestamp,
+        name: &str,
+        deduplication_key: Option<String>,
+    ) -> Admission {
+        self.count_arrival(index, name);
+        if deduplication_key.is_some_and(|key| self.deduplicate(index, now, key)) {
+            return Admission::Answer(200);
+        }
+        let endpoint = &self.endpoints[index];
+        if endpoint.is_overloaded {
+            Admission::Ignore
+        } else if endpoint.queue.len() >= QUEUE_LIMIT {
+            Admission::Answer(503)
+        } else {
+            Admission::Queue
+        }
+    }
+
+    /// Whether the endpoint's idempotency group remembers this key; remembers it from now on if not.
+    fn deduplicate(&mut self, index: usize, now: Timestamp, key: String) -> bool {
+        let group = if self.shares_idempotency_group {
+            0
+        } else {
+            self.endpoints[index].site
+        };
+        let last_run = self.deduplicated.get(&(group, key.clone())).copied();
+        if last_run.is_some_and(|at| now - at < DEDUPLICATION_WINDOW) {
+            self.observations.repeats_dropped += 1;
+            return true;
+        }
+        let ran_elsewhere = self.deduplicated.contains_key(&(1 - group, key.clone()));
+        self.observations.repeats_outside_window += u64::from(last_run.is_some() || ran_elsewhere);
+        self.deduplicated.insert((group, key), now);
+        false
+    }
+
+    /// Counts a request against drains and against what a warming endpoint can carry.
+    fn count_arrival(&mut self, index: usize, name: &str) {
+        let now = self.now();
+        let capacity_ratio = self.capacity_ratio(index);
+        let endpoint = &mut self.endpoints[index];
+        let is_past_grace =
+            |since: Option<Timestamp>| since.is_some_and(|at| now - at > DRAIN_GRACE);
+        // Clients may turn to a drained site's gateways themselves; the other site's gateways may not forward to it.
+        let sender = request_number(name).and_then(|number| self.requests.get(number)?.gateway);
+        let is_forwarded =
+            sender.is_some_and(|(gateway, _)| self.gateways[gateway].site != endpoint.site);
+        let is_site_drained = is_forwarded && is_past_grace(self.drained_since[endpoint.site]);
+        let is_after_drain = is_past_grace(endpoint.draining_since) || is_site_drained;
+        self.observations.requests_after_drain += u64::from(is_after_drain);
+        endpoint.arrivals.push_back(now);
+        while endpoint
+            .arrivals
+            .front()
+            .is_some_and(|at| now - *at > OVERLOAD_WINDOW)
+        {
+            endpoint.arrivals.pop_front();
+        }
+        let limit = OVERLOAD_RATIO
+            * capacity_ratio
+            * OVERLOAD_WINDOW.ratio_to(MEAN_WORK)
+            * CORES_PER_ENDPOINT as f64;
+        let is_warming_up = capacity_ratio < 1.0;
+        if is_warming_up && endpoint.arrivals.len() as f64 > limit && !endpoint.is_overloaded {
+            endpoint.is_overloaded = true;
+            self.observations.overloaded_warming_endpoints += 1;
+        }
+    }
+
+    /// Queues a request and gives free cores their work.
+    pub(super) fn queue_request(&mut self, index: usize, connection: ConnectionId) {
+        self.endpoints[index].queue.push_back(connection);
+        self.start_work(index);
+    }
+
+    fn start_work(&mut self, index: usize) {
+        while self.endpoints[index].busy_cores < CORES_PER_ENDPOINT
+            && !self.endpoints[index].is_overloaded
+        {
+            let Some(connection) = self.endpoints[index].queue.pop_front() else {
+                return;
+            };
+            let Some(pending) = self.pending_request(connection) else {
+                continue;
+            };
+            let now = self.now();
+            if pending.deadline <= now {
+                self.observations.expired_before_work += 1;
+                self.respond(connection, 504);
+                continue;
+            }
+            let site = self.endpoints[index].site;
+            let number = request_number(&pending.name);
+            if let Some(request) = number.and_then(|number| self.requests.get_mut(number)) {
+                request.runs.push((site, now));
+            }
+            let capacity_ratio = self.capacity_ratio(index);
+            let work = self.draw_exponential(MEAN_WORK / 2.0) + MEAN_WORK / 2.0;
+            self.endpoints[index].busy_cores += 1;
+            let done = TimerEvent::WorkDone {
+                connection,
+                endpoint: index,
+                incarnation: self.endpoints[index].incarnation,
+            };
+            self.timers.set(now + work / capacity_ratio, done);
+        }
+    }
+
+    /// Frees a core and answers, also where nobody waits for the answer any more.
+    pub(super) fn finish_work(&mut self, connection: ConnectionId, index: usize, incarnation: u32) {
+        let endpoint = &mut self.endpoints[index];
+        if endpoint.incarnation != incarnation {
+            return;
+        }
+        endpoint.busy_cores = endpoint.busy_cores.saturating_sub(1);
+        let failure_ratio = endpoint.failure_ratio;
+        let has_failed = failure_ratio > 0.0 && self.rng.generate::<f64>() < failure_ratio;
+        self.respond(connection, if has_failed { 500 } else { 200 });
+        self.start_work(index);
+    }
+}
--- a/crates/fault-injection/src/sites.rs
+++ b/crates/fault-injection/src/sites.rs
@@ -21,8 +21,12 @@
 use crate::collector::Collector;
 use crate::gateway_process::{gateway_program, GatewayProcess};
 use crate::schedule::{Outage, SiteTime};
+use crate::simulation::{
+    Answer, GatewayTarget, RequestClass, ScenarioStep, Simulation, TimerEvent, CORES_PER_ENDPOINT,
+    DEDUPLICATION_WINDOW, FIRST_BUILD, INITIAL_CAPACITY_RATIO, LATENCY_OBJECTIVE, MEAN_WORK,
+    OVERLOAD_RATIO, OVERLOAD_WINDOW, REQUEST_TIMEOUT, SITE_NAMES, SLOW_START_DURATION,
+};
 use crate::stand_ins::{discovery_server, endpoint_list, Trace};
-use crate::world::*;
 
 /// What is played.
 #[derive(Clone, Default)]
@@ -46,7 +50,7 @@
     pub skew: f64,
     pub spans: bool,
     /// Further steps, by their seconds.
-    pub more: Vec<(f64, Step)>,
+    pub more: Vec<(f64, ScenarioStep)>,
     /// Flow export, for every other gateway.
     pub export: Option<Arc<Collector>>,
     pub told_flows: Value,
@@ -105,17 +109,17 @@
 
 fn settings(site: usize) -> Value {
     let class = |name: &str, kind: &str, worth: f64| {
-        json!({"name": name, "aim": SLA.0, "give_up": EXPIRY.0, "idempotency": kind, "group": "all",
-            "memory_span": MEMORY.0, "worth": worth})
+        json!({"name": name, "aim": LATENCY_OBJECTIVE.0, "give_up": REQUEST_TIMEOUT.0, "idempotency": kind, "group": "all",
+            "memory_span": DEDUPLICATION_WINDOW.0, "worth": worth})
     };
     json!({
-        "az": SITES[site], "azs": SITES, "balancers": 1, "ordinal": 0, "tick": 5000,
+        "az": SITE_NAMES[site], "azs": SITE_NAMES, "balancers": 1, "ordinal": 0, "tick": 5000,
         "classes": [class("draft", "safe", 1.0), class("payment", "keyed", 5.0), class("lodge", "unsafe", 5.0)],
         "family_info": {"exposure_caps": [1.0], "steps": [1.0], "counted_over": 2_000_000, "spare_tries": 1.0,
             "vote_life": 4_000_000, "vote_wait": 400_000, "api_rate": 600.0, "decided_by": "majority"},
         "limits": {"max_attempts": 3, "cancel": true, "may_tell": false, "retry_after": true,
             "max_retry_after": 1_000_000, "connect_timeout": 250_000, "conn_idle": 30_000_000},
-        "safety": {"cold_from": COLD_FROM, "ramp_time": RAMP.0, "fall": FALL.0, "fall_multiple": FALL_MULTIPLE}})
+        "safety": {"cold_from": INITIAL_CAPACITY_RATIO, "ramp_time": SLOW_START_DURATION.0, "fall": OVERLOAD_WINDOW.0, "fall_multiple": OVERLOAD_RATIO}})
 }
 
 struct Gateway {
@@ -168,28 +172,28 @@
         }
     }
 
-    fn members(&self, world: &World, site: usize) -> Vec<Value> {
-        let of_site = world
-            .servers
+    fn members(&self, simulation: &Simulation, site: usize) -> Vec<Value> {
+        let of_site = simulation
+            .endpoints
             .iter()
             .enumerate()
             .filter(|(_, s)| s.site == site);
         let told = of_site.map(|(ix, server)| {
-            let phase = match (world.runs(ix), server.draining) {
+            let phase = match (simulation.is_endpoint_running(ix), server.draining_since) {
                 (false, _) => "gone",
                 (true, Some(_)) => "draining",
                 (true, None) => "ready",
             };
-            let since = server.started.map_or(0, |at| at.0 / 1000);
-            json!({"id": format!("s-{ix}{}", self.generation()), "host_port": server.address, "locality": SITES[site], "flavor": "m",
+            let since = server.slow_start_began.map_or(0, |at| at.0 / 1000);
+            json!({"id": format!("s-{ix}{}", self.generation()), "host_port": server.address, "locality": SITE_NAMES[site], "flavor": "m",
                 "cell": 0, "phase": phase, "size": 1.0, "up_since_ms": since, "revision_no": server.build + self.churned / 10})
         });
         told.collect()
     }
 
-    fn start(&mut self, world: &mut World, ix: usize) -> Result<(), String> {
+    fn start(&mut self, simulation: &mut Simulation, ix: usize) -> Result<(), String> {
         let (name, site) = (self.gateways[ix].name.clone(), self.gateways[ix].site);
-        let members = self.members(world, site);
+        let members = self.members(simulation, site);
         let seed = format!(
             "{:016x}",
             self.day.seed.wrapping_mul(31).wrapping_add(ix as u64)
@@ -207,10 +211,10 @@
             .take(2)
             .collect();
         let with = self.linked.then(|| {
-            json!({"sites": {"site": SITES[site], "listen": "127.0.0.1:0", "reached_at": self.fronts[ix],
-                "other": {"site": SITES[1 - site], "gateways": seeds},
-                "keys": {"authority": "keys/authority.pem", "certificate": format!("keys/{}-{name}.pem", SITES[site]),
-                    "key": format!("keys/{}-{name}.key", SITES[site])},
+            json!({"sites": {"site": SITE_NAMES[site], "listen": "127.0.0.1:0", "reached_at": self.fronts[ix],
+                "other": {"site": SITE_NAMES[1 - site], "gateways": seeds},
+                "keys": {"authority": "keys/authority.pem", "certificate": format!("keys/{}-{name}.pem", SITE_NAMES[site]),
+                    "key": format!("keys/{}-{name}.key", SITE_NAMES[site])},
                 "control": format!("{name}.sock"),
                 "groups_spanning": if self.day.spans { vec!["payment"] } else { vec![] }}})
         });
@@ -231,10 +235,11 @@
         let process =
             GatewayProcess::start(&self.program, &self.folder, &name, &told, with.as_ref())
                 .map_err(|error| error.to_string())?;
-        let door = &mut world.doors[ix];
-        (door.address, door.life, door.alive) = (Some(process.listen_address), door.life + 1, true);
+        let door = &mut simulation.gateways[ix];
+        (door.address, door.incarnation, door.is_alive) =
+            (Some(process.listen_address), door.incarnation + 1, true);
         if let Some((relay, links)) = self.gateways[ix].relay.zip(process.site_address) {
-            world.lead(relay, links);
+            simulation.set_relay_target(relay, links);
         }
         self.gateways[ix].process = Some(process);
         Ok(())
@@ -250,34 +255,34 @@
         }
     }
 
-    fn kill(&mut self, world: &mut World, ix: usize) {
+    fn kill(&mut self, simulation: &mut Simulation, ix: usize) {
         self.count(ix);
         if let Some(process) = &mut self.gateways[ix].process {
             process.kill();
         }
-        world.doors[ix].alive = false;
+        simulation.gateways[ix].is_alive = false;
     }
 
     /// Discovery tells a site's gateways of its servers.
-    fn tell(&mut self, world: &World, site: usize) {
+    fn tell(&mut self, simulation: &Simulation, site: usize) {
         self.revision += 1;
-        let line = endpoint_list(self.revision, true, &self.members(world, site)).to_string();
+        let line = endpoint_list(self.revision, true, &self.members(simulation, site)).to_string();
         for gateway in self.gateways.iter().filter(|g| g.site == site) {
             let _ = gateway.say.send(line.clone());
         }
     }
 
-    fn step(&mut self, world: &mut World, step: Step) -> Result<bool, String> {
-        let now = world.now();
-        let mut after = |seconds: f64, step: Step| {
+    fn step(&mut self, simulation: &mut Simulation, step: ScenarioStep) -> Result<bool, String> {
+        let now = simulation.now();
+        let mut after = |seconds: f64, step: ScenarioStep| {
             let at = now + TimeDelta::from_seconds(seconds);
-            let place = world
+            let place = simulation
                 .steps
                 .iter()
                 .position(|s| s.0 > at)
-                .unwrap_or(world.steps.len());
-            world.steps.insert(place, (at, step));
-            world.dues.set(at, Due::Step);
+                .unwrap_or(simulation.steps.len());
+            simulation.steps.insert(place, (at, step));
+            simulation.timers.set(at, TimerEvent::ScenarioStep);
         };
         let of_site = |site: usize, gateways: &[Gateway]| -> Vec<usize> {
             (0..gateways.len())
@@ -285,100 +290,110 @@
                 .collect()
         };
         match step {
-            Step::Kill { site, gateways } => {
-                after(1.0, Step::Tell { site });
-                let servers: Vec<usize> = (0..world.servers.len())
-                    .filter(|s| world.servers[*s].site == site)
+            ScenarioStep::KillSite {
+                site,
+                with_gateways,
+            } => {
+                after(1.0, ScenarioStep::UpdateDiscovery { site });
+                let servers: Vec<usize> = (0..simulation.endpoints.len())
+                    .filter(|s| simulation.endpoints[*s].site == site)
                     .collect();
-                servers.into_iter().for_each(|ix| world.stop_server(ix));
-                if gateways {
+                servers
+                    .into_iter()
+                    .for_each(|ix| simulation.stop_endpoint(ix));
+                if with_gateways {
                     of_site(site, &self.gateways)
                         .into_iter()
-                        .for_each(|ix| self.kill(world, ix));
-                    world
-                        .dues
-                        .set(now + TimeDelta::from_seconds(1.0), Due::Front);
+                        .for_each(|ix| self.kill(simulation, ix));
+                    simulation.timers.set(
+                        now + TimeDelta::from_seconds(1.0),
+                        TimerEvent::GatewaysNoticed,
+                    );
                 }
             }
-            Step::Back { site } => {
-                after(1.0, Step::Tell { site });
-                let servers: Vec<usize> = (0..world.servers.len())
-                    .filter(|s| world.servers[*s].site == site)
+            ScenarioStep::RestoreSite { site } => {
+                after(1.0, ScenarioStep::UpdateDiscovery { site });
+                let servers: Vec<usize> = (0..simulation.endpoints.len())
+                    .filter(|s| simulation.endpoints[*s].site == site)
                     .collect();
                 servers
                     .into_iter()
-                    .try_for_each(|ix| world.open_server(ix, true))?;
+                    .try_for_each(|ix| simulation.start_endpoint(ix, true))
+                    .map_err(|error| error.to_string())?;
                 for ix in of_site(site, &self.gateways) {
-                    if !world.doors[ix].alive {
-                        self.start(world, ix)?;
+                    if !simulation.gateways[ix].is_alive {
+                        self.start(simulation, ix)?;
                     }
                 }
-                world
-                    .dues
-                    .set(now + TimeDelta::from_seconds(0.5), Due::Front);
+                simulation.timers.set(
+                    now + TimeDelta::from_seconds(0.5),
+                    TimerEvent::GatewaysNoticed,
+                );
             }
-            Step::Cut { cut } => world.faults.cut = cut,
-            Step::Drain { site } => {
-                after(1.0, Step::Tell { site });
+            ScenarioStep::SetPathCut { is_cut } => simulation.path_faults.is_cut = is_cut,
+            ScenarioStep::DrainSite { site } => {
+                after(1.0, ScenarioStep::UpdateDiscovery { site });
                 for ix in of_site(site, &self.gateways) {
                     if self.linked {
                         say(&self.control(ix), "drain");
                     }
                 }
                 // Half of its servers are drained as well, of which discovery tells a second later.
-                let half: Vec<usize> = (0..world.servers.len())
-                    .filter(|s| world.servers[*s].site == site)
+                let half: Vec<usize> = (0..simulation.endpoints.len())
+                    .filter(|s| simulation.endpoints[*s].site == site)
                     .step_by(2)
                     .collect();
-                let told = world.now() + TimeDelta::from_seconds(1.05);
+                let told = simulation.now() + TimeDelta::from_seconds(1.05);
                 half.into_iter()
-                    .for_each(|ix| world.servers[ix].draining = Some(told));
+                    .for_each(|ix| simulation.endpoints[ix].draining_since = Some(told));
                 if self.linked {
-                    world.drained[site] = Some(world.now());
+                    simulation.drained_since[site] = Some(simulation.now());
                 }
             }
-            Step::Hand { site, word } => {
+            ScenarioStep::SendCommand { site, command } => {
                 for ix in of_site(site, &self.gateways) {
-                    say(&self.control(ix), word);
+                    say(&self.control(ix), command);
                 }
             }
-            Step::Weigh { gateway, weight } => world.doors[gateway].weight = weight,
-            Step::Churn => {
+            ScenarioStep::SetGatewayWeight { gateway, weight } => {
+                simulation.gateways[gateway].weight = weight
+            }
+            ScenarioStep::RenameEndpoints => {
                 self.churned += 1;
-                self.tell(world, 0);
-                self.tell(world, 1);
+                self.tell(simulation, 0);
+                self.tell(simulation, 1);
             }
-            Step::Release { fails } => {
-                for (ix, server) in world.servers.iter_mut().enumerate() {
+            ScenarioStep::ReleaseBuild { failure_ratio } => {
+                for (ix, server) in simulation.endpoints.iter_mut().enumerate() {
                     if ix % 4 >= 2 {
-                        (server.build, server.fails) = (FIRST_BUILD + 1, fails);
+                        (server.build, server.failure_ratio) = (FIRST_BUILD + 1, failure_ratio);
                     }
                 }
-                self.tell(world, 0);
-                self.tell(world, 1);
+                self.tell(simulation, 0);
+                self.tell(simulation, 1);
             }
-            Step::Collector { up } => {
+            ScenarioStep::SetCollectorRunning { is_running } => {
                 if let Some(collector) = &self.day.export {
-                    collector.set_running(up);
+                    collector.set_running(is_running);
                 }
             }
-            Step::Mark => {
+            ScenarioStep::RecordUsage => {
                 let ticks = self.gateways.iter().map(|g| {
                     g.process
                         .as_ref()
                         .map_or(0.0, |p| p.resource_usage().processor_time_us)
                 });
                 self.marks
-                    .push((world.now(), ticks.collect(), world.txns.len()));
+                    .push((simulation.now(), ticks.collect(), simulation.requests.len()));
             }
-            Step::Tell { site } => self.tell(world, site),
-            Step::Restart { gateway } => {
-                self.kill(world, gateway);
-                self.start(world, gateway)?;
-                world.doors[gateway].open = true;
+            ScenarioStep::UpdateDiscovery { site } => self.tell(simulation, site),
+            ScenarioStep::RestartGateway { gateway } => {
+                self.kill(simulation, gateway);
+                self.start(simulation, gateway)?;
+                simulation.gateways[gateway].accepts_clients = true;
             }
-            Step::StopArrivals => world.arriving = false,
-            Step::End => return Ok(true),
+            ScenarioStep::StopRequests => simulation.sends_requests = false,
+            ScenarioStep::End => return Ok(true),
         }
         Ok(false)
     }
@@ -430,7 +445,7 @@
     run(&["authority".into(), keys.clone()])?;
     let names = gateways
         .iter()
-        .map(|g| format!("{}/{}", SITES[g.site], g.name));
+        .map(|g| format!("{}/{}", SITE_NAMES[g.site], g.name));
     run(&["issue".to_string(), keys]
         .into_iter()
         .chain(names)
@@ -453,14 +468,14 @@
     folder: &Path,
     progress: &mut dyn FnMut(f64),
 ) -> Result<Report, String> {
-    let mut event_loop: EventLoop<World> = EventLoop::try_new().map_err(|e| e.to_string())?;
+    let mut event_loop: EventLoop<Simulation> = EventLoop::try_new().map_err(|e| e.to_string())?;
     let net = IoContext::new(
         event_loop.handle(),
         BufferPool::new(2048),
         DescriptorBudget::new(4096, 0),
     );
-    let mut world = World::new(net, day.seed, day.spans);
-    world.rate = [day.rate * day.skew, day.rate];
+    let mut simulation = Simulation::new(net, day.seed, day.spans);
+    simulation.requests_per_second = [day.rate * day.skew, day.rate];
     let mut stage = Stage {
         folder: folder.into(),
         program: gateway_program().map_err(|error| error.to_string())?,
@@ -473,19 +488,21 @@
         marks: Vec::new(),
     };
     for ix in 0..2 * day.servers {
-        world.add_server(ix % 2)?;
+        simulation
+            .add_endpoint(ix % 2)
+            .map_err(|error| error.to_string())?;
     }
     for ix in 0..2 * day.gateways {
         let (discovery, say) = discovery_server(&Trace::default());
         let name = format!("{}{}", ["h", "l"][ix % 2], ix / 2);
-        let (relay, front) = (world_relay(&mut world, ix)?, ix % 2);
+        let (relay, front) = (world_relay(&mut simulation, ix)?, ix % 2);
         stage.fronts.push(relay.1);
-        world.doors.push(Door {
+        simulation.gateways.push(GatewayTarget {
             site: front,
             address: None,
-            life: 0,
-            alive: false,
-            open: false,
+            incarnation: 0,
+            is_alive: false,
+            accepts_clients: false,
             weight: 1.0,
         });
         let (process, spent) = (None, BTreeMap::new());
@@ -503,38 +520,53 @@
         make_keys(&stage.program, folder, &stage.gateways)?;
     }
     for ix in 0..stage.gateways.len() {
-        stage.start(&mut world, ix)?;
-        world.doors[ix].open = true;
+        stage.start(&mut simulation, ix)?;
+        simulation.gateways[ix].accepts_clients = true;
     }
     // The links come up before clients do.
-    let from = world.now() + TimeDelta::from_seconds(1.5);
+    let from = simulation.now() + TimeDelta::from_seconds(1.5);
     let at = |second: f64| from + TimeDelta::from_seconds(second);
     let mut steps = vec![
-        (at(day.seconds), Step::StopArrivals),
-        (at(day.seconds + 2.5), Step::End),
+        (at(day.seconds), ScenarioStep::StopRequests),
+        (at(day.seconds + 2.5), ScenarioStep::End),
     ];
     if let Some(kill) = day.kill {
         steps.push((
             at(kill.second),
-            Step::Kill {
+            ScenarioStep::KillSite {
                 site: kill.site,
-                gateways: !day.servers_only,
+                with_gateways: !day.servers_only,
             },
         ));
         if let Some(after) = day.back_after {
-            steps.push((at(kill.second + after), Step::Back { site: kill.site }));
+            steps.push((
+                at(kill.second + after),
+                ScenarioStep::RestoreSite { site: kill.site },
+            ));
         }
     }
     if let Some(cut) = day.cut {
-        steps.push((at(cut.start_second), Step::Cut { cut: true }));
-        steps.push((at(cut.end_second()), Step::Cut { cut: false }));
+        steps.push((
+            at(cut.start_second),
+            ScenarioStep::SetPathCut { is_cut: true },
+        ));
+        steps.push((
+            at(cut.end_second()),
+            ScenarioStep::SetPathCut { is_cut: false },
+        ));
     }
     if let Some(drain) = day.drain {
-        steps.push((at(drain.second), Step::Drain { site: drain.site }));
+        steps.push((
+            at(drain.second),
+            ScenarioStep::DrainSite { site: drain.site },
+        ));
     }
     if let Some(second) = day.rolling {
         for gateway in 0..stage.gateways.len() {
-            steps.push((at(second + 1.5 * gateway as f64), Step::Restart { gateway }));
+            steps.push((
+                at(second + 1.5 * gateway as f64),
+                ScenarioStep::RestartGateway { gateway },
+            ));
         }
     }
     steps.extend(
@@ -543,29 +575,34 @@
             .map(|(second, step)| (at(*second), step.clone())),
     );
     steps.sort_by_key(|s| s.0);
-    steps.iter().for_each(|s| world.dues.set(s.0, Due::Step));
-    world.steps = steps.into();
-    (world.faults.loss, world.faults.one_way) = (day.loss, day.one_way);
-    world.arriving = true;
+    steps
+        .iter()
+        .for_each(|s| simulation.timers.set(s.0, TimerEvent::ScenarioStep));
+    simulation.steps = steps.into();
+    (
+        simulation.path_faults.loss_ratio,
+        simulation.path_faults.is_one_way,
+    ) = (day.loss, day.one_way);
+    simulation.sends_requests = true;
     for site in 0..2 {
-        world.dues.set(from, Due::Arrival(site));
+        simulation.timers.set(from, TimerEvent::Arrival(site));
     }
     let mut over = false;
     let mut memory: f64 = 0.0;
     while !over {
-        let wait = world
-            .dues
+        let wait = simulation
+            .timers
             .next_deadline()
-            .map(|at| world.net.clock.duration_until(at));
+            .map(|at| simulation.io.clock.duration_until(at));
         event_loop
-            .dispatch(wait, &mut world)
+            .dispatch(wait, &mut simulation)
             .map_err(|e| e.to_string())?;
-        for step in world.fall_due() {
-            over |= stage.step(&mut world, step)?;
+        for step in simulation.run_due_events() {
+            over |= stage.step(&mut simulation, step)?;
         }
-        progress((world.now() - from).as_seconds() / (day.seconds + 2.5));
+        progress((simulation.now() - from).as_seconds() / (day.seconds + 2.5));
     }
-    let mut report = judge(day, &world, from);
+    let mut report = judge(day, &simulation, from);
     for ix in 0..stage.gateways.len() {
         stage.count(ix);
         let gateway = &mut stage.gateways[ix];
@@ -575,7 +612,7 @@
             report.cpu_a_txn += usage.processor_time_us;
             process.read_log();
             report.broken_lines += process.violations.len() as u64;
-            report.crashes += u64::from(world.doors[ix].alive && !process.is_running());
+            report.crashes += u64::from(simulation.gateways[ix].is_alive && !process.is_running());
             process
                 .violations
                 .iter()
@@ -592,7 +629,7 @@
         let ticks: f64 = (0..stage.gateways.len()).map(|g| of(w, g)).sum();
         report.marked.push(ticks / (w[1].2 - w[0].2).max(1) as f64);
         let of_gateway = |g: usize| {
-            let txns = world.txns[w[0].2..w[1].2]
+            let txns = simulation.requests[w[0].2..w[1].2]
                 .iter()
                 .filter(|t| t.gateway.is_some_and(|(at, _)| at == g));
             (of(w, g), txns.count())
@@ -602,14 +639,15 @@
             .push((0..stage.gateways.len()).map(of_gateway).collect());
     }
     for (g, gateway) in stage.gateways.iter().enumerate() {
-        let of_it = world
-            .txns
+        let of_it = simulation
+            .requests
             .iter()
             .filter(|t| t.gateway.is_some_and(|(at, _)| at == g));
         let (mut all, mut late, mut took) = (0_u64, 0_u64, Vec::new());
-        for (answer, at, asked) in of_it.filter_map(|t| t.answer.map(|(a, at)| (a, at, t.asked))) {
+        for (answer, at, asked) in of_it.filter_map(|t| t.answer.map(|(a, at)| (a, at, t.sent_at)))
+        {
             all += 1;
-            late += u64::from(answer != Answer::Settled || at - asked > SLA);
+            late += u64::from(answer != Answer::Succeeded || at - asked > LATENCY_OBJECTIVE);
             took.push((at - asked).as_seconds() * 1000.0);
         }
         took.sort_by(f64::total_cmp);
@@ -639,12 +677,17 @@
     Ok(report)
 }
 
-fn world_relay(world: &mut World, ix: usize) -> Result<(usize, SocketAddr), String> {
-    Ok((ix, world.add_relay(ix % 2)?))
+fn world_relay(simulation: &mut Simulation, ix: usize) -> Result<(usize, SocketAddr), String> {
+    Ok((
+        ix,
+        simulation
+            .add_relay(ix % 2)
+            .map_err(|error| error.to_string())?,
+    ))
 }
 
 /// What crossed the sockets, against the rules.
-fn judge(day: &Day, world: &World, from: Timestamp) -> Report {
+fn judge(day: &Day, simulation: &Simulation, from: Timestamp) -> Report {
     let mut report = Report::default();
     let new = || {
         Histogram::<u64>::new(3)
@@ -659,29 +702,29 @@
     let start = from + TimeDelta::from_seconds(trouble.fold(0.0, f64::max) + 2.0);
     let within = |at: Timestamp| at >= start && at < start + TimeDelta::from_seconds(10.0);
     let (mut asked, mut earned) = (0.0, 0.0);
-    for txn in &world.txns {
-        if within(txn.asked) {
+    for txn in &simulation.requests {
+        if within(txn.sent_at) {
             asked += txn.class.priority_weight();
-            let in_time = txn
-                .answer
-                .is_some_and(|(a, at)| a == Answer::Settled && at - txn.asked <= SLA);
+            let in_time = txn.answer.is_some_and(|(a, at)| {
+                a == Answer::Succeeded && at - txn.sent_at <= LATENCY_OBJECTIVE
+            });
             earned += f64::from(in_time) * txn.class.priority_weight();
         }
         // Taken is what was written whole to a gateway that lived on.
-        let lived = txn
-            .gateway
-            .is_some_and(|(g, life)| world.doors[g].alive && world.doors[g].life == life);
+        let lived = txn.gateway.is_some_and(|(g, life)| {
+            simulation.gateways[g].is_alive && simulation.gateways[g].incarnation == life
+        });
         if lived {
             report.taken += 1;
-            report.answered_once += u64::from(txn.answer.is_some() && !txn.twice);
+            report.answered_once += u64::from(txn.answer.is_some() && !txn.is_answered_twice);
             report.unanswered += u64::from(txn.answer.is_none());
         }
-        report.answered_twice += u64::from(txn.twice);
+        report.answered_twice += u64::from(txn.is_answered_twice);
         if txn.class == RequestClass::Lodge {
             report.once_only_run_twice += u64::from(txn.runs.len() > 1);
         }
-        if let (Some((Answer::Settled, at)), [(site, _)]) = (txn.answer, &txn.runs[..]) {
-            let took = (at - txn.asked).0.max(1) as u64;
+        if let (Some((Answer::Succeeded, at)), [(site, _)]) = (txn.answer, &txn.runs[..]) {
+            let took = (at - txn.sent_at).0.max(1) as u64;
             let _ = if *site == txn.site {
                 home.record(took)
             } else {
@@ -695,14 +738,14 @@
         .map(|k| k.site)
         .filter(|_| day.back_after.is_none_or(|b| b >= 12.0));
     let sites = 2.0 - f64::from(u8::from(dead.is_some()));
-    let capacity = sites * day.servers as f64 * CORES as f64 / WORK.as_seconds();
-    report.revenue_ceiling = ceiling(capacity, world.rate);
+    let capacity = sites * day.servers as f64 * CORES_PER_ENDPOINT as f64 / MEAN_WORK.as_seconds();
+    report.revenue_ceiling = ceiling(capacity, simulation.requests_per_second);
     (report.crossing_ms, report.home_ms) = (times(&crossing), times(&home));
-    let found = &world.found;
-    report.repeats_outside_memory = found.repeats_outside_memory;
-    report.after_drain = found.after_drain;
-    report.cold_pushed_over = found.cold_pushed_over;
-    report.rig_late_ms = found.rig_late.as_seconds() * 1000.0;
+    let found = &simulation.observations;
+    report.repeats_outside_memory = found.repeats_outside_window;
+    report.after_drain = found.requests_after_drain;
+    report.cold_pushed_over = found.overloaded_warming_endpoints;
+    report.rig_late_ms = found.largest_loop_delay.as_seconds() * 1000.0;
     (report.datagrams, report.datagrams_dropped) = (found.datagrams, found.datagrams_dropped);
     report
 }
@@ -750,29 +793,32 @@
     rate: f64,
     mut progress: impl FnMut(f64),
 ) -> Result<Cost, String> {
-    let home = RAMP.as_seconds() + 1.0;
+    let home = SLOW_START_DURATION.as_seconds() + 1.0;
     let (spell, period) = (5.0, 2.0 * 5.0 + home + 1.0);
     let mut more = Vec::new();
     for n in 0..periods {
         let from = 1.0 + n as f64 * period;
         // Home, then across: marks at both ends of each.
-        more.extend([(from, Step::Mark), (from + spell, Step::Mark)]);
+        more.extend([
+            (from, ScenarioStep::RecordUsage),
+            (from + spell, ScenarioStep::RecordUsage),
+        ]);
         more.push((
             from + spell,
-            Step::Hand {
+            ScenarioStep::SendCommand {
                 site: 0,
-                word: "drain",
+                command: "drain",
             },
         ));
         more.extend([
-            (from + spell + 1.0, Step::Mark),
-            (from + 2.0 * spell + 1.0, Step::Mark),
+            (from + spell + 1.0, ScenarioStep::RecordUsage),
+            (from + 2.0 * spell + 1.0, ScenarioStep::RecordUsage),
         ]);
         more.push((
             from + 2.0 * spell + 1.0,
-            Step::Hand {
+            ScenarioStep::SendCommand {
                 site: 0,
-                word: "resume",
+                command: "resume",
             },
         ));
     }
