--- a/crates/gateway/src/rollout/commands.rs
+++ b/crates/gateway/src/rollout/commands.rs
@@ -134,7 +134,7 @@
         let incarnation = (now.0 / 1000) as u64;
         let settings = controller.settings;
         let parameters = RolloutControllerParameters {
-            own: controller.local_peer,
+            local_peer: controller.local_peer,
             gateway_count: controller.gateway_count,
             promote_votes_ratio: settings.promote_ratio,
             roll_back_votes_ratio: settings.roll_back_ratio,
--- a/crates/rollout-controller/src/controller.rs
+++ b/crates/rollout-controller/src/controller.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RolloutControllerParameters {
     /// This gateway.
-    pub own: PeerId,
+    pub local_peer: PeerId,
     /// The gateways of the fleet.
     pub gateway_count: usize,
     /// More than this share of all gateways promotes a stage.
--- a/crates/rollout-controller/src/vote_table.rs
+++ b/crates/rollout-controller/src/vote_table.rs
@@ -24,7 +24,7 @@
 
 /// The latest vote of each gateway.
 pub(crate) struct VoteTable {
-    own_peer: PeerId,
+    local_peer: PeerId,
     gateway_count: usize,
     incarnation: u64,
     vote_ttl: TimeDelta,
@@ -38,7 +38,7 @@
 impl VoteTable {
     pub(crate) fn new(parameters: &RolloutControllerParameters) -> VoteTable {
         VoteTable {
-            own_peer: parameters.own,
+            local_peer: parameters.local_peer,
             gateway_count: parameters.gateway_count,
             incarnation: parameters.incarnation,
             vote_ttl: parameters.vote_ttl,
@@ -69,7 +69,7 @@
     /// Records another gateway's vote. Messages that are duplicated, late, out of order or from before a restart change nothing. A gateway
     /// whose clock was set back by more than it was down is not counted until it is past its earlier start.
     pub(crate) fn receive(&mut self, now: Timestamp, from: PeerId, message: VoteMessage) {
-        if from >= PeerId(self.gateway_count) || from == self.own_peer {
+        if from >= PeerId(self.gateway_count) || from == self.local_peer {
             return;
         }
         let is_newer = self.received.get(&from).is_none_or(|last| {
