--- a/crates/policy/src/concurrency_limit.rs
+++ b/crates/policy/src/concurrency_limit.rs
@@ -1,30 +1,33 @@
-//! How many attempts one endpoint may hold of this gateway's. Owns the attempts in flight, those abandoned, and the limit.
+//! Limits this gateway's concurrent attempts at one endpoint. Owns the limit and the counts of attempts in flight and abandoned.
 
 use harrierdock_types::{AttemptOutcome, TimeDelta, Timestamp};
 
 use crate::context::LEARNING_RATE;
 
-/// The limit of an endpoint that has not answered yet, in attempts.
+/// The limit of an endpoint without responses yet, in attempts.
 const INITIAL_LIMIT: f64 = 3.0;
-/// The least limit, in attempts.
+/// The smallest limit, in attempts.
 const MIN_LIMIT: f64 = 1.0;
-/// A mean answer time above this ratio to the latency objective means that the endpoint has a queue.
+/// A mean latency above this ratio to the latency objective indicates a queue at the endpoint.
 const QUEUEING_LATENCY_RATIO: f64 = 0.25;
-/// What is kept of a limit when the endpoint rejects, times out or resets.
+/// The limit is multiplied by this when the endpoint rejects, times out or resets.
 const DECREASE_RATIO: f64 = 0.8;
-/// How close to the limit the attempts in flight must be for it to grow.
+/// The limit grows only while the attempts in flight are within this distance of it.
 const GROWTH_MARGIN_ATTEMPTS: usize = 2;
 
 /// The concurrency limit of one endpoint.
 ///
-/// It shrinks as answers take longer, and grows while they are quick and the limit is nearly reached. It answers overload, slow
-/// builds, noisy neighbours and frozen endpoints alike. An endpoint that is slow by nature, near the latency objective, gets less
-/// than it could carry.
+/// The limit shrinks as latency rises, and grows while latency is low and the limit is nearly reached. This handles overload, slow
+/// builds, noisy neighbours and frozen endpoints in the same way. An endpoint whose unloaded latency is near the latency objective
+/// gets fewer attempts than it could handle.
 #[derive(Debug)]
 pub struct ConcurrencyLimit {
     in_flight: usize,
+    /// The start times of abandoned attempts.
     abandoned: Vec<Timestamp>,
+    /// In attempts.
     limit: f64,
+    /// The running mean latency, as a ratio to the latency objective.
     latency_ratio: f64,
 }
 
@@ -40,7 +43,7 @@
 }
 
 impl ConcurrencyLimit {
-    /// The limit of an endpoint that has just started anew, and holds attempts from before.
+    /// The initial limit of a restarted endpoint with `in_flight` attempts from before the restart.
     pub fn with_in_flight(in_flight: usize) -> ConcurrencyLimit {
         ConcurrencyLimit {
             in_flight,
@@ -48,7 +51,7 @@
         }
     }
 
-    /// Attempts that have started and not ended.
+    /// The number of attempts that have started and not finished.
     pub fn in_flight(&self) -> usize {
         self.in_flight
     }
@@ -58,12 +61,12 @@
         ((self.in_flight + self.abandoned.len()) as f64) < self.limit
     }
 
-    /// Notes that an attempt has started.
+    /// Records that an attempt has started.
     pub fn attempt_started(&mut self) {
         self.in_flight += 1;
     }
 
-    /// Notes that an attempt has ended. `started` is when it started, `latency_ratio` its duration over the latency objective.
+    /// Records the end of an attempt that began at `started`. `latency_ratio` is its duration as a ratio to the latency objective.
     pub fn attempt_finished(
         &mut self,
         outcome: AttemptOutcome,
@@ -72,7 +75,7 @@
     ) {
         self.in_flight = self.in_flight.saturating_sub(1);
         match outcome {
-            // The endpoint may go on working. Its next answer to an attempt that started later shows that it has ended.
+            // The endpoint may still work on the attempt. A success of an attempt that started later shows that it no longer does.
             AttemptOutcome::TimedOut | AttemptOutcome::Cancelled => self.abandoned.push(started),
             AttemptOutcome::Succeeded => self.abandoned.retain(|abandoned| *abandoned > started),
             _ => {}
--- a/crates/policy/src/context.rs
+++ b/crates/policy/src/context.rs
@@ -1,4 +1,4 @@
-//! What every part reads: the parameters, and the time of the event that is being handled.
+//! State that every module reads: the parameters, and the time of the event that is being handled.
 
 use harrierdock_types::{ClassId, ClassParameters, Parameters, PeerId, TimeDelta, Timestamp};
 
@@ -6,33 +6,33 @@
 pub const LEARNING_RATE: f64 = 0.1;
 /// Weight of a new observation in running means that change slowly.
 pub const SLOW_LEARNING_RATE: f64 = LEARNING_RATE * LEARNING_RATE;
-/// How much worse than the best an arm may be and still be good enough (the paper's approximation factor).
+/// How much worse than the best arm another arm may be without being eliminated (the paper's approximation factor).
 pub const APPROXIMATION_RATIO: f64 = 0.15;
-/// The largest number of gossip groups that a fleet of gateways forms.
+/// The largest number of gossip groups in a fleet of gateways.
 pub const MAX_GOSSIP_GROUPS: usize = 8;
-/// How long a rollout waits for elimination votes before it is promoted. Also the longest hold.
+/// How long a rollout waits for elimination votes before it is promoted, and the maximum duration of a hold.
 pub const FALLBACK_WAIT: TimeDelta = TimeDelta(3_000_000);
 
-/// The latency objective where no class is configured.
+/// The shortest latency objective if no class is configured.
 const DEFAULT_LATENCY_OBJECTIVE: TimeDelta = TimeDelta(1_000_000);
-/// Length of the first ejection, as a ratio to the shortest latency objective.
+/// Duration of the first ejection, as a ratio to the shortest latency objective.
 const FIRST_EJECTION_RATIO: f64 = 2.0;
 
 /// The parameters and the clock of one policy.
 #[derive(Debug, Default)]
 pub struct Context {
-    /// What is configured.
+    /// The configured parameters.
     pub parameters: Parameters,
-    /// When the event that is being handled happened.
+    /// The time of the event that is being handled.
     pub now: Timestamp,
 }
 
 impl Context {
-    /// What is configured for a class.
+    /// The parameters of a class.
     ///
     /// # Panics
     ///
-    /// If the class is not configured.
+    /// Panics if the class is not configured.
     pub fn class(&self, class: ClassId) -> &ClassParameters {
         &self.parameters.classes[class.0]
     }
@@ -47,7 +47,7 @@
             .unwrap_or(DEFAULT_LATENCY_OBJECTIVE)
     }
 
-    /// The longest time that a client of any class waits.
+    /// The longest client timeout of all classes; zero if no class is configured.
     pub fn longest_timeout(&self) -> TimeDelta {
         self.parameters
             .classes
@@ -57,13 +57,13 @@
             .unwrap_or(TimeDelta::ZERO)
     }
 
-    /// How long an endpoint or zone is ejected for the first time.
+    /// The duration of the first ejection of an endpoint or zone.
     pub fn first_ejection(&self) -> TimeDelta {
         self.shortest_latency_objective() * FIRST_EJECTION_RATIO
     }
 
-    /// How far back a group's traffic is counted: the exposure window, or the shortest latency objective where that is
-    /// longer, as a shorter window would hold one report or none.
+    /// The window over which a gossip group's traffic is counted: the exposure window, but at least the shortest latency
+    /// objective. A shorter window would contain at most one report.
     pub fn traffic_window(&self) -> TimeDelta {
         self.parameters
             .rollout
@@ -71,7 +71,7 @@
             .max(self.shortest_latency_objective())
     }
 
-    /// The gossip group of a gateway, which is also the number of the group's aggregator (departure H in docs/design.md).
+    /// The gossip group of a gateway, identified by the group's aggregator (departure H in docs/design.md).
     pub fn gossip_group_of(&self, peer: PeerId) -> PeerId {
         let gateways = self.parameters.gateway_count;
         let groups = if self.parameters.limits.gossip_enabled {
@@ -92,7 +92,7 @@
         self.aggregator() == self.parameters.local_peer
     }
 
-    /// How many groups cast elimination votes that this gateway can hear, itself included.
+    /// The number of groups whose elimination votes this gateway receives, its own group included.
     pub fn voting_group_count(&self) -> usize {
         if self.parameters.limits.gossip_enabled {
             MAX_GOSSIP_GROUPS.min(self.parameters.gateway_count)
--- a/crates/policy/src/control_plane.rs
+++ b/crates/policy/src/control_plane.rs
@@ -18,7 +18,7 @@
         if kind == UpdateKind::Failed {
             return;
         }
-        self.endpoints.begin_list(now, kind);
+        self.endpoints.prepare_for_list(now, kind);
         for record in records {
             if !self.endpoints.refresh(now, &record) {
                 let latency_estimate = self.latency.initial_estimate(record.model);
@@ -27,7 +27,8 @@
                     .insert(now, record, latency_estimate, tie_breaker);
             }
         }
-        self.endpoints.survey(&self.context, &self.rollout);
+        self.endpoints
+            .recompute_derived_state(&self.context, &self.rollout);
     }
 
     pub(crate) fn update_rollout(&mut self, update: RolloutUpdate) {
@@ -47,7 +48,8 @@
             self.elimination_votes = EliminationVotes::default();
             self.voter.change_stage();
         }
-        self.endpoints.survey(&self.context, &self.rollout);
+        self.endpoints
+            .recompute_derived_state(&self.context, &self.rollout);
         self.decide_vote();
     }
 
--- a/crates/policy/src/discovery_watch.rs
+++ b/crates/policy/src/discovery_watch.rs
@@ -1,40 +1,41 @@
-//! When discovery is asked for endpoint lists, where lists are polled. Owns the state of that watch.
+//! Requests endpoint lists from discovery in poll mode. Owns the state of the watch.
 
 use harrierdock_types::{Action, DiscoveryMode, TimeDelta, Timestamp, UpdateKind};
 
-/// A watch that was not answered is asked for again after the longest poll interval over this.
+/// An unanswered watch is requested again after the longest poll interval divided by this.
 const UNANSWERED_DIVISOR: f64 = 2.0;
-/// A watch that failed is asked for again after the longest poll interval over this.
+/// A failed watch is requested again after the longest poll interval divided by this.
 const FAILED_DIVISOR: f64 = 8.0;
 
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 enum WatchState {
     #[default]
-    NeverAsked,
-    AskedAt(Timestamp),
+    NotRequested,
+    RequestedAt(Timestamp),
     Established,
     FailedAt(Timestamp),
 }
 
-/// The watch for endpoint lists.
+/// The state of the watch for endpoint lists; unused in push mode.
 #[derive(Debug, Default)]
 pub struct DiscoveryWatch {
     state: WatchState,
 }
 
 impl DiscoveryWatch {
-    /// Notes that discovery has sent a list, or that the call has failed.
+    /// Records that discovery has sent a list, or that the call has failed.
     pub fn list_received(&mut self, now: Timestamp, kind: UpdateKind) {
         match (kind, self.state) {
             (UpdateKind::Failed, _) => self.state = WatchState::FailedAt(now),
-            (UpdateKind::Delta | UpdateKind::Snapshot, WatchState::AskedAt(_)) => {
+            (UpdateKind::Delta | UpdateKind::Snapshot, WatchState::RequestedAt(_)) => {
                 self.state = WatchState::Established;
             }
             _ => {}
         }
     }
 
-    /// Asks for lists if that is due: a watch that stands goes on by itself.
+    /// Requests a watch if there is none, or if the last request is unanswered or has failed for long enough. An established watch
+    /// needs no further request.
     pub fn emit(
         &mut self,
         now: Timestamp,
@@ -45,14 +46,14 @@
         if mode == DiscoveryMode::Push {
             return;
         }
-        let is_due = match self.state {
-            WatchState::NeverAsked => true,
+        let needs_request = match self.state {
+            WatchState::NotRequested => true,
             WatchState::Established => false,
-            WatchState::AskedAt(at) => now - at >= max_poll_interval / UNANSWERED_DIVISOR,
+            WatchState::RequestedAt(at) => now - at >= max_poll_interval / UNANSWERED_DIVISOR,
             WatchState::FailedAt(at) => now - at >= max_poll_interval / FAILED_DIVISOR,
         };
-        if is_due {
-            self.state = WatchState::AskedAt(now);
+        if needs_request {
+            self.state = WatchState::RequestedAt(now);
             actions.push(Action::WatchEndpoints);
         }
     }
--- a/crates/policy/src/emission.rs
+++ b/crates/policy/src/emission.rs
@@ -1,11 +1,11 @@
-//! The actions of a policy: the difference between what its parts want and what was asked for already.
+//! The actions of a policy: the difference between the desired state of its modules and the actions emitted before.
 
 use harrierdock_types::Action;
 
 use crate::Policy;
 
 impl Policy {
-    /// The difference between what is wanted and what was asked for already.
+    /// Collects the pending actions of all modules, in a fixed order.
     pub(crate) fn emit(&mut self) -> Vec<Action> {
         let mut actions = Vec::new();
         let retry_after = self.context.parameters.limits.retry_after;
@@ -29,7 +29,7 @@
         actions
     }
 
-    /// Reports outcomes and traffic to the group's aggregator, or adds the traffic to the group's at the aggregator itself.
+    /// Reports outcomes and traffic to the group's aggregator. The aggregator itself adds its traffic to the group's.
     fn emit_reports(&mut self, actions: &mut Vec<Action>) {
         if !self.gossip.take_due_report(&self.context) {
             return;
--- a/crates/policy/src/endpoint_selection.rs
+++ b/crates/policy/src/endpoint_selection.rs
@@ -1,5 +1,5 @@
-//! Which endpoint the next attempt of a request goes to: the arm by its share of capacity, then the less loaded of two random
-//! choices by weight. Owns nothing.
+//! Selects the endpoint for a request's next attempt. The preferred arm is drawn by its share of capacity, then the endpoint is
+//! the less loaded of two weighted random choices. Stateless.
 
 use std::collections::BTreeMap;
 
@@ -14,53 +14,54 @@
 use crate::retries::may_retry_at;
 use crate::slow_start::{SlowStartAdmission, WarmingCandidate};
 
-/// The first tiers, of endpoints that are healthy and not tried yet: those of the preferred arm, and those of the other one.
+/// The number of tiers for healthy endpoints that the request has not tried: one for the preferred arm, one for the other arm.
 const HEALTHY_TIERS: usize = 2;
 
-/// An endpoint that a selection looks at.
+/// An endpoint in the sample of a selection.
 #[derive(Clone, Copy)]
 struct Candidate {
     id: EndpointId,
-    /// How many endpoints of its arm it stands for.
-    stands_for: f64,
+    /// The number of endpoints of the arm that this one represents in the sample.
+    represented_endpoints: f64,
 }
 
-/// What a selection looks at.
+/// The endpoints that a selection considers.
 #[derive(Default)]
 struct Sample {
     candidates: Vec<Candidate>,
-    /// The warm endpoints of each arm. A warming one counts for what it carries; the warm ones of its build would else carry its
-    /// part too.
+    /// The capacity of each arm, in warm endpoints. A warming endpoint counts by its capacity ratio; otherwise the warm endpoints
+    /// of its build would get its share of the requests too.
     capacity: PerArm<f64>,
 }
 
-/// Endpoints that rank alike.
+/// Candidates of equal rank.
 struct Tier {
-    /// The weights of all that compete with a warming one.
+    /// The total weight of the endpoints that compete with a warming endpoint of this tier.
     competing_weight: f64,
     endpoints: Vec<EndpointId>,
 }
 
-/// Whether one more attempt at a build stays within its exposure limit.
+/// The cached exposure check of a build, for one selection.
 struct BuildExposure {
     build: BuildId,
+    /// Whether one more attempt at the build stays within its exposure limit.
     is_allowed: bool,
 }
 
-/// What one selection reads.
+/// The inputs of one selection.
 pub(crate) struct EndpointSelector<'a> {
     pub(crate) fleet: FleetView<'a>,
     pub(crate) exposure: &'a ExposureLimiter,
     pub(crate) slow_start: &'a SlowStartAdmission,
     pub(crate) request: &'a Request,
-    /// The oldest build that may answer the request.
+    /// The oldest build that may serve the request; build 0 if every build may.
     pub(crate) sticky_build: BuildId,
     pub(crate) rng: &'a mut WyRand,
 }
 
 impl EndpointSelector<'_> {
-    /// Selects an endpoint for the request. `free_canary_ratio` turns the canary's share of capacity into its share of the
-    /// requests that may choose. `None` if no endpoint may take it now.
+    /// Selects an endpoint for the request, or `None` if no endpoint may receive it now. `free_canary_ratio` maps the canary's
+    /// share of capacity to its share of the requests without a sticky canary.
     pub(crate) fn select(&mut self, free_canary_ratio: impl Fn(f64) -> f64) -> Option<EndpointId> {
         let sample = self.sample();
         let capacity = &sample.capacity;
@@ -84,7 +85,7 @@
             .subset_size(self.fleet.context, arm, received)
     }
 
-    /// The endpoints that this gateway sends to, or a few of them drawn at random.
+    /// This gateway's subset of each arm, or a random sample of the subset if it is large.
     fn sample(&mut self) -> Sample {
         let fleet = self.fleet;
         let mut sample = Sample::default();
@@ -93,23 +94,26 @@
             let subset_size = self.subset_size(arm);
             let sample_size = subset_size.min(SAMPLE_SIZE);
             for index in 0..sample_size {
-                let at = if subset_size > SAMPLE_SIZE {
+                let position = if subset_size > SAMPLE_SIZE {
                     self.rng.generate_range(0..subset_size)
                 } else {
                     index
                 };
-                let id = ids[at];
-                let stands_for = ids.len() as f64 / sample_size as f64;
+                let id = ids[position];
+                let represented_endpoints = ids.len() as f64 / sample_size as f64;
                 let endpoint = &fleet.endpoints[id];
                 *sample.capacity.get_mut(arm) +=
-                    stands_for * endpoint.capacity_ratio(fleet.context);
-                sample.candidates.push(Candidate { id, stands_for });
+                    represented_endpoints * endpoint.capacity_ratio(fleet.context);
+                sample.candidates.push(Candidate {
+                    id,
+                    represented_endpoints,
+                });
             }
         }
         sample
     }
 
-    /// The candidates that may take the request, by rank.
+    /// The candidates that may receive the request, grouped by rank, best rank first.
     fn tiers(&self, candidates: &[Candidate], prefers_canary: bool) -> Vec<Tier> {
         let mut exposures: Vec<BuildExposure> = Vec::new();
         let mut by_rank: BTreeMap<usize, Vec<Candidate>> = BTreeMap::new();
@@ -117,8 +121,8 @@
             let endpoint = &self.fleet.endpoints[candidate.id];
             let build = endpoint.record.build;
             let is_canary = self.fleet.is_canary(build);
-            let is_over_limit = is_canary && !self.has_exposure(build, &mut exposures);
-            if is_over_limit || !self.may_take(endpoint, is_canary) {
+            let is_over_limit = is_canary && !self.is_within_exposure_limit(build, &mut exposures);
+            if is_over_limit || !self.may_receive(endpoint, is_canary) {
                 continue;
             }
             let rank = self.rank(candidate.id, endpoint, is_canary == prefers_canary);
@@ -126,12 +130,12 @@
         }
         by_rank
             .iter()
-            .map(|(rank, tier)| self.tier(*rank, tier, &by_rank))
+            .map(|(rank, tier)| self.build_tier(*rank, tier, &by_rank))
             .collect()
     }
 
-    /// Whether one more attempt at a build stays within its exposure limit. Asked once for each build.
-    fn has_exposure(&self, build: BuildId, exposures: &mut Vec<BuildExposure>) -> bool {
+    /// Whether one more attempt at a build stays within its exposure limit. Each build is checked once per selection.
+    fn is_within_exposure_limit(&self, build: BuildId, exposures: &mut Vec<BuildExposure>) -> bool {
         if let Some(found) = exposures.iter().find(|exposure| exposure.build == build) {
             return found.is_allowed;
         }
@@ -148,8 +152,8 @@
         is_allowed
     }
 
-    /// Whether an endpoint may take the request, exposure and slow start aside.
-    fn may_take(&self, endpoint: &Endpoint, is_canary: bool) -> bool {
+    /// Whether an endpoint may receive the request, apart from the exposure limit and slow start.
+    fn may_receive(&self, endpoint: &Endpoint, is_canary: bool) -> bool {
         let context = self.fleet.context;
         let build = endpoint.record.build;
         let retry_safety = context.class(self.request.class).retry_safety;
@@ -160,11 +164,12 @@
             && build >= self.sticky_build
             && !is_guarded
             && endpoint.load.has_capacity()
-            && !endpoint.health.is_resting(context.now)
+            && !endpoint.health.is_backing_off(context.now)
             && may_retry_at(context, self.fleet.endpoints, endpoint, self.request)
     }
 
-    /// The lower, the sooner an endpoint is chosen: healthy ones not tried yet first, those of the preferred arm before the others.
+    /// The rank of an endpoint; lower ranks are chosen first. Healthy endpoints that the request has not tried rank first, and
+    /// among these the preferred arm.
     fn rank(&self, id: EndpointId, endpoint: &Endpoint, is_preferred: bool) -> usize {
         let is_healthy = self.fleet.is_healthy(endpoint);
         let was_tried = self
@@ -178,9 +183,9 @@
         HEALTHY_TIERS + 2 * usize::from(was_tried || !is_preferred) - usize::from(is_healthy)
     }
 
-    /// The endpoints of a rank that slow start admits. Healthy endpoints of both arms share the first attempts, so all of them
-    /// compete with a warming one.
-    fn tier(
+    /// Builds the tier of a rank from the candidates that slow start admits. Healthy endpoints of both arms share the first
+    /// attempts, so all of them compete with a warming endpoint.
+    fn build_tier(
         &self,
         rank: usize,
         candidates: &[Candidate],
@@ -193,7 +198,7 @@
         let competing_weight = candidates
             .iter()
             .chain(competitors)
-            .map(|candidate| candidate.stands_for * self.weight(candidate.id))
+            .map(|candidate| candidate.represented_endpoints * self.weight(candidate.id))
             .sum::<f64>();
         let endpoints = candidates
             .iter()
@@ -212,7 +217,7 @@
         if self.slow_start_admits(selected, tier.competing_weight, draw) {
             return Some(selected);
         }
-        // A selection has one chance at a warming endpoint.
+        // Slow start admission is drawn at most once per selection: after a refusal, only warm endpoints remain.
         tier.endpoints
             .retain(|id| !self.is_warming(&self.fleet.endpoints[*id]));
         self.pick(&tier.endpoints)
@@ -243,7 +248,7 @@
         self.fleet.endpoints[id].weight(self.fleet.context)
     }
 
-    /// The less loaded, for its weight, of two random endpoints. `None` if there are none.
+    /// The less loaded of two random endpoints, relative to their weights. `None` if `ids` is empty.
     fn pick(&mut self, ids: &[EndpointId]) -> Option<EndpointId> {
         let first = self.draw(ids)?;
         let second = self.draw(ids)?;
@@ -256,13 +261,14 @@
         }
     }
 
-    /// A random endpoint, with odds by weight. By rank, hundreds of gateways that hold nothing would all choose the same one.
+    /// A random endpoint, drawn in proportion to weight. Choosing the largest weight instead would send hundreds of idle gateways
+    /// to the same endpoint.
     fn draw(&mut self, ids: &[EndpointId]) -> Option<EndpointId> {
         let weights: Vec<f64> = ids.iter().map(|id| self.weight(*id)).collect();
-        let mut left = self.rng.generate::<f64>() * weights.iter().sum::<f64>();
+        let mut remaining_weight = self.rng.generate::<f64>() * weights.iter().sum::<f64>();
         for (id, weight) in ids.iter().zip(&weights) {
-            left -= weight;
-            if left < 0.0 {
+            remaining_weight -= weight;
+            if remaining_weight < 0.0 {
                 return Some(*id);
             }
         }
--- a/crates/policy/src/endpoint_table.rs
+++ b/crates/policy/src/endpoint_table.rs
@@ -1,4 +1,4 @@
-//! The endpoints that discovery has listed. Owns each endpoint's state, and what is derived of the list as a whole.
+//! The endpoints that discovery has listed. Owns each endpoint's state, and the state derived from the whole list.
 
 use std::collections::BTreeMap;
 use std::ops::Index;
@@ -14,25 +14,25 @@
 use crate::rollout_state::RolloutState;
 use crate::slow_start::{capacity_ratio, SlowStartBudget};
 
-/// A selection looks at this many endpoints of an arm at the most, so that its cost doesn't grow with the fleet.
+/// The largest number of endpoints of an arm that a selection considers, so that its cost doesn't grow with the fleet.
 pub(crate) const SAMPLE_SIZE: usize = 20;
-/// How often a kept connection should be used in the time after which it would be closed unused.
+/// How often an idle connection should be reused per idle timeout.
 const USES_PER_IDLE_TIMEOUT: f64 = 16.0;
-/// Fractions of its multiples lie evenly, however many.
+/// The fractional parts of its multiples are evenly spread over 0 to 1, for any number of multiples.
 const GOLDEN_RATIO: f64 = 0.618_033_988_749_895;
-/// The least latency estimate that a weight is derived from.
+/// The lower bound of the latency estimate when a weight is computed.
 const MIN_LATENCY_ESTIMATE: f64 = 0.1;
-/// An endpoint that is gone is remembered for this many slow start windows, and the fallback wait.
+/// A removed endpoint is remembered for this many slow start windows plus the fallback wait.
 const MEMORY_SLOW_START_WINDOWS: f64 = 3.0;
 
-/// An endpoint and what this gateway knows of it.
+/// An endpoint's record and this gateway's state for it.
 #[derive(Debug, Default)]
 pub(crate) struct Endpoint {
     pub(crate) record: EndpointRecord,
     pub(crate) started: Option<Timestamp>,
-    /// When a list last said that it runs.
+    /// When the endpoint was last listed and not removed.
     last_listed: Timestamp,
-    /// Answer times over the class's mean.
+    /// The mean latency, as a ratio to the class's mean latency.
     pub(crate) latency_estimate: f64,
     pub(crate) load: ConcurrencyLimit,
     pub(crate) health: EndpointHealth,
@@ -44,7 +44,7 @@
         self.record.lifecycle == Lifecycle::Ready
     }
 
-    /// The share of its capacity that it has by now, at the least.
+    /// The share of its full capacity (0 to 1) that the endpoint has now, as a lower bound.
     pub(crate) fn capacity_ratio(&self, context: &Context) -> f64 {
         self.capacity_ratio_at(context, context.now)
     }
@@ -53,30 +53,30 @@
         capacity_ratio(self.started, at, &context.parameters.safety)
     }
 
-    /// The requests that it carries, as a ratio to one that is warm and of the usual latency.
+    /// The request rate that the endpoint sustains, as a ratio to a warm endpoint of mean latency.
     pub(crate) fn weight(&self, context: &Context) -> f64 {
         self.capacity_ratio(context) / self.latency_estimate.max(MIN_LATENCY_ESTIMATE)
     }
 }
 
-/// Where the newest build that the platform has stated runs.
+/// The deployment of the current rollout stage's build.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct CanaryDeployment {
-    /// The share of ready endpoints (0 to 1) that run it or a newer one.
+    /// The share of ready endpoints (0 to 1) that run this build or a newer one.
     pub(crate) ratio: f64,
-    /// The ready endpoints that run it.
+    /// The number of ready endpoints that run this build.
     pub(crate) endpoints: usize,
-    /// When the newest of them started.
+    /// The latest start time of these endpoints; `None` if none has a known start time.
     pub(crate) newest_start: Option<Timestamp>,
 }
 
-/// The ready endpoints of one build.
+/// The arm of a build and the number of its ready endpoints.
 struct ReadyBuild {
     arm: Arm,
     endpoints: usize,
 }
 
-/// All endpoints.
+/// All endpoints that are listed or were removed recently.
 #[derive(Debug, Default)]
 pub(crate) struct EndpointTable {
     endpoints: BTreeMap<EndpointId, Endpoint>,
@@ -89,7 +89,7 @@
 impl Index<EndpointId> for EndpointTable {
     type Output = Endpoint;
 
-    /// Panics if there is no such endpoint. Those of an arm are always there: only removed ones are forgotten.
+    /// Panics if the endpoint is unknown. Endpoints of an arm are always known: only removed endpoints are forgotten.
     fn index(&self, id: EndpointId) -> &Endpoint {
         &self.endpoints[&id]
     }
@@ -117,7 +117,7 @@
         self.endpoints.get_mut(&id)
     }
 
-    /// The endpoints by their ids.
+    /// The endpoints in the order of their ids.
     pub(crate) fn iter(&self) -> impl Iterator<Item = &Endpoint> {
         self.endpoints.values()
     }
@@ -134,12 +134,13 @@
         self.by_gossip_id.len()
     }
 
-    /// The most ready endpoints that have run one build. During a rollout both builds may run beside each other for a while.
+    /// The largest number of ready endpoints that has run a single build. The total of both builds during a rollout would
+    /// overstate the fleet.
     pub(crate) fn fleet_size(&self) -> usize {
         self.fleet_size
     }
 
-    /// The ready endpoints of an arm.
+    /// The ready endpoints of an arm, in this gateway's rotated order.
     pub(crate) fn arm(&self, arm: Arm) -> &[EndpointId] {
         self.arms.get(arm)
     }
@@ -148,13 +149,13 @@
         &self.canary
     }
 
-    /// The oldest build that an endpoint runs, or ran while it is remembered: one that was lost may come back with it.
+    /// The oldest build of all known endpoints. Removed endpoints count while they are remembered, as they may return.
     pub(crate) fn earliest_build(&self) -> Option<BuildId> {
         self.iter().map(|endpoint| endpoint.record.build).min()
     }
 
-    /// Begins to apply a list of this kind: all but a delta list every endpoint that still runs.
-    pub(crate) fn begin_list(&mut self, now: Timestamp, kind: UpdateKind) {
+    /// Prepares for the records of a list. Lists other than deltas are complete, so all endpoints count as removed until listed.
+    pub(crate) fn prepare_for_list(&mut self, now: Timestamp, kind: UpdateKind) {
         for endpoint in self.endpoints.values_mut() {
             if endpoint.record.lifecycle == Lifecycle::Removed {
                 continue;
@@ -166,19 +167,19 @@
         }
     }
 
-    /// Applies a record to the endpoint that it is of, if that one runs the same build since the same start. Returns whether it does.
+    /// Updates an endpoint's record if its build and start time are unchanged. Returns whether they are.
     pub(crate) fn refresh(&mut self, now: Timestamp, record: &EndpointRecord) -> bool {
         let started = record.age.map(|age| now - age);
         match self.endpoints.get_mut(&record.endpoint) {
-            Some(held) if held.record.build == record.build && held.started == started => {
-                held.record = record.clone();
+            Some(known) if known.record.build == record.build && known.started == started => {
+                known.record = record.clone();
                 true
             }
             _ => false,
         }
     }
 
-    /// Adds an endpoint that has started, or started anew. Its attempts in flight remain.
+    /// Adds an endpoint that has started or restarted. Attempts in flight from before a restart still count.
     pub(crate) fn insert(
         &mut self,
         now: Timestamp,
@@ -187,7 +188,7 @@
         tie_breaker: f64,
     ) {
         let id = record.endpoint;
-        let in_flight = self.get(id).map_or(0, |held| held.load.in_flight());
+        let in_flight = self.get(id).map_or(0, |known| known.load.in_flight());
         self.by_gossip_id.insert(record.gossip_id, id);
         let endpoint = Endpoint {
             started: record.age.map(|age| now - age),
@@ -200,8 +201,8 @@
         self.endpoints.insert(id, endpoint);
     }
 
-    /// Derives what each request or message needs of the list, so that none walks it.
-    pub(crate) fn survey(&mut self, context: &Context, rollout: &RolloutState) {
+    /// Recomputes the state derived from the list, so that no request or message has to iterate over all endpoints.
+    pub(crate) fn recompute_derived_state(&mut self, context: &Context, rollout: &RolloutState) {
         let stage_build = rollout.stage().build;
         let mut ready_by_build: BTreeMap<BuildId, ReadyBuild> = BTreeMap::new();
         let mut arms: PerArm<Vec<EndpointId>> = PerArm::default();
@@ -243,7 +244,8 @@
             .fold(self.fleet_size, usize::max);
     }
 
-    /// Sorts an arm alike at all gateways and lets each begin elsewhere, so that the few that each sends to are spread evenly.
+    /// Sorts an arm in the same order at all gateways, then rotates it by an offset that depends on the gateway. This spreads
+    /// the gateways' subsets evenly.
     fn rotate(&self, context: &Context, arm: &mut [EndpointId]) {
         let start_ratio = (context.parameters.local_peer.0 as f64 * GOLDEN_RATIO).fract();
         arm.sort_by_cached_key(|id| self.endpoints[id].record.gossip_id);
@@ -251,9 +253,11 @@
         arm.rotate_left(start);
     }
 
-    /// How many endpoints of an arm this gateway sends to: as many as its traffic uses a connection to often before it would be
-    /// closed. Otherwise hundreds of gateways would each connect to every endpoint, and meet each too seldom to know it. Where
-    /// few gateways have most of the traffic, loads are uneven.
+    /// The number of endpoints of an arm that this gateway sends to, given the requests received in the exposure window.
+    ///
+    /// The subset is small enough that each connection is reused often within the idle timeout. Otherwise hundreds of gateways
+    /// would each connect to every endpoint, with too few requests per endpoint to estimate its health. If a few gateways receive
+    /// most of the traffic, endpoint loads are uneven.
     pub(crate) fn subset_size(&self, context: &Context, arm: Arm, received: usize) -> usize {
         let connections_per_request = context
             .parameters
@@ -266,23 +270,24 @@
             .min(self.arm(arm).len())
     }
 
-    /// Forgets endpoints that are long gone; complaints may speak of one for a while. Drops what their windows no longer hold.
+    /// Forgets endpoints that were removed long ago, and expired state of the others. Removed endpoints are kept for a while
+    /// because complaints may still refer to them.
     pub(crate) fn forget(&mut self, context: &Context) {
         let safety = &context.parameters.safety;
-        let remembered: TimeDelta = safety.slow_start_window * MEMORY_SLOW_START_WINDOWS;
-        let edge = context.now - FALLBACK_WAIT - remembered;
+        let retention: TimeDelta = safety.slow_start_window * MEMORY_SLOW_START_WINDOWS;
+        let removal_cutoff = context.now - FALLBACK_WAIT - retention;
         self.endpoints.retain(|_, endpoint| {
             endpoint.record.lifecycle != Lifecycle::Removed
                 || endpoint.load.in_flight() > 0
-                || endpoint.last_listed > edge
+                || endpoint.last_listed > removal_cutoff
         });
         let endpoints = &self.endpoints;
         self.by_gossip_id.retain(|_, id| endpoints.contains_key(id));
-        let edge = context.now - safety.overload_window;
+        let slow_start_cutoff = context.now - safety.overload_window;
         let longest_timeout = context.longest_timeout();
         for endpoint in self.endpoints.values_mut() {
             endpoint.load.forget_abandoned(context.now, longest_timeout);
-            endpoint.slow_start.drop_before(edge);
+            endpoint.slow_start.drop_before(slow_start_cutoff);
         }
     }
 }
--- a/crates/policy/src/latency.rs
+++ b/crates/policy/src/latency.rs
@@ -1,4 +1,4 @@
-//! Usual answer times. Owns the mean of each class and, for each machine model, the ratio to it.
+//! Usual latencies. Owns the mean latency of each class and, for each machine model, the ratio to that mean.
 
 use std::collections::BTreeMap;
 
@@ -6,19 +6,19 @@
 
 use crate::context::SLOW_LEARNING_RATE;
 
-/// The mean answer time of a class before any answer has come, as a ratio to its latency objective.
+/// The initial mean latency of a class is its latency objective divided by this.
 const INITIAL_MEAN_DIVISOR: f64 = 4.0;
 
-/// The usual answer times of the baseline.
+/// The usual latencies of the baseline.
 #[derive(Debug, Default)]
 pub struct UsualLatency {
     class_means: Vec<TimeDelta>,
-    /// By machine model: answer times over the class's mean.
+    /// By machine model: the latency as a ratio to the class's mean.
     model_ratios: BTreeMap<usize, f64>,
 }
 
 impl UsualLatency {
-    /// Means that no answer has changed yet.
+    /// Creates the initial means, derived from the latency objectives.
     pub fn new(parameters: &Parameters) -> UsualLatency {
         let class_means = parameters
             .classes
@@ -31,12 +31,12 @@
         }
     }
 
-    /// The mean answer time of a class, or `None` if the class is not configured.
+    /// The mean latency of a class, or `None` if the class is not configured.
     pub fn class_mean(&self, class: ClassId) -> Option<TimeDelta> {
         self.class_means.get(class.0).copied()
     }
 
-    /// The longest mean answer time of all classes.
+    /// The longest mean latency of all classes; zero if no class is configured.
     pub fn longest_mean(&self) -> TimeDelta {
         self.class_means
             .iter()
@@ -45,18 +45,18 @@
             .unwrap_or(TimeDelta::ZERO)
     }
 
-    /// How answer times of a machine model compare to the class's mean.
+    /// The latency of a machine model as a ratio to the class's mean; 1 for an unknown model.
     pub fn model_ratio(&self, model: usize) -> f64 {
         self.model_ratios.get(&model).copied().unwrap_or(1.0)
     }
 
-    /// The latency estimate of an endpoint that has not answered yet. A new build's endpoints of a slow model would otherwise be
-    /// overloaded before they have shown that they are slow.
+    /// The latency estimate of an endpoint without responses yet. Without the model's ratio, a new build's endpoints of a slow
+    /// model would be overloaded before their latency is measured.
     pub fn initial_estimate(&self, model: usize) -> f64 {
         self.model_ratio(model).max(1.0)
     }
 
-    /// Learns from an answer of the baseline while no rollout is in question.
+    /// Updates the means with a baseline response. Called only while no rollout is in progress.
     pub fn record(&mut self, class: ClassId, model: usize, duration: TimeDelta) {
         let Some(mean) = self.class_means.get_mut(class.0) else {
             return;
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,9 +1,9 @@
 //! The decisions of one gateway: which endpoint an attempt goes to, when a request is retried, rejected or failed, which load is
-//! shed, and what is voted for on a rollout.
+//! shed, and how the gateway votes on a rollout.
 //!
-//! [`Policy::handle`] takes one event and returns the actions it wants, in order. Events change the parts' wanted state; the
-//! actions are the difference between that and what was asked for already. docs/design.md describes the mechanism and letters
-//! its departures from the paper that it follows; modules name the letters of those they implement.
+//! [`Policy::handle`] takes one event and returns the actions to carry out, in order. Events change the desired state of the
+//! modules. The actions are the difference between the desired state and the actions emitted before. docs/design.md describes
+//! the algorithm and labels each departure from the paper with a letter; each module names the departures that it implements.
 
 #![warn(missing_docs, unreachable_pub)]
 
@@ -86,7 +86,7 @@
 }
 
 impl Policy {
-    /// A policy that knows no endpoint yet. The same seed and events give the same actions.
+    /// Creates a policy without endpoints. The same seed and events give the same actions.
     pub fn new(parameters: Parameters, seed: u64) -> Policy {
         Policy {
             rng: WyRand::new_seed(seed),
@@ -113,11 +113,11 @@
         }
     }
 
-    /// Handles an event that happened at `now`, and returns the actions to carry out, in order. Times never go back.
+    /// Handles an event that happened at `now`, and returns the actions to carry out, in order. `now` must not decrease.
     ///
     /// # Panics
     ///
-    /// If a request is of a class that is not configured.
+    /// Panics if the class of a request is not configured.
     pub fn handle(&mut self, now: Timestamp, event: Event) -> Vec<Action> {
         self.context.now = now;
         match event {
@@ -135,7 +135,7 @@
                 time_left,
                 is_client_retry,
             }),
-            Event::ClientDisconnected { id } => self.finish_request(id, Answer::Given),
+            Event::ClientDisconnected { id } => self.finish_request(id, Answer::Done),
             Event::ResponseStarted { id } => self.finish_request(id, Answer::Streaming),
             Event::AttemptFinished {
                 id,
@@ -164,70 +164,71 @@
         self.emit()
     }
 
-    /// The record of an endpoint that is listed, or was until a short while ago.
+    /// The record of an endpoint that is listed or was removed recently.
     pub fn endpoint(&self, id: EndpointId) -> Option<&EndpointRecord> {
         self.endpoints.get(id).map(|endpoint| &endpoint.record)
     }
 
-    /// When an endpoint started. `None` if it is not known, or started so long ago that nobody says when.
+    /// When an endpoint started. `None` if the endpoint is unknown, or its record has no age because it started long ago.
     pub fn endpoint_start(&self, id: EndpointId) -> Option<Timestamp> {
         self.endpoints.get(id)?.started
     }
 
-    /// The records of all endpoints that are listed, or were until a short while ago.
+    /// The records of all endpoints that are listed or were removed recently.
     pub fn endpoints(&self) -> impl Iterator<Item = &EndpointRecord> {
         self.endpoints.iter().map(|endpoint| &endpoint.record)
     }
 
-    /// How many endpoints are listed, or were until a short while ago.
+    /// The number of endpoints that are listed or were removed recently.
     pub fn endpoint_count(&self) -> usize {
         self.endpoints.len()
     }
 
-    /// How many gossip ids are known.
+    /// The number of gossip ids that belong to a known endpoint.
     pub fn gossip_id_count(&self) -> usize {
         self.endpoints.gossip_id_count()
     }
 
-    /// How many affinity keys stay with a build.
+    /// The number of affinity keys with a sticky version.
     pub fn sticky_key_count(&self) -> usize {
         self.sticky_versions.len()
     }
 
-    /// What this gateway's elimination votes rest on, metric by metric.
+    /// The evidence behind this gateway's elimination votes, one item per metric.
     pub fn elimination_evidence(&self) -> impl Iterator<Item = EliminationEvidence> + '_ {
         self.elimination.evidence()
     }
 
-    /// What is configured.
+    /// The configured parameters.
     pub fn parameters(&self) -> &Parameters {
         &self.context.parameters
     }
 
-    /// The largest share of requests (0 to 1) that may go to a build; 1 if it is released.
+    /// The largest share of requests (0 to 1) that may go to a build; 1 for a released build.
     pub fn exposure_limit(&self, build: BuildId) -> f64 {
         self.rollout
             .exposure_limit(build, &self.context.parameters.rollout)
     }
 
-    /// The oldest build that may answer an affinity key; build 0 if any may.
+    /// The oldest build that may serve requests with this affinity key; build 0 if every build may.
     pub fn sticky_build(&self, key: AffinityKey) -> BuildId {
         self.sticky_build_of(Some(key))
     }
 
-    /// Whether an attempt that was counted as started at `since` may start only at `now`; it then counts from `now` on.
+    /// Whether an attempt that was recorded at `recorded_at` may still start at `now`. If so, it is recorded again at `now`.
     ///
-    /// The exposure limit counts attempts when they reach their endpoint, and connections may come up late, many at once.
+    /// The exposure limit counts attempts when they reach their endpoint. Many connections may be established late and at the
+    /// same time, so the limit is checked again.
     pub fn admits_late_attempt(
         &mut self,
         now: Timestamp,
-        since: Timestamp,
+        recorded_at: Timestamp,
         class: ClassId,
         build: BuildId,
     ) -> bool {
         self.context.now = now;
         let attempt = CanaryAttempt { class, build };
-        self.exposure.withdraw_attempt(since, attempt);
+        self.exposure.withdraw_attempt(recorded_at, attempt);
         if !self.fleet().is_canary(build) {
             return true;
         }
--- a/crates/policy/src/load_shedder.rs
+++ b/crates/policy/src/load_shedder.rs
@@ -1,49 +1,51 @@
-//! Which share of requests is rejected or failed at once, as endpoints have queues (departure I in docs/design.md). Owns that
-//! share and each class's share of the traffic.
+//! The share of requests that is rejected or failed at once while endpoints have queues (departure I in docs/design.md). Owns
+//! this shed ratio and each class's share of the traffic.
 
 use harrierdock_types::{ClassId, Parameters, Timestamp};
 
 use crate::context::{Context, LEARNING_RATE, SLOW_LEARNING_RATE};
 use crate::traffic::TrafficCounts;
 
-/// The largest share of requests that is shed, of all and of each class.
+/// The largest shed ratio, for all requests and for each class. Some requests are always admitted.
 const MAX_SHED_RATIO: f64 = 1.0 - LEARNING_RATE;
-/// The least traffic share that a class's shed share is spread over.
+/// The lower bound of the traffic share that a class's shed ratio is divided by.
 const MIN_CLASS_RATIO: f64 = SLOW_LEARNING_RATE;
-/// The usual queue: attempts in flight over answers in a latency objective. Above it load is shed.
+/// The usual queue: attempts in flight, as a ratio to the requests answered in a latency objective. Above it, load is shed.
 const MAX_QUEUE_RATIO: f64 = 0.6;
-/// Attempts in flight that are no queue whatever the traffic.
+/// This many attempts in flight never count as a queue, regardless of the traffic.
 const QUEUE_ALLOWANCE_ATTEMPTS: f64 = 5.0;
-/// Share of what is answered that is admitted while there is a queue.
+/// The admitted requests while there is a queue, as a ratio to the answered requests.
 const QUEUE_DRAIN_RATIO: f64 = 0.85;
-/// By how much the admitted share grows with each tick once the queue is gone, as a ratio to it.
+/// The growth of the admitted share per tick once the queue is gone, as a ratio to that share.
 const ADMISSION_GROWTH_RATIO: f64 = 0.12;
 
-/// The queue of a gossip group's attempts.
+/// The load of a gossip group.
 #[derive(Clone, Copy, Debug)]
 pub struct GroupLoad {
     /// The group's attempts in flight.
     pub in_flight: f64,
-    /// The group's traffic in the last latency objective.
+    /// The group's traffic during the last latency objective.
     pub recent: TrafficCounts,
-    /// Whether there has been traffic for a latency objective.
+    /// Whether there has been traffic for at least a latency objective.
     pub is_settled: bool,
 }
 
 /// Sheds load of the lowest priority weight first.
 ///
-/// A group's attempts in flight over its answers say at once how long the endpoints' queues are. While these are long, a part of
-/// as many requests as are answered is admitted. Endpoints that need half the latency objective by nature look as though they
-/// had queues.
+/// The ratio of a group's attempts in flight to its answered requests shows the length of the endpoints' queues without delay.
+/// While the queues are long, fewer requests are admitted than are answered. Endpoints whose unloaded latency is half the latency
+/// objective appear to have queues.
 #[derive(Debug, Default)]
 pub struct LoadShedder {
     shed_ratio: f64,
+    /// When the shed ratio was last raised.
     raised_at: Timestamp,
+    /// The share of each class in the requests, as a running mean.
     class_ratios: Vec<f64>,
 }
 
 impl LoadShedder {
-    /// Sheds nothing yet; all classes count alike until requests come.
+    /// Creates a shedder that sheds nothing. All classes have equal traffic shares until requests arrive.
     pub fn new(parameters: &Parameters) -> LoadShedder {
         let class_count = parameters.classes.len();
         LoadShedder {
@@ -52,36 +54,39 @@
         }
     }
 
-    /// The share of all requests that is shed.
+    /// The share of all requests that is shed (0 to 1).
     pub fn shed_ratio(&self) -> f64 {
         self.shed_ratio
     }
 
-    /// Sheds what the group's aggregator sheds.
+    /// Adopts the shed ratio of the group's aggregator.
     pub fn follow(&mut self, shed_ratio: f64) {
         self.shed_ratio = shed_ratio.min(MAX_SHED_RATIO);
     }
 
-    /// Notes a request's class.
+    /// Updates the classes' traffic shares with a request.
     pub fn record_request(&mut self, class: ClassId) {
         for (index, ratio) in self.class_ratios.iter_mut().enumerate() {
             *ratio += SLOW_LEARNING_RATE * (f64::from(index == class.0) - *ratio);
         }
     }
 
-    /// Sheds more while the group has a queue, at most once in a latency objective, as it takes that long to show; else less.
-    /// Without `load`, as at a member, it sheds ever less until the aggregator is heard again.
+    /// Raises the shed ratio while the group has a queue, and lowers it otherwise. It is raised at most once per latency objective,
+    /// as the effect takes that long to show.
+    ///
+    /// Members of a group pass no `load`: their shed ratio decays until the aggregator reports the next one.
     pub fn update(&mut self, context: &Context, load: Option<&GroupLoad>) {
         let headroom = match load {
-            Some(load) => self.raise(context, load),
+            Some(load) => self.raise_if_queued(context, load),
             None => 1.0,
         };
         let growth = 1.0 + ADMISSION_GROWTH_RATIO * headroom.max(0.0);
         self.shed_ratio = (1.0 - (1.0 - self.shed_ratio) * growth).max(0.0);
     }
 
-    /// Sheds more if there is a queue. Returns the headroom: the share of the usual queue that is free, negative above it.
-    fn raise(&mut self, context: &Context, load: &GroupLoad) -> f64 {
+    /// Raises the shed ratio if there is a queue. Returns the headroom: the unused share of the largest acceptable queue, which is
+    /// negative if the queue is longer.
+    fn raise_if_queued(&mut self, context: &Context, load: &GroupLoad) -> f64 {
         let usual_queue = MAX_QUEUE_RATIO * load.recent.answered as f64;
         let max_queue = usual_queue + 2.0 * usual_queue.sqrt() + QUEUE_ALLOWANCE_ATTEMPTS;
         let headroom = 1.0 - load.in_flight / max_queue;
@@ -95,7 +100,7 @@
         headroom
     }
 
-    /// The share of a class's requests that is shed.
+    /// The share of a class's requests that is shed (0 to 1).
     pub fn class_shed_ratio(&self, context: &Context, class: ClassId) -> f64 {
         let weight = context.class(class).priority_weight;
         let lower_ratio = self.traffic_ratio(context, |other| other < weight);
@@ -104,7 +109,7 @@
             .clamp(0.0, MAX_SHED_RATIO)
     }
 
-    /// The traffic share of the classes whose priority weight matches.
+    /// The total traffic share of the classes whose priority weight matches.
     fn traffic_ratio(&self, context: &Context, matches: impl Fn(f64) -> bool) -> f64 {
         context
             .parameters
--- a/crates/policy/src/periodic.rs
+++ b/crates/policy/src/periodic.rs
@@ -1,9 +1,9 @@
-//! What a policy does at intervals: update what depends on time, retry, and forget.
+//! The policy's periodic work: updates of time-dependent state, retries, and removal of old state.
 
 use crate::Policy;
 
 impl Policy {
-    /// Does what is done at intervals, and looks for endpoints for the requests whose retry is due.
+    /// Performs the periodic work, and retries the requests whose retry timer has expired.
     pub(crate) fn tick(&mut self) {
         let now = self.context.now;
         let load = self
@@ -22,11 +22,11 @@
         if self.context.is_aggregator() && !self.is_calm() {
             self.elimination.discard_overall(now);
         }
-        self.timer.fired(now);
-        while let Some(id) = self.requests.pop_due_retry(now) {
-            self.look_for_endpoint(id);
+        self.timer.record_fired(now);
+        while let Some(id) = self.requests.pop_expired_retry(now) {
+            self.try_start_attempt(id);
         }
-        self.forget();
+        self.forget_expired();
         self.decide_vote();
     }
 
@@ -36,12 +36,12 @@
             .is_calm(recent_first_tries, self.elimination.usual_first_tries())
     }
 
-    /// Drops what no window holds any more.
-    fn forget(&mut self) {
+    /// Removes state that is older than any window in use.
+    fn forget_expired(&mut self) {
         let parameters = &self.context.parameters;
-        let edge = self.context.now - parameters.rollout.exposure_window - parameters.tick;
-        self.exposure.drop_before(edge);
-        self.slow_start.drop_before(edge);
+        let cutoff = self.context.now - parameters.rollout.exposure_window - parameters.tick;
+        self.exposure.drop_before(cutoff);
+        self.slow_start.drop_before(cutoff);
         self.traffic.forget(&self.context);
         self.endpoints.forget(&self.context);
         if let Some(earliest) = self.endpoints.earliest_build() {
--- a/crates/policy/src/request_flow.rs
+++ b/crates/policy/src/request_flow.rs
@@ -1,4 +1,4 @@
-//! A request on its way through the parts of a policy: received, sent to endpoints, and answered.
+//! The life of a request in the policy: it is received, attempted at endpoints, and answered.
 
 use harrierdock_types::{
     AffinityKey, AttemptOutcome, BuildId, ClassId, EndpointId, GossipId, OutcomeReport,
@@ -13,12 +13,12 @@
 use crate::retries::may_reject;
 use crate::Policy;
 
-/// How soon an endpoint is looked for again, as a ratio to the latency objective.
+/// The delay before a request tries again to select an endpoint, as a ratio to the latency objective.
 const RETRY_DELAY_RATIO: f64 = 0.04;
-/// How long a request may wait for an endpoint, as a ratio to the latency objective.
+/// The longest time from receiving a request that it may wait for an endpoint, as a ratio to the latency objective.
 const MAX_WAIT_RATIO: f64 = 0.1;
 
-/// A request that a client has sent.
+/// The fields of [`Event::RequestReceived`](harrierdock_types::Event::RequestReceived).
 pub(crate) struct RequestReceived {
     pub(crate) id: RequestId,
     pub(crate) class: ClassId,
@@ -27,7 +27,7 @@
     pub(crate) is_client_retry: bool,
 }
 
-/// An attempt that has ended.
+/// The fields of [`Event::AttemptFinished`](harrierdock_types::Event::AttemptFinished).
 pub(crate) struct AttemptFinished {
     pub(crate) id: RequestId,
     pub(crate) attempt: usize,
@@ -52,14 +52,14 @@
         self.sticky_versions.record_request(is_canary);
         let draw = self.rng.generate::<f64>();
         if draw < self.shedder.class_shed_ratio(&self.context, class) {
-            self.give_up(id);
+            self.reject_or_fail(id);
         } else {
-            self.look_for_endpoint(id);
+            self.try_start_attempt(id);
         }
     }
 
-    /// The build that a key stays with: one that has answered it, or whose answer may be on its way by now. Build 0 if any may
-    /// answer it.
+    /// The oldest build that may serve this key: the newest build that has served it or has an attempt in flight for it. Build 0 if
+    /// every build may serve it.
     pub(crate) fn sticky_build_of(&self, key: Option<AffinityKey>) -> BuildId {
         let Some(key) = key else {
             return BuildId(0);
@@ -75,8 +75,8 @@
             .unwrap_or(BuildId(0))
     }
 
-    /// Starts an attempt of a request that waits for one; if no endpoint may take it, waits for one or gives the request up.
-    pub(crate) fn look_for_endpoint(&mut self, id: RequestId) {
+    /// Starts an attempt if the request needs one. If no endpoint is available, schedules a retry or answers the request.
+    pub(crate) fn try_start_attempt(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(id) else {
             return;
         };
@@ -92,12 +92,12 @@
             .min(request.received + latency_objective * MAX_WAIT_RATIO);
         let max_attempts = self.context.parameters.limits.max_attempts;
         if request.attempts.len() >= max_attempts || request.deadline <= now {
-            return self.give_up(id);
+            return self.reject_or_fail(id);
         }
         match self.select_endpoint(id) {
             Some(endpoint) => self.start_attempt(id, class, endpoint),
             None if retry_at < wait_end => self.requests.schedule_retry(id, retry_at),
-            None => self.give_up(id),
+            None => self.reject_or_fail(id),
         }
     }
 
@@ -141,13 +141,13 @@
             endpoint: to,
             build,
             started: now,
-            state: AttemptState::Wanted,
+            state: AttemptState::PendingStart,
         };
         self.requests.start_attempt(id, attempt);
     }
 
-    /// Answers a request that gets no other attempt.
-    fn give_up(&mut self, id: RequestId) {
+    /// Rejects or fails a request that gets no further attempt.
+    fn reject_or_fail(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(id) else {
             return;
         };
@@ -195,7 +195,7 @@
         let latency_ratio = finished.duration.ratio_to(latency_objective);
         self.update_endpoint(&finished, &attempt, latency_ratio);
         self.keep_sticky_version(&attempt, outcome, had_no_effect);
-        // An attempt that was cancelled early says nothing of its endpoint.
+        // An attempt that was cancelled early is no evidence about its endpoint.
         if outcome != AttemptOutcome::Cancelled || finished.duration >= latency_objective {
             let endpoint = self.endpoints.get(finished.endpoint);
             self.report_outcome(OutcomeReport {
@@ -210,7 +210,7 @@
         self.requests.mark_changed(id);
     }
 
-    /// Updates what is known of the attempt's endpoint and its zone.
+    /// Updates the health and the concurrency limit of the attempt's endpoint, and the health of its zone.
     fn update_endpoint(
         &mut self,
         finished: &AttemptFinished,
@@ -239,8 +239,10 @@
         );
     }
 
-    /// Keeps a key with the newest build, canary or released, that may have answered it, even if that answer could not be read or
-    /// was not waited for. Some keys stay with a build that never answered them. An error is no answer.
+    /// Makes the newest build, canary or released, the key's sticky version if that build may have served the request.
+    ///
+    /// This includes attempts whose response was unreadable or no longer awaited, so some keys stick to a build that never
+    /// responded to them. A server error does not count as a response.
     fn keep_sticky_version(
         &mut self,
         attempt: &FinishedAttempt,
@@ -258,24 +260,24 @@
         }
     }
 
-    /// Finishes the attempt's request, or looks for another endpoint.
+    /// Finishes the attempt's request, or tries another endpoint.
     fn continue_request(&mut self, finished: &AttemptFinished, latency_objective: TimeDelta) {
         let id = finished.id;
         if finished.request_finished || finished.outcome == AttemptOutcome::Succeeded {
-            return self.finish_request(id, Answer::Given);
+            return self.finish_request(id, Answer::Done);
         }
         match finished.outcome {
-            // Every endpoint may reject: retry after a delay, so that retries don't amplify the overload.
+            // All endpoints may be overloaded: retry after a delay, so that retries don't amplify the overload.
             AttemptOutcome::Rejected if self.has_time_left(id) => {
                 let retry_at = self.context.now + latency_objective * RETRY_DELAY_RATIO;
                 self.requests.schedule_retry(id, retry_at);
             }
             AttemptOutcome::Cancelled => {}
-            _ => self.look_for_endpoint(id),
+            _ => self.try_start_attempt(id),
         }
     }
 
-    /// Whether a request's deadline has not passed. No retry is scheduled after it: the timer would fire later than now.
+    /// Whether the request's deadline is in the future. A request past its deadline is answered now, not when a retry timer fires.
     fn has_time_left(&self, id: RequestId) -> bool {
         let now = self.context.now;
         self.requests
--- a/crates/policy/src/request_table.rs
+++ b/crates/policy/src/request_table.rs
@@ -1,5 +1,5 @@
-//! The requests that have not had their answer, or whose attempts have not all ended. Owns their attempts and retry timers, and
-//! emits the difference between what is wanted of them and what was asked for already.
+//! The requests that are unanswered or have unfinished attempts. Owns their attempts and retry timers, and emits the actions
+//! that bring each request to its desired state.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,20 +7,20 @@
     Action, AffinityKey, BuildId, ClassId, EndpointId, RequestId, TimeDelta, Timestamp,
 };
 
-/// Where an attempt stands.
+/// The state of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AttemptState {
-    /// To be started.
-    Wanted,
-    /// Started, and not ended.
+    /// To be started by the next emitted action.
+    PendingStart,
+    /// In flight.
     Started,
-    /// To be cancelled.
-    Unwanted,
-    /// Cancelled, and not ended yet.
+    /// To be cancelled by the next emitted action.
+    PendingCancel,
+    /// Cancellation was requested, but the attempt has not finished yet.
     Cancelled,
-    /// Ended.
+    /// Succeeded, failed, or cancelled.
     Finished {
-        /// Whether it may have had its effect.
+        /// Whether the endpoint may have executed the request.
         may_have_run: bool,
     },
 }
@@ -28,23 +28,23 @@
 /// An attempt of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct Attempt {
-    /// Where it goes.
+    /// The endpoint that the attempt is sent to.
     pub endpoint: EndpointId,
     /// The build of the endpoint.
     pub build: BuildId,
-    /// When it started.
+    /// When the endpoint was selected.
     pub started: Timestamp,
-    /// Where it stands.
+    /// How far the attempt has progressed.
     pub state: AttemptState,
 }
 
 impl Attempt {
-    /// Whether it has ended.
+    /// Whether the attempt is no longer in flight or pending.
     pub fn is_finished(&self) -> bool {
         matches!(self.state, AttemptState::Finished { .. })
     }
 
-    /// Whether it may have had its effect, or may yet have it.
+    /// Whether the endpoint may have executed the request, or may still do so.
     pub fn may_have_run(&self) -> bool {
         self.state
             != AttemptState::Finished {
@@ -53,42 +53,42 @@
     }
 }
 
-/// How a request is answered.
+/// The state of a request's final answer to its client.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Answer {
     /// Not answered yet.
-    Owed,
-    /// An attempt's answer has begun to reach the client.
+    Pending,
+    /// A response is being streamed to the client.
     Streaming,
-    /// To be rejected.
+    /// To be rejected by the next emitted action.
     Reject,
-    /// To be failed.
+    /// To be failed by the next emitted action.
     Fail,
-    /// Answered, or in no need of an answer.
-    Given,
+    /// Answered, or the client has disconnected.
+    Done,
 }
 
-/// A request of a client.
+/// A client request and its attempts.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Its class.
+    /// The request class.
     pub class: ClassId,
-    /// Its affinity key, if it has one.
+    /// The affinity key; `None` if the request has none.
     pub key: Option<AffinityKey>,
-    /// When it came.
+    /// When the request arrived.
     pub received: Timestamp,
-    /// When its client stops waiting.
+    /// When the client stops waiting.
     pub deadline: Timestamp,
-    /// Its attempts, oldest first.
+    /// All attempts so far, oldest first.
     pub attempts: Vec<Attempt>,
-    /// How it is answered.
+    /// The state of the final answer.
     pub answer: Answer,
-    /// When an endpoint is looked for again, if that is to be.
+    /// When the retry timer fires; `None` if no retry is scheduled.
     pub retry_at: Option<Timestamp>,
 }
 
 impl Request {
-    /// A request without attempts.
+    /// Creates an unanswered request without attempts.
     pub fn new(
         class: ClassId,
         key: Option<AffinityKey>,
@@ -101,28 +101,28 @@
             received,
             deadline,
             attempts: Vec::new(),
-            answer: Answer::Owed,
+            answer: Answer::Pending,
             retry_at: None,
         }
     }
 
-    /// Whether it waits for an endpoint. No second copy goes out while one runs: where work isn't stopped, copies fill endpoints
-    /// that are slow already.
+    /// Whether the request is unanswered and no attempt is running. There is at most one running attempt per request: where
+    /// attempts can't be cancelled, additional ones would add load to endpoints that are slow already.
     pub fn needs_endpoint(&self) -> bool {
-        self.answer == Answer::Owed && self.attempts.iter().all(Attempt::is_finished)
+        self.answer == Answer::Pending && self.attempts.iter().all(Attempt::is_finished)
     }
 
-    fn has_run(&self) -> bool {
+    fn has_finished_attempt_that_may_have_run(&self) -> bool {
         self.attempts
             .iter()
             .any(|attempt| attempt.state == AttemptState::Finished { may_have_run: true })
     }
 
-    /// Moves each attempt to what is wanted of it.
+    /// Emits the pending starts and cancellations.
     fn emit_attempts(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         for (index, attempt) in self.attempts.iter_mut().enumerate() {
             match attempt.state {
-                AttemptState::Wanted => {
+                AttemptState::PendingStart => {
                     attempt.state = AttemptState::Started;
                     actions.push(Action::StartAttempt {
                         id,
@@ -130,7 +130,7 @@
                         timeout: TimeDelta::ZERO,
                     });
                 }
-                AttemptState::Unwanted => {
+                AttemptState::PendingCancel => {
                     attempt.state = AttemptState::Cancelled;
                     actions.push(Action::CancelAttempt { id, attempt: index });
                 }
@@ -149,45 +149,45 @@
         let action = match self.answer {
             Answer::Reject => Action::Reject { id, retry_after },
             Answer::Fail => Action::Fail { id },
-            Answer::Owed | Answer::Streaming | Answer::Given => return,
+            Answer::Pending | Answer::Streaming | Answer::Done => return,
         };
         actions.push(action);
-        self.answer = Answer::Given;
+        self.answer = Answer::Done;
     }
 
-    fn is_over(&self) -> bool {
-        self.answer == Answer::Given && self.attempts.iter().all(Attempt::is_finished)
+    fn is_complete(&self) -> bool {
+        self.answer == Answer::Done && self.attempts.iter().all(Attempt::is_finished)
     }
 }
 
-/// An entry of the retry timers.
+/// An entry of [`RequestTable::retry_timers`], ordered by time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct RetryTimer {
     at: Timestamp,
     id: RequestId,
 }
 
-/// All requests.
+/// All requests that are not complete.
 #[derive(Debug, Default)]
 pub struct RequestTable {
     requests: BTreeMap<RequestId, Request>,
-    /// Those that may differ from what was emitted.
+    /// The requests that may have pending actions.
     changed: BTreeSet<RequestId>,
     retry_timers: BTreeSet<RetryTimer>,
 }
 
 impl RequestTable {
-    /// Adds a request.
+    /// Adds a request, replacing any request with the same id.
     pub fn insert(&mut self, id: RequestId, request: Request) {
         self.requests.insert(id, request);
     }
 
-    /// A request, unless it is over.
+    /// The request with this id; `None` once it is complete.
     pub fn get(&self, id: RequestId) -> Option<&Request> {
         self.requests.get(&id)
     }
 
-    /// Adds an attempt to a request.
+    /// Adds an attempt to a request; [`RequestTable::emit`] starts it.
     pub fn start_attempt(&mut self, id: RequestId, attempt: Attempt) {
         self.changed.insert(id);
         if let Some(request) = self.requests.get_mut(&id) {
@@ -195,7 +195,7 @@
         }
     }
 
-    /// Notes that an attempt has ended, and returns it with its request's class and key. `None` if there is no such attempt.
+    /// Marks an attempt as finished, and returns it with its request's class and key. `None` if there is no such attempt.
     pub fn finish_attempt(
         &mut self,
         id: RequestId,
@@ -213,30 +213,30 @@
         })
     }
 
-    /// Marks a request as one to look at when actions are emitted.
+    /// Makes the next [`RequestTable::emit`] check this request for pending actions and completion.
     pub fn mark_changed(&mut self, id: RequestId) {
         self.changed.insert(id);
     }
 
-    /// Looks for an endpoint again at this time, or at the request's deadline if that is earlier.
+    /// Sets the request's retry timer to `at`, or to the request's deadline if that is earlier. Replaces any earlier timer.
     pub fn schedule_retry(&mut self, id: RequestId, at: Timestamp) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
         let at = at.min(request.deadline);
-        if let Some(before) = request.retry_at.replace(at) {
-            self.retry_timers.remove(&RetryTimer { at: before, id });
+        if let Some(previous) = request.retry_at.replace(at) {
+            self.retry_timers.remove(&RetryTimer { at: previous, id });
         }
         self.retry_timers.insert(RetryTimer { at, id });
     }
 
-    /// The earliest retry timer.
+    /// When the earliest retry timer fires; `None` if no retry is scheduled.
     pub fn next_retry(&self) -> Option<Timestamp> {
         self.retry_timers.first().map(|timer| timer.at)
     }
 
-    /// Takes the earliest retry timer that is due, and returns its request.
-    pub fn pop_due_retry(&mut self, now: Timestamp) -> Option<RequestId> {
+    /// Removes the earliest retry timer if it has expired, and returns its request.
+    pub fn pop_expired_retry(&mut self, now: Timestamp) -> Option<RequestId> {
         let timer = *self.retry_timers.first().filter(|timer| timer.at <= now)?;
         self.retry_timers.remove(&timer);
         if let Some(request) = self.requests.get_mut(&timer.id) {
@@ -245,16 +245,17 @@
         Some(timer.id)
     }
 
-    /// Ends a request with this answer: attempts that are out are cancelled if they can be, and its retry timer is removed.
-    /// Returns whether its client is left without an endpoint's answer.
+    /// Sets the final answer of a request, cancels its attempts in flight if `can_cancel` is set, and removes its retry timer.
+    /// Returns whether the client gets no response from an endpoint.
     pub fn finish(&mut self, id: RequestId, answer: Answer, can_cancel: bool) -> bool {
         let Some(request) = self.requests.get_mut(&id) else {
             return false;
         };
-        if request.answer == Answer::Given {
+        if request.answer == Answer::Done {
             return false;
         }
-        let is_unanswered = answer != Answer::Given || !request.has_run();
+        let is_unanswered =
+            answer != Answer::Done || !request.has_finished_attempt_that_may_have_run();
         request.answer = answer;
         if let Some(at) = request.retry_at.take() {
             self.retry_timers.remove(&RetryTimer { at, id });
@@ -262,7 +263,7 @@
         if can_cancel && answer != Answer::Streaming {
             for attempt in &mut request.attempts {
                 if attempt.state == AttemptState::Started {
-                    attempt.state = AttemptState::Unwanted;
+                    attempt.state = AttemptState::PendingCancel;
                 }
             }
         }
@@ -270,7 +271,7 @@
         is_unanswered
     }
 
-    /// The newest build that an attempt of this key is out at, other than the one that is rolled back.
+    /// The newest build with an unfinished attempt for this key, ignoring the build that is being rolled back.
     pub fn newest_build_in_flight(
         &self,
         key: AffinityKey,
@@ -285,7 +286,7 @@
             .max()
     }
 
-    /// Emits what the changed requests want and has not been asked for, and removes those that are over.
+    /// Emits the pending actions of the changed requests, and removes those that are complete.
     pub fn emit(&mut self, retry_after: Option<TimeDelta>, actions: &mut Vec<Action>) {
         for id in std::mem::take(&mut self.changed) {
             let Some(request) = self.requests.get_mut(&id) else {
@@ -293,22 +294,22 @@
             };
             request.emit_attempts(id, actions);
             request.emit_answer(id, retry_after, actions);
-            if request.is_over() {
+            if request.is_complete() {
                 self.requests.remove(&id);
             }
         }
     }
 }
 
-/// What is known of an attempt that has ended.
+/// A finished attempt with details of its request.
 #[derive(Clone, Copy, Debug)]
 pub struct FinishedAttempt {
     /// The build of the endpoint.
     pub build: BuildId,
-    /// When it started.
+    /// When the endpoint was selected.
     pub started: Timestamp,
     /// The request's class.
     pub class: ClassId,
-    /// The request's affinity key, if it has one.
+    /// The request's affinity key; `None` if the request has none.
     pub key: Option<AffinityKey>,
 }
--- a/crates/policy/src/retries.rs
+++ b/crates/policy/src/retries.rs
@@ -1,4 +1,4 @@
-//! Whether a request may be sent again, and how it is answered if it may not. Owns nothing.
+//! Whether a request may be retried at an endpoint, and whether it may be rejected. Stateless.
 
 use harrierdock_types::{IdempotencyScope, RetrySafety};
 
@@ -6,7 +6,7 @@
 use crate::endpoint_table::{Endpoint, EndpointTable};
 use crate::request_table::{Attempt, Request};
 
-/// Whether a request may go to an endpoint after the attempts it has had.
+/// Whether a request may go to an endpoint, given its earlier attempts.
 pub(crate) fn may_retry_at(
     context: &Context,
     endpoints: &EndpointTable,
@@ -31,7 +31,7 @@
     }
 }
 
-/// Whether an endpoint recognises the idempotency key of an attempt at another one.
+/// Whether an endpoint recognises the idempotency key of an attempt at another endpoint.
 fn share_idempotency_keys(
     endpoints: &EndpointTable,
     attempt: &Attempt,
@@ -49,7 +49,7 @@
     }
 }
 
-/// Whether a request may be rejected, which states that its client may send it again. Otherwise it has to be failed.
+/// Whether a request may be rejected, which tells the client that a retry is safe. Otherwise it must be failed.
 pub(crate) fn may_reject(context: &Context, request: &Request) -> bool {
     let is_safe_anywhere = matches!(
         context.class(request.class).retry_safety,
--- a/crates/policy/src/sliding_window.rs
+++ b/crates/policy/src/sliding_window.rs
@@ -1,4 +1,4 @@
-//! Recent events, oldest first, each with the time at which it happened.
+//! A queue of recent timestamped events.
 
 use std::collections::VecDeque;
 
@@ -10,7 +10,7 @@
     value: T,
 }
 
-/// Events in the order in which they happened. The owner removes what is too old with [`SlidingWindow::drop_before`].
+/// Timestamped events, oldest first. The owner removes old events with [`SlidingWindow::drop_before`].
 #[derive(Clone, Debug)]
 pub struct SlidingWindow<T> {
     entries: VecDeque<Entry<T>>,
@@ -25,12 +25,12 @@
 }
 
 impl<T> SlidingWindow<T> {
-    /// Adds an event. Events are added in the order of their times.
+    /// Adds an event. `at` must not be earlier than that of the previous event.
     pub fn push(&mut self, at: Timestamp, value: T) {
         self.entries.push_back(Entry { at, value });
     }
 
-    /// Removes one event of this time and value, if it is still held.
+    /// Removes one event with this time and value, if there is one.
     pub fn remove(&mut self, at: Timestamp, value: &T)
     where
         T: PartialEq,
@@ -47,29 +47,29 @@
         }
     }
 
-    /// Drops the events before this time.
-    pub fn drop_before(&mut self, edge: Timestamp) {
-        while self.entries.front().is_some_and(|entry| entry.at < edge) {
+    /// Removes the events before `cutoff`.
+    pub fn drop_before(&mut self, cutoff: Timestamp) {
+        while self.entries.front().is_some_and(|entry| entry.at < cutoff) {
             self.entries.pop_front();
         }
     }
 
-    /// How many events are held.
+    /// The number of events in the window.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether no event is held.
+    /// Whether the window has no events.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// When the oldest event that is held happened.
+    /// The time of the oldest event; `None` if the window is empty.
     pub fn oldest(&self) -> Option<Timestamp> {
         self.entries.front().map(|entry| entry.at)
     }
 
-    /// The events after this time, newest first.
+    /// The events later than `from`, newest first.
     pub fn after(&self, from: Timestamp) -> impl Iterator<Item = &T> {
         self.entries
             .iter()
@@ -78,7 +78,7 @@
             .map(|entry| &entry.value)
     }
 
-    /// How many events after this time match.
+    /// The number of events later than `from` that match.
     pub fn count_after(&self, from: Timestamp, matches: impl Fn(&T) -> bool) -> f64 {
         self.entries
             .iter()
--- a/crates/policy/src/timer.rs
+++ b/crates/policy/src/timer.rs
@@ -1,28 +1,29 @@
-//! When the policy wants to be called next without another event. Owns the periodic tick and the timer that is set.
+//! The timer that wakes the policy when no other event occurs. Owns the time of the periodic tick and that of the pending timer.
 
 use harrierdock_types::{Action, TimeDelta, Timestamp};
 
 use crate::context::Context;
 
-/// The periodic tick, as a ratio to the shortest latency objective.
+/// The tick interval, as a ratio to the shortest latency objective.
 const TICK_RATIO: f64 = 0.1;
-/// The least time that a timer is set to.
+/// The shortest delay of the timer.
 const MIN_DELAY: TimeDelta = TimeDelta(1);
 
-/// The one timer of a policy.
+/// The single timer of a policy, used for ticks and retries.
 #[derive(Debug, Default)]
 pub struct PolicyTimer {
     next_tick: Timestamp,
-    set_to: Option<Timestamp>,
+    /// When the pending timer fires; `None` if none is pending.
+    fires_at: Option<Timestamp>,
 }
 
 impl PolicyTimer {
-    /// The timer has fired. One that is set to a later time stays set.
-    pub fn fired(&mut self, now: Timestamp) {
-        self.set_to = self.set_to.filter(|at| now < *at);
+    /// Records that a timer has fired. A timer that is set to a later time stays pending.
+    pub fn record_fired(&mut self, now: Timestamp) {
+        self.fires_at = self.fires_at.filter(|at| now < *at);
     }
 
-    /// Sets the timer to the next tick, or to the next retry if that is earlier, unless it is set to an earlier time already.
+    /// Sets the timer to the next tick or the next retry, whichever is earlier. Does nothing if the pending timer fires by then.
     pub fn emit(
         &mut self,
         context: &Context,
@@ -36,8 +37,8 @@
         let next = next_retry
             .map_or(self.next_tick, |retry| retry.min(self.next_tick))
             .max(now + MIN_DELAY);
-        if self.set_to.is_none_or(|at| at <= now || next < at) {
-            self.set_to = Some(next);
+        if self.fires_at.is_none_or(|at| at <= now || next < at) {
+            self.fires_at = Some(next);
             actions.push(Action::SetTimer { after: next - now });
         }
     }
--- a/crates/policy/src/traffic.rs
+++ b/crates/policy/src/traffic.rs
@@ -1,21 +1,21 @@
-//! How much traffic there is. Owns the counts of this gateway's gossip group and those not reported to it yet.
+//! Traffic counts. Owns the counts of this gateway's gossip group, and this gateway's counts that are not reported yet.
 
 use harrierdock_types::{TimeDelta, Timestamp};
 
 use crate::context::Context;
 use crate::sliding_window::SlidingWindow;
 
-/// Traffic windows that are kept.
+/// How long the group's traffic is kept, as a ratio to the traffic window.
 const KEPT_TRAFFIC_WINDOWS: f64 = 1.5;
 
-/// What traffic came to in a while.
+/// Traffic counts of some period.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TrafficCounts {
     /// Requests received.
     pub received: usize,
-    /// Those of them that are no client's retry.
+    /// Requests received that are not client retries.
     pub first_tries: usize,
-    /// Answers by endpoints.
+    /// Responses from endpoints.
     pub answered: usize,
 }
 
@@ -29,17 +29,17 @@
     }
 }
 
-/// Traffic of a gossip group, one report interval at a time, and of this gateway since its last report.
+/// The traffic of a gossip group by report interval, and of this gateway since its last report.
 #[derive(Debug, Default)]
 pub struct TrafficMonitor {
     group: SlidingWindow<TrafficCounts>,
     unreported: TrafficCounts,
-    /// Requests whose clients were left without an answer, and are expected to come back once each.
+    /// Unanswered requests whose clients are expected to retry; each is expected to be retried once.
     expected_retries: f64,
 }
 
 impl TrafficMonitor {
-    /// Counts a request. Where clients don't mark their retries, each unanswered request is taken to come back once.
+    /// Counts a request. Where clients don't mark their retries, one retry is assumed for each unanswered request.
     pub fn record_request(&mut self, context: &Context, is_marked_retry: bool) {
         let is_client_retry = if context.parameters.clients_mark_retries {
             is_marked_retry
@@ -51,55 +51,55 @@
         self.expected_retries = (self.expected_retries - 1.0).max(0.0);
     }
 
-    /// Counts requests that a member of the group has reported.
+    /// Counts the requests that a member of the group has reported.
     pub fn record_reported(&mut self, received: usize, first_tries: usize) {
         self.unreported.received += received;
         self.unreported.first_tries += first_tries;
     }
 
-    /// Counts an answer of an endpoint.
+    /// Counts a response from an endpoint.
     pub fn record_answer(&mut self) {
         self.unreported.answered += 1;
     }
 
-    /// Notes whether a request's client was left without an endpoint's answer.
+    /// Records the end of a request. `is_unanswered` means that its client got no response from an endpoint.
     pub fn record_end(&mut self, is_unanswered: bool) {
         self.expected_retries += f64::from(is_unanswered);
     }
 
-    /// What has not been reported yet.
+    /// Returns the counts since the last report, and resets them.
     pub fn take_unreported(&mut self) -> TrafficCounts {
         std::mem::take(&mut self.unreported)
     }
 
-    /// Adds a report interval of the group's traffic. An empty one says nothing of how traffic is answered.
+    /// Adds a report interval of the group's traffic. Empty intervals are ignored, as they don't show how traffic is answered.
     pub fn record_group(&mut self, now: Timestamp, counts: TrafficCounts) {
         if counts.received + counts.answered > 0 {
             self.group.push(now, counts);
         }
     }
 
-    /// Whether there has been traffic for this long. Before, requests have had no time to be answered.
+    /// Whether the first traffic is at least `window` old. Before that, requests have not had enough time to be answered.
     pub fn covers(&self, now: Timestamp, window: TimeDelta) -> bool {
         self.group
             .oldest()
             .is_some_and(|oldest| now - oldest >= window)
     }
 
-    /// The group's traffic within a window that ends now.
+    /// The group's traffic in the window that ends at `now`.
     pub fn recent(&self, now: Timestamp, window: TimeDelta) -> TrafficCounts {
         self.group
             .after(now - window)
             .fold(TrafficCounts::default(), |sum, counts| sum.plus(counts))
     }
 
-    /// The group's first tries within the traffic window.
+    /// The number of the group's first tries in the traffic window.
     pub fn recent_first_tries(&self, context: &Context) -> f64 {
         self.recent(context.now, context.traffic_window())
             .first_tries as f64
     }
 
-    /// Forgets traffic that no window holds any more.
+    /// Forgets traffic that is older than any window in use.
     pub fn forget(&mut self, context: &Context) {
         let kept = context.traffic_window() * KEPT_TRAFFIC_WINDOWS;
         self.group.drop_before(context.now - kept);
--- a/crates/policy/src/zone_ejection.rs
+++ b/crates/policy/src/zone_ejection.rs
@@ -1,4 +1,4 @@
-//! Which zones are left out whole, because none of their endpoints answers (departure K in docs/design.md). Owns the zones' health.
+//! Ejects zones in which no endpoint responds (departure K in docs/design.md). Owns each zone's health.
 
 use std::collections::BTreeMap;
 
@@ -8,31 +8,32 @@
 use crate::endpoint_table::EndpointTable;
 use crate::outlier_ejection::ejection_length;
 
-/// A zone whose endpoints together owe more than this many mean answer times is silent.
-const SILENT_ZONE_RATIO: f64 = 12.0;
-/// A connection that did not come up counts like an answer owed for this many mean answer times.
+/// A zone is unresponsive if the waiting times of its endpoints add up to more than this many mean latencies.
+const UNRESPONSIVE_ZONE_RATIO: f64 = 12.0;
+/// A failed connection counts as a waiting time of this many mean latencies.
 const CONNECT_FAILURE_RATIO: f64 = 3.0;
 
-/// How a zone's endpoints answer, all together.
+/// The combined responsiveness of a zone's endpoints.
 #[derive(Clone, Copy, Debug, Default)]
 struct ZoneHealth {
-    last_heard: Timestamp,
-    /// Connections that did not come up since then.
+    /// When any endpoint of the zone last responded.
+    last_response: Timestamp,
+    /// The number of failed connections since then.
     connect_failures: f64,
-    /// Mean answer times owed since then.
-    owed_ratio: f64,
+    /// How long the zone's endpoints have not responded since then, added up, as a ratio to the mean latency.
+    waiting_ratio: f64,
     consecutive_ejections: i32,
     ejected_until: Timestamp,
 }
 
 /// The health of all zones.
 ///
-/// A gateway of little traffic would find out about a lost zone one endpoint at a time. So what a zone's endpoints owe counts
-/// together, from the last answer of any on. A zone with few live endpoints may be left out by this.
+/// A gateway with little traffic would detect a lost zone one endpoint at a time. Therefore the waiting times of a zone's endpoints
+/// are added up, starting at the last response of any of them. This may eject a zone that has only a few live endpoints.
 #[derive(Debug, Default)]
 pub(crate) struct ZoneEjection {
     zones: BTreeMap<ZoneId, ZoneHealth>,
-    /// Until when a zone is or was ejected last.
+    /// The end of the latest ejection of any zone, which may be in the past.
     last_ejected_until: Timestamp,
 }
 
@@ -43,7 +44,7 @@
             .is_some_and(|health| now < health.ejected_until)
     }
 
-    /// Until when a zone is or was ejected last.
+    /// The end of the latest ejection of any zone, which may be in the past.
     pub(crate) fn last_ejected_until(&self) -> Timestamp {
         self.last_ejected_until
     }
@@ -63,14 +64,15 @@
             | AttemptOutcome::Rejected
             | AttemptOutcome::Reset => {
                 *health = ZoneHealth {
-                    last_heard: now,
+                    last_response: now,
                     ..ZoneHealth::default()
                 };
             }
         }
     }
 
-    /// Ejects the silent zones. One at least stays: with all ejected, silent endpoints would rank like live ones.
+    /// Ejects the unresponsive zones, but only if at least one other zone responds. If all zones were ejected, unresponsive
+    /// endpoints would rank the same as live ones.
     pub(crate) fn update(
         &mut self,
         context: &Context,
@@ -79,25 +81,25 @@
     ) {
         let now = context.now;
         for health in self.zones.values_mut() {
-            health.owed_ratio = health.connect_failures * CONNECT_FAILURE_RATIO;
+            health.waiting_ratio = health.connect_failures * CONNECT_FAILURE_RATIO;
         }
         for endpoint in endpoints.iter() {
             let Some(since) = endpoint.health.unanswered_since() else {
                 continue;
             };
             let health = self.zones.entry(endpoint.record.zone).or_default();
-            health.owed_ratio += (now - since.max(health.last_heard)).ratio_to(mean_latency);
+            health.waiting_ratio += (now - since.max(health.last_response)).ratio_to(mean_latency);
         }
-        let another_answers = self
+        let any_zone_responds = self
             .zones
             .values()
-            .any(|zone| zone.owed_ratio <= SILENT_ZONE_RATIO && now >= zone.ejected_until);
-        if !another_answers {
+            .any(|zone| zone.waiting_ratio <= UNRESPONSIVE_ZONE_RATIO && now >= zone.ejected_until);
+        if !any_zone_responds {
             return;
         }
         let first_ejection = context.first_ejection();
         for zone in self.zones.values_mut() {
-            if zone.owed_ratio > SILENT_ZONE_RATIO && now >= zone.ejected_until {
+            if zone.waiting_ratio > UNRESPONSIVE_ZONE_RATIO && now >= zone.ejected_until {
                 zone.ejected_until =
                     now + ejection_length(first_ejection, zone.consecutive_ejections);
                 zone.consecutive_ejections += 1;
