--- a/crates/policy/tests/decisions/main.rs
+++ b/crates/policy/tests/decisions/main.rs
@@ -1,4 +1,4 @@
-//! The policy's decisions, as short traces of one gateway and as sums over a simulated fleet.
+//! Tests of the policy's decisions, with traces of one gateway and totals over a simulated fleet.
 
 #[path = "../support/mod.rs"]
 mod support;
--- a/crates/policy/tests/parts/main.rs
+++ b/crates/policy/tests/parts/main.rs
@@ -1,4 +1,4 @@
-//! Each part of the policy that can stand alone, by itself.
+//! Unit tests of the policy's modules that don't depend on the whole policy.
 
 mod concurrency_limit;
 mod discovery_watch;
@@ -17,7 +17,7 @@
 use harrierdock_policy::context::Context;
 use harrierdock_types::{ClassParameters, Parameters, TimeDelta, Timestamp};
 
-/// The difference of this many milliseconds.
+/// A time span in milliseconds.
 fn ms(milliseconds: i64) -> TimeDelta {
     TimeDelta::from_millis(milliseconds)
 }
@@ -27,7 +27,7 @@
     Timestamp(0) + ms(milliseconds)
 }
 
-/// At a time, with one class for each priority weight, whose latency objective is 100 ms.
+/// A context at a time, with one class for each priority weight. The latency objective of each class is 100 ms.
 fn context_at(milliseconds: i64, priority_weights: &[f64]) -> Context {
     let class = |priority_weight: &f64| ClassParameters {
         latency_objective: ms(100),
--- a/crates/policy/tests/support/mod.rs
+++ b/crates/policy/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Set-up that the tests share: parameters, endpoint records and rollout updates, a scripted gateway and a simulated fleet.
+//! Shared test set-up: parameters, endpoint records, rollout updates, a scripted gateway and a simulated fleet.
 
 mod parameters;
 mod platform;
@@ -15,19 +15,19 @@
 pub use scripted_gateway::{canary_trial, group_member, share, ScriptedGateway, ALWAYS_SUCCEEDS};
 pub use simulated_fleet::{ClassTotals, SimulatedFleet};
 
-/// The class of requests that may be sent again anywhere.
+/// The class of requests that may be retried at any endpoint.
 pub const IDEMPOTENT: ClassId = ClassId(0);
 /// The class of requests with an idempotency key.
 pub const KEYED: ClassId = ClassId(1);
-/// The class of requests that may not be sent again.
+/// The class of requests that must not be retried once they may have run.
 pub const NON_IDEMPOTENT: ClassId = ClassId(2);
 
-/// The difference of this many milliseconds.
+/// A time span in milliseconds.
 pub fn ms(milliseconds: i64) -> TimeDelta {
     TimeDelta::from_millis(milliseconds)
 }
 
-/// A ready endpoint that started long ago, in one of two zones.
+/// A ready, warm endpoint. Odd and even numbers are in different zones.
 pub fn endpoint(number: usize, build: u32) -> EndpointRecord {
     EndpointRecord {
         endpoint: EndpointId(number),
@@ -39,7 +39,7 @@
     }
 }
 
-/// Endpoints 0.. of these builds.
+/// One endpoint for each build, numbered from 0.
 pub fn endpoints(builds: &[u32]) -> Vec<EndpointRecord> {
     builds
         .iter()
@@ -48,7 +48,7 @@
         .collect()
 }
 
-/// A valid update that answers no vote.
+/// A rollout update with status `Valid` that is not the answer to a vote.
 pub fn rollout_update(
     build: u32,
     stage: usize,
--- a/crates/policy/tests/support/parameters.rs
+++ b/crates/policy/tests/support/parameters.rs
@@ -1,4 +1,4 @@
-//! What is configured for a scripted gateway and for a simulated fleet.
+//! Parameters of the scripted gateway and of the simulated fleet.
 
 use harrierdock_types::{
     ClassParameters, IdempotencyScope, LimitParameters, Parameters, RetrySafety, RolloutParameters,
@@ -7,12 +7,12 @@
 
 use super::ms;
 
-/// How long the clients of a scripted gateway wait.
+/// The client timeout at a scripted gateway.
 pub const SCRIPTED_TIMEOUT_MS: i64 = 1500;
-/// The latency objective of a fleet's classes.
+/// The latency objective of all classes of a simulated fleet.
 pub const FLEET_LATENCY_OBJECTIVE_MS: i64 = 800;
 
-/// The three classes, of which each is like `class` but for its retry safety.
+/// The three request classes: copies of `class` that differ in their retry safety.
 fn classes(
     class: ClassParameters,
     scope: IdempotencyScope,
@@ -34,7 +34,7 @@
     .to_vec()
 }
 
-/// Three request classes, two zones, two stages; a single gateway unless a test says otherwise.
+/// Three request classes, two stages and a single gateway. Keys are deduplicated within a zone.
 pub fn default_parameters() -> Parameters {
     let class = ClassParameters {
         latency_objective: ms(500),
@@ -75,7 +75,7 @@
     }
 }
 
-/// Three request classes, two stages; a fleet of this many gateways.
+/// Three request classes, two stages and `gateway_count` gateways. Keys are deduplicated everywhere.
 pub fn fleet_parameters(gateway_count: usize) -> Parameters {
     let class = ClassParameters {
         latency_objective: ms(FLEET_LATENCY_OBJECTIVE_MS),
--- a/crates/policy/tests/support/simulated_endpoint.rs
+++ b/crates/policy/tests/support/simulated_endpoint.rs
@@ -1,28 +1,28 @@
-//! An endpoint that works on so many requests at a time.
+//! A simulated endpoint with a fixed number of cores.
 
 use harrierdock_types::{AttemptOutcome, RequestId, TimeDelta, Timestamp};
 
-/// How long a connection to a lost endpoint takes to fail.
+/// How long a connection attempt to a lost endpoint takes to fail.
 const CONNECT_TIMEOUT: TimeDelta = TimeDelta::from_millis(250);
-/// How long a failing endpoint takes to answer.
+/// The latency of a failing endpoint.
 const ERROR_LATENCY: TimeDelta = TimeDelta::from_millis(5);
 
-/// How an attempt ends, and when.
+/// The outcome of an attempt and the time of its end.
 #[derive(Clone, Copy, Debug)]
 pub struct SimulatedOutcome {
     pub outcome: AttemptOutcome,
     pub at: Timestamp,
 }
 
-/// Works on requests in the order in which they come, and passes over those whose deadline is over.
+/// Processes requests in order of arrival, one per core at a time, and skips requests whose deadline has passed.
 #[derive(Clone)]
 pub struct SimulatedEndpoint {
-    /// When each core is free.
+    /// When each core becomes free.
     cores_free_at: Vec<Timestamp>,
     pub service_time: TimeDelta,
-    /// Answers nothing, and takes no connection.
+    /// Whether the endpoint neither responds nor accepts connections.
     pub is_lost: bool,
-    /// Fails all requests at once.
+    /// Whether the endpoint fails every request immediately.
     pub is_failing: bool,
     pub received: usize,
 }
@@ -38,7 +38,8 @@
         }
     }
 
-    /// Receives an attempt that is over at `deadline`. Half of the connections are kept ones, on which a lost endpoint is silent.
+    /// Receives an attempt that times out at `deadline`. Half of the attempts use an idle connection, on which a lost endpoint
+    /// doesn't respond; the other half open a connection, which fails.
     pub fn receive(
         &mut self,
         now: Timestamp,
@@ -57,7 +58,7 @@
         SimulatedOutcome { outcome, at }
     }
 
-    /// When it will have answered what comes now, if it does before the deadline.
+    /// When the response to a request that arrives now is sent; `None` if that is not before the deadline.
     fn answer_time(&mut self, now: Timestamp, deadline: Timestamp) -> Option<Timestamp> {
         self.received += 1;
         let is_lost = self.is_lost;
