--- a/crates/policy/src/endpoint_selection.rs
+++ b/crates/policy/src/endpoint_selection.rs
@@ -63,15 +63,15 @@
     /// Selects an endpoint for the request, or `None` if no endpoint may receive it now. `free_canary_ratio` maps the canary's
     /// share of capacity to its share of the requests without a sticky canary.
     pub(crate) fn select(&mut self, free_canary_ratio: impl Fn(f64) -> f64) -> Option<EndpointId> {
-        let sample = self.sample();
+        let sample = self.build_sample();
         let capacity = &sample.capacity;
         let canary_ratio =
             capacity.canary / (capacity.baseline + capacity.canary).max(f64::EPSILON);
         let draw = self.rng.generate::<f64>();
         let prefers_canary =
             draw < free_canary_ratio(canary_ratio) && self.request.attempts.is_empty();
-        for tier in self.tiers(&sample.candidates, prefers_canary) {
-            if let Some(endpoint) = self.select_in(tier) {
+        for tier in self.build_tiers(&sample.candidates, prefers_canary) {
+            if let Some(endpoint) = self.select_from_tier(tier) {
                 return Some(endpoint);
             }
         }
@@ -86,7 +86,7 @@
     }
 
     /// This gateway's subset of each arm, or a random sample of the subset if it is large.
-    fn sample(&mut self) -> Sample {
+    fn build_sample(&mut self) -> Sample {
         let fleet = self.fleet;
         let mut sample = Sample::default();
         for arm in [Arm::Baseline, Arm::Canary] {
@@ -114,7 +114,7 @@
     }
 
     /// The candidates that may receive the request, grouped by rank, best rank first.
-    fn tiers(&self, candidates: &[Candidate], prefers_canary: bool) -> Vec<Tier> {
+    fn build_tiers(&self, candidates: &[Candidate], prefers_canary: bool) -> Vec<Tier> {
         let mut exposures: Vec<BuildExposure> = Vec::new();
         let mut by_rank: BTreeMap<usize, Vec<Candidate>> = BTreeMap::new();
         for candidate in candidates {
@@ -211,8 +211,8 @@
         }
     }
 
-    fn select_in(&mut self, mut tier: Tier) -> Option<EndpointId> {
-        let selected = self.pick(&tier.endpoints)?;
+    fn select_from_tier(&mut self, mut tier: Tier) -> Option<EndpointId> {
+        let selected = self.pick_less_loaded(&tier.endpoints)?;
         let draw = self.rng.generate::<f64>();
         if self.slow_start_admits(selected, tier.competing_weight, draw) {
             return Some(selected);
@@ -220,7 +220,7 @@
         // Slow start admission is drawn at most once per selection: after a refusal, only warm endpoints remain.
         tier.endpoints
             .retain(|id| !self.is_warming(&self.fleet.endpoints[*id]));
-        self.pick(&tier.endpoints)
+        self.pick_less_loaded(&tier.endpoints)
     }
 
     fn slow_start_admits(&self, id: EndpointId, competing_weight: f64, draw: f64) -> bool {
@@ -249,9 +249,9 @@
     }
 
     /// The less loaded of two random endpoints, relative to their weights. `None` if `ids` is empty.
-    fn pick(&mut self, ids: &[EndpointId]) -> Option<EndpointId> {
-        let first = self.draw(ids)?;
-        let second = self.draw(ids)?;
+    fn pick_less_loaded(&mut self, ids: &[EndpointId]) -> Option<EndpointId> {
+        let first = self.draw_by_weight(ids)?;
+        let second = self.draw_by_weight(ids)?;
         let load_ratio =
             |id: EndpointId| self.fleet.endpoints[id].load.in_flight() as f64 / self.weight(id);
         if load_ratio(second) < load_ratio(first) {
@@ -263,7 +263,7 @@
 
     /// A random endpoint, drawn in proportion to weight. Choosing the largest weight instead would send hundreds of idle gateways
     /// to the same endpoint.
-    fn draw(&mut self, ids: &[EndpointId]) -> Option<EndpointId> {
+    fn draw_by_weight(&mut self, ids: &[EndpointId]) -> Option<EndpointId> {
         let weights: Vec<f64> = ids.iter().map(|id| self.weight(*id)).collect();
         let mut remaining_weight = self.rng.generate::<f64>() * weights.iter().sum::<f64>();
         for (id, weight) in ids.iter().zip(&weights) {
--- a/crates/policy/src/endpoint_table.rs
+++ b/crates/policy/src/endpoint_table.rs
@@ -222,8 +222,8 @@
                 newest_start = newest_start.max(endpoint.started);
             }
         }
-        self.rotate(context, &mut arms.baseline);
-        self.rotate(context, &mut arms.canary);
+        self.sort_and_rotate(context, &mut arms.baseline);
+        self.sort_and_rotate(context, &mut arms.canary);
         let ready = (arms.baseline.len() + arms.canary.len()).max(1) as f64;
         let canary_or_newer: usize = ready_by_build
             .iter()
@@ -246,7 +246,7 @@
 
     /// Sorts an arm in the same order at all gateways, then rotates it by an offset that depends on the gateway. This spreads
     /// the gateways' subsets evenly.
-    fn rotate(&self, context: &Context, arm: &mut [EndpointId]) {
+    fn sort_and_rotate(&self, context: &Context, arm: &mut [EndpointId]) {
         let start_ratio = (context.parameters.local_peer.0 as f64 * GOLDEN_RATIO).fract();
         arm.sort_by_cached_key(|id| self.endpoints[id].record.gossip_id);
         let start = (start_ratio * arm.len() as f64) as usize;
@@ -272,7 +272,7 @@
 
     /// Forgets endpoints that were removed long ago, and expired state of the others. Removed endpoints are kept for a while
     /// because complaints may still refer to them.
-    pub(crate) fn forget(&mut self, context: &Context) {
+    pub(crate) fn forget_expired(&mut self, context: &Context) {
         let safety = &context.parameters.safety;
         let retention: TimeDelta = safety.slow_start_window * MEMORY_SLOW_START_WINDOWS;
         let removal_cutoff = context.now - FALLBACK_WAIT - retention;
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -215,7 +215,8 @@
         self.sticky_build_of(Some(key))
     }
 
-    /// Whether an attempt that was recorded at `recorded_at` may still start at `now`. If so, it is recorded again at `now`.
+    /// Whether an attempt that was recorded at `recorded_at` may still start at `now`. Withdraws the earlier record, and records
+    /// an admitted canary attempt again at `now`.
     ///
     /// The exposure limit counts attempts when they reach their endpoint. Many connections may be established late and at the
     /// same time, so the limit is checked again.
--- a/crates/policy/src/periodic.rs
+++ b/crates/policy/src/periodic.rs
@@ -42,8 +42,8 @@
         let cutoff = self.context.now - parameters.rollout.exposure_window - parameters.tick;
         self.exposure.drop_before(cutoff);
         self.slow_start.drop_before(cutoff);
-        self.traffic.forget(&self.context);
-        self.endpoints.forget(&self.context);
+        self.traffic.forget_expired(&self.context);
+        self.endpoints.forget_expired(&self.context);
         if let Some(earliest) = self.endpoints.earliest_build() {
             self.sticky_versions.release_through(earliest);
         }
--- a/crates/policy/src/request_flow.rs
+++ b/crates/policy/src/request_flow.rs
@@ -58,8 +58,8 @@
         }
     }
 
-    /// The oldest build that may serve this key: the newest build that has served it or has an attempt in flight for it. Build 0 if
-    /// every build may serve it.
+    /// The oldest build that may serve this key: the newest build that may have served it or has an attempt in flight for it.
+    /// Build 0 if every build may serve it.
     pub(crate) fn sticky_build_of(&self, key: Option<AffinityKey>) -> BuildId {
         let Some(key) = key else {
             return BuildId(0);
@@ -172,7 +172,7 @@
     pub(crate) fn finish_request(&mut self, id: RequestId, answer: Answer) {
         let can_cancel = self.context.parameters.limits.can_cancel;
         let is_unanswered = self.requests.finish(id, answer, can_cancel);
-        self.traffic.record_end(is_unanswered);
+        self.traffic.record_request_end(is_unanswered);
     }
 
     pub(crate) fn finish_attempt(&mut self, finished: AttemptFinished) {
--- a/crates/policy/src/traffic.rs
+++ b/crates/policy/src/traffic.rs
@@ -63,7 +63,7 @@
     }
 
     /// Records the end of a request. `is_unanswered` means that its client got no response from an endpoint.
-    pub fn record_end(&mut self, is_unanswered: bool) {
+    pub fn record_request_end(&mut self, is_unanswered: bool) {
         self.expected_retries += f64::from(is_unanswered);
     }
 
@@ -100,7 +100,7 @@
     }
 
     /// Forgets traffic that is older than any window in use.
-    pub fn forget(&mut self, context: &Context) {
+    pub fn forget_expired(&mut self, context: &Context) {
         let kept = context.traffic_window() * KEPT_TRAFFIC_WINDOWS;
         self.group.drop_before(context.now - kept);
     }
