--- a/crates/simulator-adapter/src/commands.rs
+++ b/crates/simulator-adapter/src/commands.rs
@@ -1,10 +1,11 @@
-//! From the policy's actions to the wire's commands. The wire's names for what goes out end here.
+//! Converts the policy's actions to the simulator's commands. Command names are used only in this file.
 
 use harrierdock_config::Names;
 use harrierdock_types::{gossip, Action, RequestId, RolloutDecision, TimeDelta};
 use serde_json::{json, Value};
 
-const ALARM_NAME: &str = "due";
+/// Name of an instance's only timer.
+const TIMER_NAME: &str = "due";
 const ALL_PEERS: &str = "all";
 
 fn decision_number(decision: RolloutDecision) -> u8 {
@@ -16,16 +17,16 @@
     }
 }
 
-fn request_name(id: RequestId) -> String {
+fn format_request_id(id: RequestId) -> String {
     format!("{:016x}", id.0)
 }
 
-fn microseconds(delta: Option<TimeDelta>) -> Option<i64> {
+fn as_microseconds(delta: Option<TimeDelta>) -> Option<i64> {
     delta.map(|delta| delta.0)
 }
 
-/// Writes an action of an instance.
-pub(crate) fn command(instance: i64, names: &Names, action: Action) -> Value {
+/// Encodes an action of an instance as a command.
+pub(crate) fn encode_command(instance: i64, names: &Names, action: Action) -> Value {
     match action {
         Action::StartAttempt {
             id,
@@ -33,20 +34,26 @@
             timeout,
         } => {
             let endpoint = names.endpoints.name(endpoint).unwrap_or_default();
-            json!(["ROUTE", instance, request_name(id), endpoint, timeout.0])
+            json!([
+                "ROUTE",
+                instance,
+                format_request_id(id),
+                endpoint,
+                timeout.0
+            ])
         }
         Action::CancelAttempt { id, attempt } => {
-            json!(["RECALL", instance, request_name(id), attempt])
+            json!(["RECALL", instance, format_request_id(id), attempt])
         }
         Action::Reject { id, retry_after } => {
             json!([
                 "NOT_NOW",
                 instance,
-                request_name(id),
-                microseconds(retry_after)
+                format_request_id(id),
+                as_microseconds(retry_after)
             ])
         }
-        Action::Fail { id } => json!(["RESPOND_ERROR", instance, request_name(id)]),
+        Action::Fail { id } => json!(["RESPOND_ERROR", instance, format_request_id(id)]),
         Action::Vote {
             build,
             stage,
@@ -70,6 +77,6 @@
             json!(["TELL", instance, ALL_PEERS, gossip::encode(&message)])
         }
         Action::WatchEndpoints => json!(["LISTEN", instance, true]),
-        Action::SetTimer { after } => json!(["SET_ALARM", instance, ALARM_NAME, after.0]),
+        Action::SetTimer { after } => json!(["SET_ALARM", instance, TIMER_NAME, after.0]),
     }
 }
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -1,133 +1,133 @@
-//! What may be wrong with the input.
+//! Errors of the adapter.
 
 use std::io;
 
 use harrierdock_config::SettingsError;
 use thiserror::Error;
 
-/// Why the adapter ends. Lines are counted from 1.
+/// Why the adapter terminated. Lines are numbered from 1.
 #[derive(Debug, Error)]
 pub enum ServeError {
     /// A line cannot be read.
     #[error("line {line}: cannot be read: {source}")]
     Read {
-        /// The line.
+        /// The number of the line.
         line: usize,
-        /// Why.
+        /// The I/O error.
         source: io::Error,
     },
     /// A batch is malformed.
     #[error("line {line}: {source}")]
     Batch {
-        /// The line.
+        /// The number of the line.
         line: usize,
-        /// Why.
+        /// The defect of the batch.
         source: BatchError,
     },
     /// A reply cannot be written.
     #[error("line {line}: the reply cannot be written: {source}")]
     Write {
-        /// The line of the batch.
+        /// The number of the batch's line.
         line: usize,
-        /// Why.
+        /// The I/O error.
         source: io::Error,
     },
 }
 
-/// What is wrong with a batch. Events are counted from 1.
+/// Why a batch was rejected. Events are numbered from 1.
 #[derive(Debug, Error)]
 pub enum BatchError {
-    /// It is not JSON.
+    /// The line is not valid JSON.
     #[error("not JSON: {0}")]
     NotJson(#[from] serde_json::Error),
-    /// It has no time.
+    /// The batch has no integer `ts`, the time of its events.
     #[error("the batch has no clock 'ts'")]
-    NoClock,
-    /// It has no events.
+    MissingTimestamp,
+    /// The batch has no array `input`, the list of its events.
     #[error("the batch has no array 'input'")]
-    NoInput,
+    MissingEvents,
     /// An event is not an array.
     #[error("event {event}: not an array")]
     NotAnArray {
-        /// The event.
+        /// The number of the event.
         event: usize,
     },
     /// An event has no name.
     #[error("event {event}: {source}")]
-    Unnamed {
-        /// The event.
+    MissingName {
+        /// The number of the event.
         event: usize,
-        /// Why.
+        /// Why the name cannot be read.
         source: EventError,
     },
     /// An event is malformed.
     #[error("event {event} ({name}): {source}")]
     Event {
-        /// The event.
+        /// The number of the event.
         event: usize,
-        /// Its name.
+        /// The name of the event.
         name: String,
-        /// Why.
+        /// The defect of the event.
         source: EventError,
     },
 }
 
-/// What is wrong with an event. Values are counted from 0, the event's name included.
+/// Why an event was rejected. Values are numbered from 0, the event's name included.
 #[derive(Debug, Error)]
 pub enum EventError {
-    /// No event has this name.
+    /// The name of the event is unknown.
     #[error("unknown event")]
     UnknownEvent,
-    /// A value is not of its type.
+    /// A value has the wrong type.
     #[error("value {at} is not {expected}")]
     WrongValue {
-        /// The value.
+        /// The index of the value.
         at: usize,
-        /// What it should be.
+        /// The expected type.
         expected: &'static str,
     },
-    /// A value is not a build.
+    /// A value is not a build number of 32 bits.
     #[error("value {at} is no build")]
-    NoBuild {
-        /// The value.
+    InvalidBuild {
+        /// The index of the value.
         at: usize,
     },
-    /// A value is not a seed.
+    /// A value is not a seed, an integer of 64 bits.
     #[error("value {at} is no seed")]
-    NoSeed {
-        /// The value.
+    InvalidSeed {
+        /// The index of the value.
         at: usize,
     },
-    /// A word is not among those that the wire knows.
+    /// A value is not one of the words allowed in its place.
     #[error("unknown {what} '{word}'")]
     UnknownWord {
-        /// What the word stands for.
+        /// The kind of word, such as `outcome`.
         what: &'static str,
-        /// The word.
+        /// The unknown word.
         word: String,
     },
-    /// An endpoint was on no list.
+    /// An event names an endpoint that no endpoint list has contained.
     #[error("server {name} was on no list")]
     UnknownEndpoint {
-        /// Its name.
+        /// The name of the endpoint.
         name: String,
     },
-    /// A line of a list is not an array.
+    /// An entry of an endpoint list is not an array.
     #[error("a list line is not an array")]
-    ListLineNotAnArray,
-    /// A list is named that was not sent.
+    ListEntryNotAnArray,
+    /// An event refers to an endpoint list that was not sent.
     #[error("no list {list} was sent")]
     UnknownList {
-        /// Its number.
+        /// The number of the list.
         list: i64,
     },
-    /// An instance is named that does not run.
+    /// An event refers to an instance that does not run.
     #[error("no instance {instance} runs")]
     UnknownInstance {
-        /// Its number.
+        /// The number of the instance.
         instance: i64,
     },
-    /// The settings of an instance are refused.
+    /// The settings of an instance are invalid.
     #[error("options: {0}")]
     Settings(#[from] SettingsError),
 }
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -1,4 +1,4 @@
-//! The instances of one process. They share nothing but the endpoint lists as they were sent.
+//! The simulated gateways of one process, called instances. They share only the endpoint lists that the simulator has sent.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,7 @@
 use harrierdock_types::Timestamp;
 use serde_json::{json, Value};
 
-use crate::commands::command;
+use crate::commands::encode_command;
 use crate::error::{BatchError, EventError};
 use crate::inputs::EventReader;
 use crate::row::Row;
@@ -17,7 +17,7 @@
     names: Names,
 }
 
-/// All instances, by the numbers that the simulator gave them.
+/// All instances and endpoint lists, by the numbers that the simulator assigned to them.
 #[derive(Default)]
 pub(crate) struct Host {
     instances: BTreeMap<i64, Instance>,
@@ -25,18 +25,18 @@
 }
 
 impl Host {
-    /// Carries out one batch and returns the reply.
-    pub(crate) fn answer_batch(&mut self, line: &str) -> Result<Value, BatchError> {
+    /// Handles one batch of events and returns the reply with the resulting commands.
+    pub(crate) fn handle_batch(&mut self, line: &str) -> Result<Value, BatchError> {
         let batch: Value = serde_json::from_str(line)?;
-        let now = batch["ts"].as_i64().ok_or(BatchError::NoClock)?;
-        let events = batch["input"].as_array().ok_or(BatchError::NoInput)?;
+        let now = batch["ts"].as_i64().ok_or(BatchError::MissingTimestamp)?;
+        let events = batch["input"].as_array().ok_or(BatchError::MissingEvents)?;
         let mut commands = Vec::new();
         for (index, event) in events.iter().enumerate() {
             let number = index + 1;
             let row = Row(event
                 .as_array()
                 .ok_or(BatchError::NotAnArray { event: number })?);
-            let name = row.text(0).map_err(|source| BatchError::Unnamed {
+            let name = row.text(0).map_err(|source| BatchError::MissingName {
                 event: number,
                 source,
             })?;
@@ -66,11 +66,11 @@
     }
 
     fn store_list(&mut self, row: Row<'_>) -> Result<(), EventError> {
-        let lines = row.value(2).as_array().ok_or(EventError::WrongValue {
+        let entries = row.value(2).as_array().ok_or(EventError::WrongValue {
             at: 2,
             expected: "a list",
         })?;
-        self.lists.insert(row.integer(1)?, lines.clone());
+        self.lists.insert(row.integer(1)?, entries.clone());
         Ok(())
     }
 
@@ -80,7 +80,7 @@
         let seed = seed
             .as_u64()
             .or_else(|| seed.as_i64().map(|seed| seed as u64));
-        let seed = seed.ok_or(EventError::NoSeed { at: 2 })?;
+        let seed = seed.ok_or(EventError::InvalidSeed { at: 2 })?;
         let (parameters, names) = harrierdock_config::read(row.value(3))?;
         self.instances.insert(
             number,
@@ -113,16 +113,16 @@
             .get_mut(&number)
             .ok_or(EventError::UnknownInstance { instance: number })?;
         let lists = &self.lists;
-        let list = |number| lists.get(&number).map(Vec::as_slice);
+        let find_list = |number| lists.get(&number).map(Vec::as_slice);
         let mut reader = EventReader {
             names: &mut instance.names,
             now,
         };
-        let Some(event) = reader.read(name, row, list)? else {
+        let Some(event) = reader.read(name, row, find_list)? else {
             return Ok(());
         };
         for action in instance.policy.handle(Timestamp(now), event) {
-            commands.push(command(number, &instance.names, action));
+            commands.push(encode_command(number, &instance.names, action));
         }
         Ok(())
     }
--- a/crates/simulator-adapter/src/inputs.rs
+++ b/crates/simulator-adapter/src/inputs.rs
@@ -1,4 +1,4 @@
-//! From the wire's events to the policy's. The wire's names for what comes in end here.
+//! Converts the simulator's events to the policy's events. Event names are used only in this file and in `host`.
 
 use harrierdock_config::{gossip_id, Names};
 use harrierdock_types::{
@@ -15,7 +15,7 @@
 const PHASE_RELEASED: i64 = 2;
 const PHASE_ROLLED_BACK: i64 = 3;
 
-/// Reads the events of one instance.
+/// Converts the events of one instance.
 pub(crate) struct EventReader<'a> {
     pub(crate) names: &'a mut Names,
     /// The time of the batch, in microseconds.
@@ -23,17 +23,17 @@
 }
 
 impl EventReader<'_> {
-    /// Reads an event. `None` if it is a gossip message of another version, which says nothing.
+    /// Converts an event. `None` for a gossip message that cannot be decoded, because it is of another version or malformed.
     ///
-    /// `list` finds the lines of an endpoint list by its number.
+    /// `find_list` returns the entries of an endpoint list by its number.
     pub(crate) fn read<'l>(
         &mut self,
         name: &str,
         row: Row<'_>,
-        list: impl Fn(i64) -> Option<&'l [Value]>,
+        find_list: impl Fn(i64) -> Option<&'l [Value]>,
     ) -> Result<Option<Event>, EventError> {
         let event = match name {
-            "TARGETS" => self.endpoints_updated(row, list)?,
+            "TARGETS" => self.endpoints_updated(row, find_list)?,
             "WORK_ITEM" => self.request_received(row)?,
             "ABANDONED" => Event::ClientDisconnected {
                 id: RequestId(row.hex(2)?),
@@ -42,7 +42,7 @@
             "CLOSED_ATTEMPT" => self.attempt_finished(row)?,
             "PING_RESULT" => self.probe_finished(row)?,
             "STAGE" => rollout_updated(row)?,
-            "PLATFORM_SAW" => self.platform_tally(row)?,
+            "PLATFORM_SAW" => self.platform_counts(row)?,
             "BAD_ANSWER" => self.complaint_received(row)?,
             "MAIL" => return gossip_received(row),
             "WAKEUP" => Event::TimerFired,
@@ -56,7 +56,7 @@
         self.names
             .classes
             .id(name)
-            .ok_or_else(|| unknown("class", name))
+            .ok_or_else(|| unknown_word("class", name))
     }
 
     fn endpoint(&self, row: Row<'_>, at: usize) -> Result<EndpointId, EventError> {
@@ -70,33 +70,33 @@
     fn endpoints_updated<'l>(
         &mut self,
         row: Row<'_>,
-        list: impl Fn(i64) -> Option<&'l [Value]>,
+        find_list: impl Fn(i64) -> Option<&'l [Value]>,
     ) -> Result<Event, EventError> {
         let kind = match row.text(2)? {
             "Partial" => UpdateKind::Delta,
             "Complete" => UpdateKind::Snapshot,
             "Persisted" => UpdateKind::Cached,
             "Error" => UpdateKind::Failed,
-            word => return Err(unknown("scope", word)),
+            word => return Err(unknown_word("scope", word)),
         };
         let mut endpoints = Vec::new();
         if kind != UpdateKind::Failed {
             let number = row.integer(4)?;
-            let lines = list(number).ok_or(EventError::UnknownList { list: number })?;
-            for line in lines {
-                endpoints.push(self.endpoint_record(line)?);
+            let entries = find_list(number).ok_or(EventError::UnknownList { list: number })?;
+            for entry in entries {
+                endpoints.push(self.endpoint_record(entry)?);
             }
         }
         Ok(Event::EndpointsUpdated { kind, endpoints })
     }
 
-    fn endpoint_record(&mut self, line: &Value) -> Result<EndpointRecord, EventError> {
-        let row = Row(line.as_array().ok_or(EventError::ListLineNotAnArray)?);
+    fn endpoint_record(&mut self, entry: &Value) -> Result<EndpointRecord, EventError> {
+        let row = Row(entry.as_array().ok_or(EventError::ListEntryNotAnArray)?);
         let started_at = row.integer_or_zero(7);
         let build = row
             .integer(0)?
             .try_into()
-            .map_err(|_| EventError::NoBuild { at: 0 })?;
+            .map_err(|_| EventError::InvalidBuild { at: 0 })?;
         Ok(EndpointRecord {
             build: BuildId(build),
             endpoint: self.names.endpoints.get_or_assign(row.text(1)?),
@@ -107,7 +107,7 @@
                 "Running" => Lifecycle::Ready,
                 "Stopping" => Lifecycle::Draining,
                 "Deleted" => Lifecycle::Removed,
-                word => return Err(unknown("lifecycle", word)),
+                word => return Err(unknown_word("lifecycle", word)),
             },
             weight: row.value(6).as_f64().unwrap_or(1.0),
             age: (started_at > 0).then(|| TimeDelta((self.now - started_at).max(0))),
@@ -140,15 +140,15 @@
         })
     }
 
-    /// Probes are read and checked; no decision reads their results.
+    /// Probe results are validated, but no decision uses them.
     fn probe_finished(&self, row: Row<'_>) -> Result<Event, EventError> {
         attempt_outcome(row.text(2)?)?;
         self.endpoint(row, 3)?;
         Ok(Event::Unused)
     }
 
-    /// The platform's tallies are read and checked; no decision reads them.
-    fn platform_tally(&self, row: Row<'_>) -> Result<Event, EventError> {
+    /// The counts that the platform reports are validated, but no decision uses them.
+    fn platform_counts(&self, row: Row<'_>) -> Result<Event, EventError> {
         row.integer(2)?;
         row.count(3)?;
         row.count(4)?;
@@ -166,7 +166,7 @@
     }
 }
 
-fn unknown(what: &'static str, word: &str) -> EventError {
+fn unknown_word(what: &'static str, word: &str) -> EventError {
     EventError::UnknownWord {
         what,
         word: word.into(),
@@ -183,7 +183,7 @@
         "reset" => AttemptOutcome::Reset,
         "cancelled" => AttemptOutcome::Cancelled,
         "moot" => AttemptOutcome::NotSent,
-        word => return Err(unknown("outcome", word)),
+        word => return Err(unknown_word("outcome", word)),
     })
 }
 
@@ -200,7 +200,7 @@
         "full" => PlatformStatus::Overloaded,
         "error" => PlatformStatus::ServerError,
         "timeout" => PlatformStatus::TimedOut,
-        word => return Err(unknown("word", word)),
+        word => return Err(unknown_word("word", word)),
     };
     let phase = match row.integer_or_zero(4) {
         PHASE_ROLLING_BACK => RolloutPhase::RollingBack,
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -1,5 +1,5 @@
-//! Runs the policies of many gateways behind the simulator's wire: one batch of events a line comes in, one line of commands
-//! goes out. The wire's names end in `inputs` and `commands`.
+//! Runs the policies of many gateways for a simulator. Each input line is a batch of events in JSON; each output line holds the
+//! resulting commands. Only `inputs`, `commands` and `host` use the simulator's names.
 
 #![warn(missing_docs, unreachable_pub)]
 
@@ -15,11 +15,11 @@
 
 use host::Host;
 
-/// Answers every batch of the input until it ends. Empty lines are ignored.
+/// Replies to every batch until the input ends. Empty lines are ignored.
 ///
 /// # Errors
 ///
-/// The first line that cannot be read, is malformed, or whose reply cannot be written.
+/// Fails on the first line that cannot be read, is malformed, or whose reply cannot be written.
 pub fn serve(input: impl BufRead, mut output: impl Write) -> Result<(), ServeError> {
     let mut host = Host::default();
     for (index, line) in input.lines().enumerate() {
@@ -32,7 +32,7 @@
             continue;
         }
         let reply = host
-            .answer_batch(&line)
+            .handle_batch(&line)
             .map_err(|source| ServeError::Batch {
                 line: number,
                 source,
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,5 +1,5 @@
-//! `harrierdock-simulator-adapter`: the policies of many gateways behind the simulator's wire, on standard input and output.
-//! Exits with 2 and one line on standard error if the input is malformed.
+//! `harrierdock-simulator-adapter`: runs the policies of many gateways for a simulator, over standard input and output. If the
+//! input is malformed, it prints one line on standard error and exits with status 2.
 
 use std::io;
 use std::process::ExitCode;
--- a/crates/simulator-adapter/src/row.rs
+++ b/crates/simulator-adapter/src/row.rs
@@ -1,4 +1,4 @@
-//! An event of the wire: an array of values, the name first.
+//! Access to the values of an event or of an endpoint list entry, both of which are JSON arrays.
 
 use serde_json::Value;
 
@@ -6,7 +6,7 @@
 
 const HEX_DIGITS: usize = 16;
 
-/// An event's values by their place. A value that is missing counts as null.
+/// The values of an array, by index. A missing value is read as null.
 #[derive(Clone, Copy)]
 pub(crate) struct Row<'a>(pub(crate) &'a [Value]);
 
@@ -44,7 +44,7 @@
         })
     }
 
-    /// A number in 16 hexadecimal digits, small letters only.
+    /// Reads a number of exactly 16 lowercase hexadecimal digits.
     pub(crate) fn hex(self, at: usize) -> Result<u64, EventError> {
         let wrong = EventError::WrongValue {
             at,
--- a/crates/types/src/gossip/codec.rs
+++ b/crates/types/src/gossip/codec.rs
@@ -71,13 +71,13 @@
 fn digit_value(digit: u8) -> Option<u64> {
     DIGITS
         .iter()
-        .position(|known| *known == digit)
+        .position(|candidate| *candidate == digit)
         .map(|value| value as u64)
 }
 
 fn push_digits(bits: u64, count: usize, text: &mut String) {
-    for place in (0..count).rev() {
-        let digit = bits >> (DIGIT_BITS * place) & mask(DIGIT_BITS as u32);
+    for position in (0..count).rev() {
+        let digit = bits >> (DIGIT_BITS * position) & mask(DIGIT_BITS as u32);
         text.push(char::from(DIGITS[digit as usize]));
     }
 }
@@ -109,16 +109,16 @@
 
 fn decode_outcome_report(text: &[u8]) -> Option<OutcomeReport> {
     let mut bits = parse_digits(text, OUTCOME_REPORT_DIGITS)?;
-    let mut take = |width: u32| {
+    let mut take_bits = |width: u32| {
         let part = bits & mask(width);
         bits >>= width;
         part
     };
-    let step = take(LATENCY_BITS) as f64 - 0.5 - OBJECTIVE_STEP;
-    let event = *EVENTS.get(take(EVENT_BITS) as usize)?;
-    let class = ClassId(take(CLASS_BITS) as usize);
-    let build = BuildId(take(BUILD_BITS) as u32);
-    let gossip_id = GossipId(take(GOSSIP_ID_BITS) as u16);
+    let step = take_bits(LATENCY_BITS) as f64 - 0.5 - OBJECTIVE_STEP;
+    let event = *EVENTS.get(take_bits(EVENT_BITS) as usize)?;
+    let class = ClassId(take_bits(CLASS_BITS) as usize);
+    let build = BuildId(take_bits(BUILD_BITS) as u32);
+    let gossip_id = GossipId(take_bits(GOSSIP_ID_BITS) as u16);
     Some(OutcomeReport {
         gossip_id,
         build,
