--- a/crates/policy/src/control_plane.rs
+++ b/crates/policy/src/control_plane.rs
@@ -1,4 +1,4 @@
-//! What endpoint lists, rollout updates and complaints change in the parts of a policy.
+//! Applies endpoint lists, rollout updates, sticky versions of other sites and complaints to the state of the policy.
 
 use harrierdock_types::{
     AffinityKey, BuildId, ClassId, EndpointId, EndpointRecord, OutcomeReport, PlatformStatus,
@@ -34,7 +34,7 @@
     pub(crate) fn update_rollout(&mut self, update: RolloutUpdate) {
         if update.answers_vote {
             self.voter
-                .vote_answered(&self.context, update.status, &mut self.rng);
+                .handle_vote_answer(&self.context, update.status, &mut self.rng);
         }
         if update.status != PlatformStatus::Valid {
             return;
@@ -62,7 +62,7 @@
         });
     }
 
-    /// Keeps a key with a build that has answered it at another site (departure J in docs/design.md).
+    /// Makes a key stick to a build that answered it at another site (departure J in docs/design.md).
     pub(crate) fn learn_sticky_version(&mut self, key: AffinityKey, build: BuildId) {
         if self.context.parameters.rollout.monotonic_versions {
             self.sticky_versions.keep(key, build);
--- a/crates/policy/src/elimination_votes.rs
+++ b/crates/policy/src/elimination_votes.rs
@@ -1,5 +1,4 @@
-//! The elimination votes of this gateway's gossip group and of others (departures B and H in docs/design.md). Owns the votes of
-//! the current stage.
+//! The elimination votes of all gossip groups (departures B and H in docs/design.md). Owns the votes of the current stage.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +9,7 @@
 use crate::per_arm::PerArm;
 use crate::rollout_state::RolloutStage;
 
-/// How often a held elimination vote is sent.
+/// How often this gateway's elimination votes are sent to its peers.
 const SEND_INTERVAL: TimeDelta = TimeDelta(1_000_000);
 
 /// The elimination votes of one stage, by arm and gossip group.
@@ -21,33 +20,34 @@
 }
 
 impl EliminationVotes {
-    /// Counts a vote of this many factors of η. Only aggregators vote, and each holds the highest weight it has voted with.
+    /// Counts a vote; its weight is a power of η. Only votes of aggregators count, each with the highest weight it has had.
     pub fn record(&mut self, context: &Context, arm: Arm, from: PeerId, weight: usize) {
         let is_aggregator =
             from.0 < context.parameters.gateway_count && context.gossip_group_of(from) == from;
         if weight > 0 && is_aggregator {
-            let held = self.weights.get_mut(arm).entry(from).or_default();
-            *held = weight.max(*held);
+            let highest = self.weights.get_mut(arm).entry(from).or_default();
+            *highest = weight.max(*highest);
         }
     }
 
-    /// Whether the votes against an arm make up a ratio of the weight that δ asks for, from half of the groups, at least one.
+    /// Whether the votes against an arm reach `ratio` of the weight that δ requires. At least half of the groups, and at least
+    /// one, must have voted.
     ///
-    /// Where four groups or more vote, one makes up half of the weight at the most, however sure it is: its trouble may be its
-    /// own. A gateway without gossip is the only voter (departure L).
-    pub fn eliminate(&self, context: &Context, arm: Arm, ratio: f64) -> bool {
+    /// Where four or more groups vote, one group contributes at most half of the weight, whatever its confidence: the cause may
+    /// be local to it. A gateway without gossip is the only voter (departure L).
+    pub fn is_eliminated(&self, context: &Context, arm: Arm, ratio: f64) -> bool {
         let weights = self.weights.get(arm);
-        let needed = (DELTA.ln() / ETA.ln()).floor();
-        let voters = (context.voting_group_count() / 2).max(1);
-        let max_weight = needed / voters.min(2) as f64;
+        let required_weight = (DELTA.ln() / ETA.ln()).floor();
+        let min_voters = (context.voting_group_count() / 2).max(1);
+        let max_weight = required_weight / min_voters.min(2) as f64;
         let total = weights
             .values()
             .map(|weight| max_weight.min(*weight as f64))
             .sum::<f64>();
-        weights.len() >= voters && total >= needed * ratio
+        weights.len() >= min_voters && total >= required_weight * ratio
     }
 
-    /// Sends this gateway's votes to all, once in an interval while it holds any.
+    /// Sends this gateway's votes to all peers once per [`SEND_INTERVAL`].
     pub(crate) fn emit(
         &mut self,
         context: &Context,
--- a/crates/policy/src/exposure_limiter.rs
+++ b/crates/policy/src/exposure_limiter.rs
@@ -1,11 +1,11 @@
-//! How much of the traffic goes to builds that are not released. Owns the requests and canary attempts of the exposure window.
+//! Limits the share of traffic that goes to unreleased builds. Owns the requests and canary attempts of the exposure window.
 
 use harrierdock_types::{BuildId, ClassId, ExposureCounting, Timestamp};
 
 use crate::context::Context;
 use crate::sliding_window::SlidingWindow;
 
-/// An attempt at a build that is not released.
+/// An attempt at an endpoint with an unreleased build.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CanaryAttempt {
     /// The class of the request.
@@ -22,48 +22,48 @@
 }
 
 impl ExposureLimiter {
-    /// Counts a request.
+    /// Counts a request of any build towards the total that the exposure limit applies to.
     pub fn record_request(&mut self, now: Timestamp, class: ClassId) {
         self.received.push(now, class);
     }
 
-    /// How many requests the window holds.
+    /// Number of requests in the window.
     pub fn received_count(&self) -> usize {
         self.received.len()
     }
 
-    /// Counts an attempt.
+    /// Counts an attempt towards the share of its build.
     pub fn record_attempt(&mut self, now: Timestamp, attempt: CanaryAttempt) {
         self.attempts.push(now, attempt);
     }
 
-    /// Takes back an attempt that was counted at this time.
+    /// Removes an attempt that was counted at `at`.
     pub fn withdraw_attempt(&mut self, at: Timestamp, attempt: CanaryAttempt) {
         self.attempts.remove(at, &attempt);
     }
 
-    /// Whether one more attempt fits. It must fit the window that ends now, and those that end a tick of the platform's clock
-    /// before or after.
+    /// Whether one more attempt is within the limit. The window that ends now must admit it, and so must the windows that end
+    /// one tick of the platform's clock earlier and later.
     pub fn allows(&self, context: &Context, attempt: CanaryAttempt, exposure_limit: f64) -> bool {
         if exposure_limit <= 0.0 {
             return false;
         }
         let rollout = &context.parameters.rollout;
         let tick = context.parameters.tick;
-        let counts = |class: ClassId| {
+        let is_counted = |class: ClassId| {
             rollout.exposure_counting == ExposureCounting::Combined || class == attempt.class
         };
         let edge = context.now - rollout.exposure_window;
         let sent = self.attempts.count_after(edge - tick - tick, |other| {
-            other.build == attempt.build && counts(other.class)
+            other.build == attempt.build && is_counted(other.class)
         });
         let received = self
             .received
-            .count_after(edge + tick, |class| counts(*class));
+            .count_after(edge + tick, |class| is_counted(*class));
         sent + 1.0 <= rollout.exposure_allowance + exposure_limit * received
     }
 
-    /// Forgets what was counted before this time.
+    /// Drops requests and attempts counted before `edge`.
     pub fn drop_before(&mut self, edge: Timestamp) {
         self.received.drop_before(edge);
         self.attempts.drop_before(edge);
--- a/crates/policy/src/fleet_view.rs
+++ b/crates/policy/src/fleet_view.rs
@@ -1,4 +1,4 @@
-//! A read-only view of the parts that together say how the endpoints are. Owns nothing.
+//! A read-only view of the state that determines the health of the endpoints. Owns nothing.
 
 use harrierdock_types::{Arm, BuildId, TimeDelta};
 
@@ -8,12 +8,12 @@
 use crate::rollout_state::RolloutState;
 use crate::zone_ejection::ZoneEjection;
 
-/// Share of the fleet that must be there and warm before worse service is held against a build.
-const CALM_CAPACITY_RATIO: f64 = 0.9;
-/// Traffic is higher than usual if this part of it, less its own chance variation, is above the usual.
-const CALM_TRAFFIC_RATIO: f64 = 0.7;
+/// Share of the fleet that must be reachable and warm for worse service to be attributed to a build.
+const UNDISTURBED_CAPACITY_RATIO: f64 = 0.9;
+/// Traffic is higher than usual if this share of it, after subtracting its random variation, exceeds the usual traffic.
+const UNDISTURBED_TRAFFIC_RATIO: f64 = 0.7;
 
-/// How the endpoints are, at one moment.
+/// The state of the endpoints at one moment.
 #[derive(Clone, Copy)]
 pub(crate) struct FleetView<'a> {
     pub(crate) context: &'a Context,
@@ -26,44 +26,47 @@
 }
 
 impl FleetView<'_> {
-    /// Whether a build is not released.
+    /// Whether a build is unreleased.
     pub(crate) fn is_canary(&self, build: BuildId) -> bool {
         self.rollout.is_canary(build, self.endpoints)
     }
 
     /// Whether an endpoint is neither ejected, alone or with its zone, nor unresponsive.
     ///
-    /// An endpoint of a canary that is not eliminated is not ejected alone (departure G in docs/design.md): a build that fails
-    /// everything would else give too few outcomes to be eliminated, and be promoted after the fallback wait.
+    /// Endpoints of a canary are ejected only with their zone until the canary is eliminated (departure G in docs/design.md).
+    /// Otherwise a build that fails every request would yield too few outcomes to be eliminated, and be promoted after the
+    /// fallback wait.
     pub(crate) fn is_healthy(&self, endpoint: &Endpoint) -> bool {
         let now = self.context.now;
-        let is_judged = self.is_canary(endpoint.record.build)
-            && !self.eliminations.eliminate(self.context, Arm::Canary, 1.0);
-        (is_judged || !endpoint.health.is_ejected(now))
+        let is_active_canary = self.is_canary(endpoint.record.build)
+            && !self
+                .eliminations
+                .is_eliminated(self.context, Arm::Canary, 1.0);
+        (is_active_canary || !endpoint.health.is_ejected(now))
             && !self.zones.is_ejected(endpoint.record.zone, now)
             && !endpoint.health.is_unresponsive(now, self.mean_latency)
     }
 
-    /// The attempts that may yet be answered: those at healthy endpoints. Where no other gateway reports attempts, also those at
-    /// unresponsive ones that are not ejected, as overload silences all that one gateway meets.
+    /// Number of attempts in flight at healthy endpoints. Without gossip, attempts at unresponsive endpoints that are not ejected
+    /// count too, because overload can make every endpoint that one gateway uses unresponsive.
     pub(crate) fn in_flight(&self) -> usize {
         let now = self.context.now;
         let gossip_enabled = self.context.parameters.limits.gossip_enabled;
-        let counts = |endpoint: &Endpoint| {
+        let is_counted = |endpoint: &Endpoint| {
             let is_ejected =
                 endpoint.health.is_ejected(now) || self.zones.is_ejected(endpoint.record.zone, now);
             (!gossip_enabled && !is_ejected) || self.is_healthy(endpoint)
         };
         self.endpoints
             .iter()
-            .filter(|endpoint| counts(endpoint))
+            .filter(|endpoint| is_counted(endpoint))
             .map(|endpoint| endpoint.load.in_flight())
             .sum()
     }
 
-    /// Whether no cause of worse service shows but the build: as many endpoints as ever are there, warm and reachable, no zone is
-    /// silent, and there is no more traffic than usual.
-    pub(crate) fn is_calm(&self, recent_first_tries: f64, usual_first_tries: f64) -> bool {
+    /// Whether worse service has no visible cause but the build: nearly the whole fleet is warm and reachable, no zone is ejected,
+    /// and there is no more traffic than usual.
+    pub(crate) fn is_undisturbed(&self, recent_first_tries: f64, usual_first_tries: f64) -> bool {
         let now = self.context.now;
         let warm_endpoints: f64 = self
             .endpoints
@@ -71,9 +74,9 @@
             .filter(|endpoint| endpoint.is_ready() && !endpoint.health.is_unreachable(now))
             .map(|endpoint| endpoint.capacity_ratio(self.context))
             .sum();
-        let least_traffic = recent_first_tries - recent_first_tries.sqrt();
-        warm_endpoints >= CALM_CAPACITY_RATIO * self.endpoints.fleet_size() as f64
-            && CALM_TRAFFIC_RATIO * least_traffic <= usual_first_tries
+        let min_traffic = recent_first_tries - recent_first_tries.sqrt();
+        warm_endpoints >= UNDISTURBED_CAPACITY_RATIO * self.endpoints.fleet_size() as f64
+            && UNDISTURBED_TRAFFIC_RATIO * min_traffic <= usual_first_tries
             && now >= self.zones.last_ejected_until()
     }
 }
--- a/crates/policy/src/gossip_group.rs
+++ b/crates/policy/src/gossip_group.rs
@@ -1,5 +1,5 @@
-//! What the gateways of a gossip group report to each other (departures H and I in docs/design.md). Owns the members' last
-//! reports and what has not been sent yet.
+//! The reports that gateways of a gossip group send each other (departures H and I in docs/design.md). Owns the members' last
+//! reports and this gateway's unsent outcomes.
 
 use std::collections::BTreeMap;
 
@@ -15,52 +15,52 @@
 
 /// How often reports are sent, as a ratio to the shortest latency objective.
 const REPORT_INTERVAL_RATIO: f64 = 0.25;
-/// How often latencies are reported where nothing is urgent.
+/// How often latencies are reported without load to shed or a new ejection.
 const LATENCY_REPORT_INTERVAL: TimeDelta = TimeDelta(2_000_000);
 /// The latency ratio that stands for an ejected endpoint.
 const EJECTED_LATENCY_RATIO: f64 = 1000.0;
-/// A member counts after it has reported without a gap for this many latency objectives: before, what it has in flight was not
-/// reported as answered.
+/// A member's attempts count once it has reported without interruption for this many latency objectives. Until then the
+/// reported traffic holds no answers to the attempts that it has in flight.
 const MEMBER_SETTLING_RATIO: f64 = 1.5;
 
-/// A member of the group.
+/// The last report of a group member.
 #[derive(Clone, Copy, Debug)]
 struct Member {
-    /// Since when it reports without a gap.
-    since: Timestamp,
+    /// Since when it has reported without interruption.
+    reporting_since: Timestamp,
     last_report: Timestamp,
     in_flight: usize,
 }
 
-/// This gateway's part in its gossip group.
+/// This gateway's state in its gossip group, as a member or as the aggregator.
 #[derive(Debug, Default)]
 pub(crate) struct GossipGroup {
     members: BTreeMap<PeerId, Member>,
     unsent_outcomes: Vec<OutcomeReport>,
     outcomes_sent_at: Timestamp,
     latencies_sent_at: Timestamp,
-    /// How many ejected endpoints were reported last.
+    /// Number of ejected endpoints in the last latency report.
     reported_ejections: usize,
 }
 
 impl GossipGroup {
-    /// Notes that a member has reported.
+    /// Records a member's report with its number of attempts in flight.
     pub(crate) fn record_report(&mut self, context: &Context, from: PeerId, in_flight: usize) {
         let now = context.now;
-        let max_gap = context.shortest_latency_objective();
-        let since = match self.members.get(&from) {
-            Some(member) if now - member.last_report < max_gap => member.since,
+        let max_interval = context.shortest_latency_objective();
+        let reporting_since = match self.members.get(&from) {
+            Some(member) if now - member.last_report < max_interval => member.reporting_since,
             _ => now,
         };
         let member = Member {
-            since,
+            reporting_since,
             last_report: now,
             in_flight,
         };
         self.members.insert(from, member);
     }
 
-    /// The queue of the group's attempts. `None` at members, and in groups of one: there the concurrency limits do without.
+    /// The load of the whole group. `None` at members, and in groups of one gateway, whose concurrency limits don't need it.
     pub(crate) fn load(
         &self,
         context: &Context,
@@ -75,7 +75,9 @@
         let members_in_flight: usize = self
             .members
             .values()
-            .filter(|member| now - member.since > latency_objective * MEMBER_SETTLING_RATIO)
+            .filter(|member| {
+                now - member.reporting_since > latency_objective * MEMBER_SETTLING_RATIO
+            })
             .filter(|member| now - member.last_report < latency_objective)
             .map(|member| member.in_flight)
             .sum();
@@ -86,12 +88,12 @@
         })
     }
 
-    /// Keeps an outcome for the next report.
+    /// Queues an outcome for the next report to the aggregator.
     pub(crate) fn queue_outcome(&mut self, report: OutcomeReport) {
         self.unsent_outcomes.push(report);
     }
 
-    /// Whether outcomes and traffic are to be reported now. The next report is then due an interval later.
+    /// Whether a report of outcomes and traffic is due now. If so, the next one is due an interval later.
     pub(crate) fn take_due_report(&mut self, context: &Context) -> bool {
         let interval = context.shortest_latency_objective() * REPORT_INTERVAL_RATIO;
         let is_due = context.now - self.outcomes_sent_at >= interval
@@ -122,7 +124,7 @@
             messages.push(Vec::new());
         }
         for (index, reports) in messages.into_iter().enumerate() {
-            // The first message carries the counts of all.
+            // Only the first message carries the counts, so that they are added once.
             let is_first = index == 0;
             let message = GossipMessage::OutcomeReports {
                 received: if is_first { counts.received } else { 0 },
@@ -137,8 +139,8 @@
         }
     }
 
-    /// As the aggregator, reports the slowest and the ejected endpoints and the share of load to shed to the group. Each member
-    /// alone meets an endpoint too seldom to see that it slows down or fails.
+    /// As the aggregator, reports the slowest and the ejected endpoints and the share of load to shed to the group. A single
+    /// member sends too few requests to an endpoint to detect that it slows down or fails.
     pub(crate) fn emit_latencies(
         &mut self,
         context: &Context,
@@ -181,7 +183,7 @@
     }
 }
 
-/// The endpoints that are slower than usual or ejected.
+/// Reports of the ready endpoints that are slower than usual or ejected.
 fn latency_reports(endpoints: &EndpointTable, now: Timestamp) -> Vec<LatencyReport> {
     let latency_ratio = |endpoint: &Endpoint| {
         if endpoint.health.is_ejected(now) {
@@ -201,7 +203,7 @@
         .collect()
 }
 
-/// Applies the latencies that the aggregator has reported. Endpoints that it has not reported are no slower than usual.
+/// Applies the latencies that the aggregator reported. Endpoints missing from the report are taken to be no slower than usual.
 pub(crate) fn apply_latency_reports(
     context: &Context,
     endpoints: &mut EndpointTable,
--- a/crates/policy/src/outcome_reports.rs
+++ b/crates/policy/src/outcome_reports.rs
@@ -1,4 +1,4 @@
-//! What outcomes of this gateway's attempts, and of those of its gossip group, change in the parts of a policy.
+//! Applies the outcomes of attempts by this gateway and its gossip group to the state of the policy.
 
 use harrierdock_types::{
     AttemptOutcome, BuildId, ClassId, EndpointId, GossipMessage, OutcomeReport, PeerId,
@@ -11,10 +11,10 @@
 use crate::payoff::Payoff;
 use crate::Policy;
 
-/// Usual answer times within which an answer counts as fast.
+/// An answer counts as fast within this many times the usual answer time.
 const FAST_LATENCY_RATIO: f64 = 1.5;
 
-/// An answer, or the end of an attempt without one, of an endpoint of the two arms.
+/// The end of an attempt at an endpoint of either arm, with or without an answer.
 struct ArmOutcome {
     endpoint: EndpointId,
     build: BuildId,
@@ -22,13 +22,13 @@
     outcome: AttemptOutcome,
     in_time: bool,
     fast: bool,
-    /// Whether the endpoint had warmed up when it was asked.
+    /// Whether the endpoint had warmed up when the attempt started.
     is_warm: bool,
 }
 
 impl Policy {
-    /// Takes an outcome into account, and passes it on to the group's aggregator (departure H in docs/design.md): a gateway alone
-    /// sees too few to judge a build.
+    /// Applies an outcome, and reports it to the group's aggregator (departure H in docs/design.md). A single gateway sees too few
+    /// outcomes to evaluate a build.
     pub(crate) fn report_outcome(&mut self, report: OutcomeReport) {
         self.record_outcome(&report);
         if self.context.is_aggregator() {
@@ -38,10 +38,11 @@
         }
     }
 
-    /// Learns from an outcome how its endpoint is, and, while no rollout is in question, which answer times are usual.
+    /// Updates the health and latency estimate of an outcome's endpoint, and, while no build is under evaluation, the usual answer
+    /// times.
     fn record_outcome(&mut self, report: &OutcomeReport) {
-        let is_usual =
-            !self.fleet().is_canary(report.build) && !self.rollout.in_question(&self.context);
+        let is_usual = !self.fleet().is_canary(report.build)
+            && !self.rollout.is_under_evaluation(&self.context);
         let class = self.context.parameters.classes.get(report.class.0);
         let mean = self.latency.class_mean(report.class);
         let endpoint = self.endpoints.get_mut_by_gossip_id(report.gossip_id);
@@ -109,8 +110,8 @@
         }
     }
 
-    /// Takes a group member's outcome into account, if the endpoint that it is about runs the build that it names: a gossip id may
-    /// be used again.
+    /// Applies a group member's outcome if the endpoint with the reported gossip id runs the reported build. Gossip ids are
+    /// reused, so the id may by now belong to another endpoint.
     fn receive_outcome(&mut self, report: OutcomeReport) {
         let listed_build = self
             .endpoints
@@ -135,7 +136,7 @@
         }
         match report.event {
             ReportedEvent::Attempt(outcome) => self.test_attempt(report, outcome),
-            // Requests that were shed count as not in time, or shedding would hide that there is too little capacity.
+            // Shed requests count as late; otherwise shedding load would hide a lack of capacity.
             ReportedEvent::NotAttempted => self.test_service(ServiceOutcome {
                 class,
                 in_time: false,
@@ -145,10 +146,10 @@
         }
     }
 
-    /// Counts an attempt by each metric that it says something of. A warming endpoint is slow whatever its build (departure C), but
-    /// what it fails it would fail warm.
+    /// Counts an attempt in each metric that its outcome is evidence for. A warming endpoint is slow whatever its build
+    /// (departure C), but its errors count, as it would return them when warm too.
     fn test_attempt(&mut self, report: &OutcomeReport, outcome: AttemptOutcome) {
-        if !self.rollout.compares(report.build) {
+        if !self.rollout.is_compared(report.build) {
             return;
         }
         let Some(id) = self.endpoints.id_of(report.gossip_id) else {
@@ -162,12 +163,12 @@
         };
         let latency_objective = self.context.class(report.class).latency_objective;
         let duration: TimeDelta = latency_objective * report.latency_ratio;
-        // What counts is how warm the endpoint was when it was asked.
-        let asked_at = self.context.now - duration;
-        let warmth = endpoint.capacity_ratio_at(&self.context, asked_at);
+        // The answer time depends on how warm the endpoint was when the attempt started.
+        let started_at = self.context.now - duration;
+        let warmth = endpoint.capacity_ratio_at(&self.context, started_at);
         let usual = mean * self.latency.model_ratio(endpoint.record.model);
         let succeeded = outcome == AttemptOutcome::Succeeded;
-        let tested = ArmOutcome {
+        let arm_outcome = ArmOutcome {
             endpoint: id,
             build: report.build,
             class: report.class,
@@ -179,55 +180,56 @@
         if succeeded || outcome == AttemptOutcome::TimedOut {
             self.test_service(ServiceOutcome {
                 class: report.class,
-                in_time: tested.in_time,
-                fast: tested.fast,
+                in_time: arm_outcome.in_time,
+                fast: arm_outcome.fast,
             });
         }
-        self.test_arm(&tested);
+        self.test_arm(&arm_outcome);
     }
 
-    fn test_arm(&mut self, tested: &ArmOutcome) {
-        let outcome = tested.outcome;
+    fn test_arm(&mut self, arm_outcome: &ArmOutcome) {
+        let outcome = arm_outcome.outcome;
         let succeeded = outcome == AttemptOutcome::Succeeded;
         let answered = succeeded || outcome == AttemptOutcome::ServerError;
-        // A connection that did not come up says nothing of the build: a new endpoint has none open yet.
+        // A failed connection is no evidence about the build: new endpoints have no open connection yet.
         let reached = !matches!(
             outcome,
             AttemptOutcome::NotSent | AttemptOutcome::ConnectFailed
         );
         let is_paired = self.arms_are_paired();
-        let complaints_come = self.context.parameters.rollout.complaint_ratio > 0.0;
-        let is_timed = is_paired && tested.is_warm && reached;
-        let arm = self.rollout.arm_of(tested.build);
-        let mut record = |metric, good, counts: bool| {
-            if counts {
+        let complaints_enabled = self.context.parameters.rollout.complaint_ratio > 0.0;
+        let is_timed = is_paired && arm_outcome.is_warm && reached;
+        let arm = self.rollout.arm_of(arm_outcome.build);
+        let mut record = |metric, good, is_counted: bool| {
+            if is_counted {
                 let outcomes = Payoff {
                     count: 1.0,
                     sum: f64::from(good),
                 };
-                let source = PayoffSource::Endpoint(tested.endpoint);
+                let source = PayoffSource::Endpoint(arm_outcome.endpoint);
                 self.elimination.record(metric, arm, source, outcomes);
             }
         };
-        record(Metric::InTime, tested.in_time, is_timed);
-        record(Metric::Speed, tested.fast, is_paired && succeeded);
-        record(Metric::Correctness, true, succeeded && complaints_come);
+        record(Metric::InTime, arm_outcome.in_time, is_timed);
+        record(Metric::Speed, arm_outcome.fast, is_paired && succeeded);
+        record(Metric::Correctness, true, succeeded && complaints_enabled);
         record(Metric::Success, succeeded, answered);
-        record(Metric::ClassSuccess(tested.class), succeeded, answered);
+        record(Metric::ClassSuccess(arm_outcome.class), succeeded, answered);
     }
 
-    /// Whether answer times of both arms can be compared: both run, and no zone was silent lately. A silent zone's time-outs are
-    /// reported late, and not of both arms alike (departure K). A slow build is found later while a zone is silent.
+    /// Whether the answer times of both arms can be compared: both arms run, and no zone was ejected recently. Time-outs in an
+    /// unresponsive zone are reported late, and not equally for both arms (departure K). A slow build is detected later while a
+    /// zone is unresponsive.
     fn arms_are_paired(&self) -> bool {
         let since_ejection = self.context.now - self.zones.last_ejected_until();
         self.endpoints.canary().ratio < 1.0
             && since_ejection >= self.context.parameters.safety.slow_start_window
     }
 
-    /// Counts an outcome of all service, whatever the build. It says something of a build that runs on enough of the fleet to lower
-    /// all service; till then it is the past that service is compared to.
+    /// Counts an outcome for the overall metrics, whatever its build. Outcomes count towards the past until a build is under
+    /// evaluation and runs on enough of the fleet to lower these metrics.
     fn test_service(&mut self, outcome: ServiceOutcome) {
-        let is_past = !self.rollout.in_question(&self.context)
+        let is_past = !self.rollout.is_under_evaluation(&self.context)
             || self.endpoints.canary().ratio < APPROXIMATION_RATIO;
         if is_past {
             let recent_first_tries = self.traffic.recent_first_tries(&self.context);
@@ -237,21 +239,22 @@
         }
     }
 
-    /// Takes the payoff of a complained answer back (departure F). One complaint, which may be mistaken, eliminates no build.
+    /// Takes back the payoff of an answer that a client complained about (departure F). A single complaint may be mistaken, and
+    /// does not eliminate a build.
     fn test_complaint(&mut self, report: &OutcomeReport) {
-        if !self.rollout.compares(report.build) {
+        if !self.rollout.is_compared(report.build) {
             return;
         }
         let Some(endpoint) = self.endpoints.id_of(report.gossip_id) else {
             return;
         };
         let arm = self.rollout.arm_of(report.build);
-        let taken_back = Payoff {
+        let complaint = Payoff {
             count: 0.0,
             sum: -1.0,
         };
         let source = PayoffSource::Endpoint(endpoint);
         self.elimination
-            .record(Metric::Correctness, arm, source, taken_back);
+            .record(Metric::Correctness, arm, source, complaint);
     }
 }
--- a/crates/policy/src/payoff.rs
+++ b/crates/policy/src/payoff.rs
@@ -1,33 +1,33 @@
-//! What an arm has been paid for its outcomes, and the statistics that two payoffs are compared by.
+//! The payoffs of outcomes, and the statistics that compare two of them.
 
-/// The page's η: the confidence of one elimination vote's unit.
+/// η: the error probability that one unit of elimination weight stands for; a weight is a power of it.
 pub const ETA: f64 = 0.9;
-/// The page's δ: the probability with which a rollout decision may be wrong.
+/// δ: the probability with which a rollout decision may be wrong.
 pub const DELTA: f64 = 0.05;
-/// Outcomes that each arm must have before it is compared.
+/// Number of outcomes that each arm needs before the arms are compared.
 pub const MIN_OUTCOMES: f64 = 20.0;
 
-/// The number of outcomes and the sum of what they paid (0 to 1 each).
+/// The number of outcomes, and the sum of their payoffs (0 to 1 each).
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Payoff {
-    /// How many outcomes.
+    /// Number of outcomes.
     pub count: f64,
-    /// What they paid together.
+    /// Sum of their payoffs.
     pub sum: f64,
 }
 
 impl Payoff {
-    /// The mean of what an outcome paid; 0 without outcomes.
+    /// The mean payoff of an outcome; 0 without outcomes.
     pub fn mean(&self) -> f64 {
         self.sum / self.count.max(1.0)
     }
 
-    /// What outcomes have not paid.
+    /// The difference between the highest possible sum and the actual one.
     pub fn loss(&self) -> f64 {
         self.count - self.sum
     }
 
-    /// This payoff and another one, of which this ratio counts.
+    /// The sum of this payoff and `other`, scaled by `ratio`.
     pub fn plus_scaled(&self, other: &Payoff, ratio: f64) -> Payoff {
         Payoff {
             count: self.count + other.count * ratio,
@@ -35,7 +35,7 @@
         }
     }
 
-    /// All of these together.
+    /// The sum of several payoffs.
     pub fn total<'a>(payoffs: impl IntoIterator<Item = &'a Payoff>) -> Payoff {
         payoffs.into_iter().fold(Payoff::default(), |sum, payoff| {
             sum.plus_scaled(payoff, 1.0)
@@ -48,7 +48,7 @@
         self.count * (divergence_term(own_mean, mean) + divergence_term(1.0 - own_mean, 1.0 - mean))
     }
 
-    /// How far the outcomes are below those of the rest, of which one more may yet be lost; 0 if they are not.
+    /// How far the outcomes are below those of the rest; 0 if they are not. The rest counts with one more outcome of payoff 0.
     pub fn divergence_below(&self, rest: &Payoff) -> f64 {
         let rest_mean = rest.sum / (rest.count + 1.0);
         if self.mean() < rest_mean {
@@ -58,8 +58,8 @@
         }
     }
 
-    /// How many factors of η the KL-Racing test stands below a better arm by, where being worse by `tolerance` is good enough
-    /// (departures A and B in docs/design.md). 0 is no elimination.
+    /// The confidence of the KL-Racing test, as a power of η, that this arm is worse than a better one by more than `tolerance`
+    /// (departures A and B in docs/design.md). 0 means no elimination.
     pub fn elimination_weight(&self, better: &Payoff, tolerance: f64) -> usize {
         let outcomes = self.count.min(better.count);
         let mut low = self.mean();
@@ -67,7 +67,7 @@
         if outcomes < MIN_OUTCOMES || low >= high {
             return 0;
         }
-        // Halves the interval until it is as narrow as floating point allows: where both divergences meet.
+        // Finds by bisection the mean at which both divergences are equal, as precisely as floating point allows.
         for _ in 0..f64::MANTISSA_DIGITS {
             let middle = (low + high) / 2.0;
             if self.divergence_from(middle) < better.divergence_from(middle + tolerance) {
@@ -81,9 +81,9 @@
     }
 }
 
-fn divergence_term(p: f64, q: f64) -> f64 {
-    if p > 0.0 {
-        p * (p / q.max(f64::EPSILON)).ln()
+fn divergence_term(observed: f64, expected: f64) -> f64 {
+    if observed > 0.0 {
+        observed * (observed / expected.max(f64::EPSILON)).ln()
     } else {
         0.0
     }
--- a/crates/policy/src/per_arm.rs
+++ b/crates/policy/src/per_arm.rs
@@ -25,7 +25,7 @@
     }
 }
 
-/// The arm of a build that is, or is not, the canary.
+/// The canary arm if `is_canary`, else the baseline.
 pub(crate) fn arm_if_canary(is_canary: bool) -> Arm {
     if is_canary {
         Arm::Canary
--- a/crates/policy/src/periodic.rs
+++ b/crates/policy/src/periodic.rs
@@ -33,7 +33,7 @@
     fn is_calm(&self) -> bool {
         let recent_first_tries = self.traffic.recent_first_tries(&self.context);
         self.fleet()
-            .is_calm(recent_first_tries, self.elimination.usual_first_tries())
+            .is_undisturbed(recent_first_tries, self.elimination.usual_first_tries())
     }
 
     /// Removes state that is older than any window in use.
--- a/crates/policy/src/rollout_state.rs
+++ b/crates/policy/src/rollout_state.rs
@@ -1,4 +1,4 @@
-//! How the newest rollout stands. Owns what the platform stated last.
+//! The state of the newest rollout. Owns the last update from the rollout platform.
 
 use harrierdock_types::{Arm, BuildId, RolloutParameters, RolloutPhase, RolloutUpdate, Timestamp};
 
@@ -6,8 +6,8 @@
 use crate::endpoint_table::EndpointTable;
 use crate::per_arm::arm_if_canary;
 
-/// After its release a build is in question for this many slow start windows, and the fallback wait.
-const QUESTION_SLOW_START_WINDOWS: f64 = 3.0;
+/// After its release a build stays under evaluation for this many slow start windows, and the fallback wait.
+const EVALUATION_SLOW_START_WINDOWS: f64 = 3.0;
 
 /// One stage of a rollout.
 #[derive(Clone, Copy, Debug, Default)]
@@ -16,16 +16,16 @@
     pub build: BuildId,
     /// The stage, counted from 0.
     pub index: usize,
-    /// When it began.
+    /// When the stage began.
     pub since: Timestamp,
-    /// Whether the platform has stated it while the build was the canary.
+    /// Whether an update has reported the build in the canary phase during this stage.
     pub was_canary: bool,
 }
 
-/// What a valid update begins.
+/// The change of stage that a valid update brings.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum StageChange {
-    /// The stage goes on.
+    /// The stage stays the same.
     None,
     /// A later stage of the same build.
     NextStage,
@@ -42,17 +42,17 @@
 }
 
 impl RolloutState {
-    /// What the platform stated last, if anything.
+    /// The last update from the platform; `None` before the first one.
     pub fn update(&self) -> Option<&RolloutUpdate> {
         self.update.as_ref()
     }
 
-    /// The latest stage. An update about an earlier one changes nothing of it.
+    /// The latest stage. An update about an earlier stage does not change it.
     pub fn stage(&self) -> &RolloutStage {
         &self.stage
     }
 
-    /// Applies a valid update. One that is out of date binds the exposure limit but takes no stage back.
+    /// Applies a valid update. An outdated update changes the exposure limit but does not return to an earlier stage.
     pub fn apply(&mut self, now: Timestamp, update: RolloutUpdate) -> StageChange {
         let mut change = StageChange::None;
         if (update.build, update.stage) > (self.stage.build, self.stage.index) {
@@ -80,7 +80,7 @@
         self.update.as_ref().map(|update| update.phase)
     }
 
-    /// Whether a build is not released: it is rolled out or back, or no update has named it yet.
+    /// Whether a build is unreleased: it is being rolled out or back, or no update has named it yet.
     pub(crate) fn is_canary(&self, build: BuildId, endpoints: &EndpointTable) -> bool {
         match &self.update {
             Some(update) => {
@@ -99,11 +99,11 @@
     }
 
     /// Whether outcomes of a build belong to one of the two arms.
-    pub fn compares(&self, build: BuildId) -> bool {
+    pub fn is_compared(&self, build: BuildId) -> bool {
         self.update.is_some() && build <= self.stage.build
     }
 
-    /// The stage that a build is in, if the last update is about it.
+    /// The stage that a build is in; 0 if the last update is about another build.
     pub fn stage_index_of(&self, build: BuildId) -> usize {
         self.update
             .as_ref()
@@ -111,7 +111,7 @@
             .map_or(0, |update| update.stage)
     }
 
-    /// The build that is, or was, rolled back.
+    /// The build of the last update if it is being, or was, rolled back.
     pub fn rolled_back_build(&self) -> Option<BuildId> {
         self.update
             .as_ref()
@@ -119,14 +119,14 @@
             .map(|update| update.build)
     }
 
-    /// Whether a build is the newest that the platform has stated, or newer.
+    /// Whether a build is at least as new as the one of the last update.
     pub fn is_newest(&self, build: BuildId) -> bool {
         self.update
             .as_ref()
             .is_none_or(|update| build >= update.build)
     }
 
-    /// The exposure limit of a build; 1 for one that is released. A build that no update has named has the first stage's.
+    /// The exposure limit of a build; 1 for a released one. A build that no update has named has the limit of the first stage.
     pub fn exposure_limit(&self, build: BuildId, parameters: &RolloutParameters) -> f64 {
         match &self.update {
             Some(update) if build == update.build && update.phase != RolloutPhase::Released => {
@@ -137,8 +137,8 @@
         }
     }
 
-    /// Whether there is a canary, or was one so lately that its load has just come.
-    pub fn in_question(&self, context: &Context) -> bool {
+    /// Whether a build is the canary, or was until so recently that its full load has only just arrived.
+    pub fn is_under_evaluation(&self, context: &Context) -> bool {
         let since = context.now - self.phase_since;
         let slow_start_window = context.parameters.safety.slow_start_window;
         match self.phase() {
@@ -146,7 +146,7 @@
             Some(RolloutPhase::Canary) => true,
             Some(RolloutPhase::Released) => {
                 self.stage.was_canary
-                    && since < slow_start_window * QUESTION_SLOW_START_WINDOWS + FALLBACK_WAIT
+                    && since < slow_start_window * EVALUATION_SLOW_START_WINDOWS + FALLBACK_WAIT
             }
             Some(RolloutPhase::RollingBack | RolloutPhase::RolledBack) => {
                 self.stage.was_canary && since < slow_start_window
@@ -155,7 +155,7 @@
     }
 }
 
-/// Whether a build in this phase is, or was, rolled back.
+/// Whether a build in this phase is being, or was, rolled back.
 pub(crate) fn is_rollback(phase: RolloutPhase) -> bool {
     matches!(phase, RolloutPhase::RollingBack | RolloutPhase::RolledBack)
 }
--- a/crates/policy/src/rollout_voter.rs
+++ b/crates/policy/src/rollout_voter.rs
@@ -1,4 +1,4 @@
-//! What this gateway votes for at the rollout platform, and when it casts the vote. Owns the vote that is wanted and the one cast.
+//! Decides what this gateway votes for at the rollout platform, and when it casts the vote. Owns the desired and the scheduled vote.
 
 use harrierdock_types::{
     Action, Arm, BuildId, PlatformStatus, RolloutDecision, RolloutPhase, StageControl, TimeDelta,
@@ -11,18 +11,18 @@
 use crate::endpoint_table::EndpointTable;
 use crate::rollout_state::RolloutState;
 
-/// The ratio of the needed elimination weight from which on a rollout that the platform's clock moves is held.
+/// Share of the required elimination weight from which a rollout under clock control is held.
 const HOLD_WEIGHT_RATIO: f64 = 0.5;
-/// Share of a stage's endpoints that must run the build for the fallback wait to be the short one.
+/// Share of a stage's endpoints that must run the build; below it the fallback wait is longer.
 const STAGE_COVERAGE_RATIO: f64 = 0.5;
-/// How much longer the fallback wait is while fewer endpoints run the build.
+/// Factor of the fallback wait while fewer endpoints run the build than [`STAGE_COVERAGE_RATIO`] requires.
 const PARTIAL_STAGE_WAIT_FACTOR: f64 = 3.0;
-/// What the platform accepts at once after a rest, in seconds of its rate.
+/// Number of calls that the platform accepts at once after an idle time, in seconds of its call rate.
 const PLATFORM_BURST_SECONDS: f64 = 1.0;
-/// The least wait before a refused vote is cast again, as a divisor of the vote's timeout.
+/// The shortest wait before a refused vote is cast again is the vote timeout divided by this.
 const MIN_RECAST_DIVISOR: f64 = 8.0;
 
-/// A vote at the platform.
+/// A vote on one stage of a rollout.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct RolloutVote {
     build: BuildId,
@@ -32,22 +32,22 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum VoteState {
-    /// To be cast, or to be cast again.
+    /// Not cast yet, not answered yet, or refused.
     Pending,
     /// Counted by the platform.
     Counted,
 }
 
-/// The vote that was last wanted.
+/// The vote that was scheduled last, cast or not.
 #[derive(Clone, Copy, Debug)]
-struct CastVote {
+struct ScheduledVote {
     vote: RolloutVote,
     /// When it is cast next.
-    next_at: Timestamp,
+    next_cast_at: Timestamp,
     state: VoteState,
 }
 
-/// What the decision rests on.
+/// The state that a decision depends on.
 pub(crate) struct RolloutEvidence<'a> {
     pub(crate) context: &'a Context,
     pub(crate) rollout: &'a RolloutState,
@@ -56,11 +56,11 @@
 }
 
 impl RolloutEvidence<'_> {
-    fn eliminates(&self, arm: Arm, ratio: f64) -> bool {
-        self.eliminations.eliminate(self.context, arm, ratio)
+    fn is_eliminated(&self, arm: Arm, ratio: f64) -> bool {
+        self.eliminations.is_eliminated(self.context, arm, ratio)
     }
 
-    /// Whether the fallback wait after the start of the stage's newest endpoint is over.
+    /// Whether the fallback wait is over. It begins with the stage, or with the start of the canary's newest endpoint if later.
     fn fallback_wait_is_over(&self) -> bool {
         let stage = self.rollout.stage();
         let canary = self.endpoints.canary();
@@ -89,24 +89,24 @@
 /// Decides on a rollout and casts the vote.
 #[derive(Debug, Default)]
 pub(crate) struct RolloutVoter {
-    wanted: Option<RolloutVote>,
-    cast: Option<CastVote>,
-    /// Since when this stage is held.
+    desired: Option<RolloutVote>,
+    scheduled: Option<ScheduledVote>,
+    /// Since when this stage is held; `None` if it is not.
     held_since: Option<Timestamp>,
 }
 
 impl RolloutVoter {
-    /// A new stage has begun.
+    /// Handles the start of a new stage.
     pub(crate) fn change_stage(&mut self) {
         self.held_since = None;
     }
 
-    /// Decides what to vote for: enough eliminations of the canary roll back, enough of the baseline promote. Where votes move the
-    /// rollout it is promoted after the fallback wait; where the platform's clock does, half of the eliminations hold it.
+    /// Decides what to vote for. An eliminated canary is rolled back. Under vote control, the canary is promoted once the
+    /// baseline is eliminated or the fallback wait is over. Under clock control, half of the elimination weight holds the rollout.
     pub(crate) fn decide(&mut self, evidence: &RolloutEvidence<'_>) {
         let stage = evidence.rollout.stage();
         let decision = self.decision(evidence);
-        self.wanted = decision.map(|decision| RolloutVote {
+        self.desired = decision.map(|decision| RolloutVote {
             build: stage.build,
             stage: stage.index,
             decision,
@@ -119,7 +119,7 @@
             RolloutPhase::Released => false,
             RolloutPhase::RollingBack | RolloutPhase::RolledBack => return None,
         };
-        if evidence.eliminates(Arm::Canary, 1.0) {
+        if evidence.is_eliminated(Arm::Canary, 1.0) {
             return Some(RolloutDecision::RollBack);
         }
         if !is_canary {
@@ -129,15 +129,15 @@
             StageControl::Clock => self.hold_decision(evidence),
             StageControl::Votes => {
                 let promote =
-                    evidence.eliminates(Arm::Baseline, 1.0) || evidence.fallback_wait_is_over();
+                    evidence.is_eliminated(Arm::Baseline, 1.0) || evidence.fallback_wait_is_over();
                 promote.then_some(RolloutDecision::Promote)
             }
         }
     }
 
-    /// Holds a stage for the fallback wait at the most.
+    /// Holds a stage for at most the fallback wait.
     fn hold_decision(&mut self, evidence: &RolloutEvidence<'_>) -> Option<RolloutDecision> {
-        if !evidence.eliminates(Arm::Canary, HOLD_WEIGHT_RATIO) {
+        if !evidence.is_eliminated(Arm::Canary, HOLD_WEIGHT_RATIO) {
             self.held_since = None;
             return None;
         }
@@ -146,65 +146,65 @@
         (now - since < FALLBACK_WAIT).then_some(RolloutDecision::Hold)
     }
 
-    /// The platform has answered a vote.
-    pub(crate) fn vote_answered(
+    /// Schedules the next cast after the platform has answered a vote.
+    pub(crate) fn handle_vote_answer(
         &mut self,
         context: &Context,
         status: PlatformStatus,
         rng: &mut WyRand,
     ) {
-        let Some(cast) = &mut self.cast else {
+        let Some(scheduled) = &mut self.scheduled else {
             return;
         };
         let rollout = &context.parameters.rollout;
         let fleet_time = fleet_call_time(context);
         let (wait, state) = match status {
-            // Renewed the later the more gateways there are, so that renewals leave calls for first votes.
+            // Larger fleets renew later, so that renewals leave call capacity for first votes.
             PlatformStatus::Valid | PlatformStatus::Superseded => (
                 fleet_time.clamp(rollout.vote_ttl / 2.0, rollout.vote_ttl),
                 VoteState::Counted,
             ),
             PlatformStatus::Overloaded | PlatformStatus::ServerError | PlatformStatus::TimedOut => {
-                let turn = fleet_time * (rng.generate::<f64>() / 2.0);
+                let delay = fleet_time * (rng.generate::<f64>() / 2.0);
                 (
-                    turn.max(rollout.vote_timeout / MIN_RECAST_DIVISOR),
+                    delay.max(rollout.vote_timeout / MIN_RECAST_DIVISOR),
                     VoteState::Pending,
                 )
             }
         };
-        cast.next_at = context.now + wait;
-        cast.state = state;
+        scheduled.next_cast_at = context.now + wait;
+        scheduled.state = state;
     }
 
-    /// Casts the vote that is wanted when its time has come.
+    /// Casts the desired vote once its delay is over.
     ///
-    /// Each gateway takes its turn by chance. All together they cast at once what the platform accepts after a rest, and twice
-    /// what it accepts from then on: if hundreds cast at once, those let in first would take up all that it accepts by renewing
-    /// their votes. About half of the calls of a large fleet are refused while it wants to vote.
+    /// Each gateway draws a random delay. Together, gateways first cast as many votes as the platform accepts at once after an idle
+    /// time, and then twice its call rate. If hundreds voted at once, the first ones accepted would use up the call rate with
+    /// renewals of their votes. About half of the calls of a large fleet are refused while it votes.
     pub(crate) fn emit(&mut self, context: &Context, rng: &mut WyRand, actions: &mut Vec<Action>) {
         let Some(vote) = self.vote_to_cast() else {
             return;
         };
-        let cast = match &mut self.cast {
-            Some(cast) if cast.vote == vote => cast,
+        let scheduled = match &mut self.scheduled {
+            Some(scheduled) if scheduled.vote == vote => scheduled,
             other => {
-                let turn = fleet_call_time(context) * (rng.generate::<f64>() / 2.0)
+                let delay = fleet_call_time(context) * (rng.generate::<f64>() / 2.0)
                     - TimeDelta::from_seconds(PLATFORM_BURST_SECONDS);
-                other.insert(CastVote {
+                other.insert(ScheduledVote {
                     vote,
-                    next_at: context.now + turn.max(TimeDelta::ZERO),
+                    next_cast_at: context.now + delay.max(TimeDelta::ZERO),
                     state: VoteState::Pending,
                 })
             }
         };
-        let is_withdrawn =
-            cast.state == VoteState::Counted && vote.decision == RolloutDecision::Withdraw;
-        if context.now < cast.next_at || is_withdrawn {
+        let is_withdrawal_counted =
+            scheduled.state == VoteState::Counted && vote.decision == RolloutDecision::Withdraw;
+        if context.now < scheduled.next_cast_at || is_withdrawal_counted {
             return;
         }
         let parameters = &context.parameters;
-        cast.next_at = context.now + parameters.rollout.vote_timeout + parameters.tick;
-        cast.state = VoteState::Pending;
+        scheduled.next_cast_at = context.now + parameters.rollout.vote_timeout + parameters.tick;
+        scheduled.state = VoteState::Pending;
         actions.push(Action::Vote {
             build: vote.build,
             stage: vote.stage,
@@ -212,20 +212,20 @@
         });
     }
 
-    /// The vote that is wanted. A hold that is over is withdrawn; other votes lapse with their stage.
+    /// The desired vote, or the withdrawal of a hold that is over. Other votes lapse with their stage.
     fn vote_to_cast(&self) -> Option<RolloutVote> {
-        if self.wanted.is_some() {
-            return self.wanted;
+        if self.desired.is_some() {
+            return self.desired;
         }
-        let cast = self.cast.as_ref()?;
-        (cast.vote.decision == RolloutDecision::Hold).then_some(RolloutVote {
+        let scheduled = self.scheduled.as_ref()?;
+        (scheduled.vote.decision == RolloutDecision::Hold).then_some(RolloutVote {
             decision: RolloutDecision::Withdraw,
-            ..cast.vote
+            ..scheduled.vote
         })
     }
 }
 
-/// How long the platform takes to accept a call from every gateway.
+/// Time in which the platform accepts one call from every gateway, at its call rate.
 fn fleet_call_time(context: &Context) -> TimeDelta {
     let calls = context.parameters.gateway_count as f64;
     TimeDelta::from_seconds(calls / context.parameters.rollout.votes_per_second.max(1.0))
--- a/crates/policy/src/sticky_versions.rs
+++ b/crates/policy/src/sticky_versions.rs
@@ -1,4 +1,5 @@
-//! The oldest build that may answer an affinity key, where versions are monotonic. Owns the build of each key.
+//! Sticky versions: the oldest build that may answer each affinity key, where versions are monotonic. Owns the build of
+//! each key.
 
 use std::collections::BTreeMap;
 
@@ -6,56 +7,56 @@
 
 use crate::context::SLOW_LEARNING_RATE;
 
-/// The least share of requests without a sticky canary that the canary's share is spread over.
+/// Lower bound of the share of requests whose keys do not stick to the canary.
 const MIN_FREE_RATIO: f64 = 0.01;
 
-/// The builds that affinity keys stay with.
+/// The builds that affinity keys stick to.
 #[derive(Debug, Default)]
 pub struct StickyVersions {
     builds: BTreeMap<AffinityKey, BuildId>,
-    /// The share of requests (0 to 1) whose key stays with a build that is not released.
+    /// Running mean of the share of requests (0 to 1) whose key sticks to an unreleased build.
     canary_ratio: f64,
 }
 
 impl StickyVersions {
-    /// Keeps a key with a build. A late answer of an older build changes nothing.
+    /// Makes a key stick to a build, unless it already sticks to a newer one. Answers of an older build may come late.
     pub fn keep(&mut self, key: AffinityKey, build: BuildId) {
-        let held = self.builds.entry(key).or_default();
-        *held = build.max(*held);
+        let newest = self.builds.entry(key).or_default();
+        *newest = build.max(*newest);
     }
 
-    /// The build that a key stays with, if any.
+    /// The build that a key sticks to; `None` if any build may answer it.
     pub fn build_of(&self, key: AffinityKey) -> Option<BuildId> {
         self.builds.get(&key).copied()
     }
 
-    /// How many keys stay with a build.
+    /// Number of keys that stick to a build.
     pub fn len(&self) -> usize {
         self.builds.len()
     }
 
-    /// Whether no key stays with a build.
+    /// Whether no key sticks to a build.
     pub fn is_empty(&self) -> bool {
         self.builds.is_empty()
     }
 
-    /// Releases the keys of a build that is rolled back. Keys of a newer build stay, as the update may come again later.
+    /// Releases the keys of a build that is rolled back. Keys of newer builds are kept, as an update may be repeated later.
     pub fn release_build(&mut self, build: BuildId) {
-        self.builds.retain(|_, held| *held != build);
+        self.builds.retain(|_, sticky| *sticky != build);
     }
 
-    /// Releases the keys that may go to any endpoint, as none runs an older build than `earliest`.
+    /// Releases the keys of builds up to `earliest`, the oldest build of any endpoint: every endpoint may answer them.
     pub fn release_through(&mut self, earliest: BuildId) {
         self.builds.retain(|_, build| *build > earliest);
     }
 
-    /// Notes whether a request's key stays with a build that is not released.
+    /// Counts a request; `is_canary` is whether its key sticks to an unreleased build.
     pub fn record_request(&mut self, is_canary: bool) {
         self.canary_ratio += SLOW_LEARNING_RATE * (f64::from(is_canary) - self.canary_ratio);
     }
 
-    /// The share of the requests that are free to choose which the canary gets, of its share of all. Requests whose keys stay
-    /// with the canary are part of its share.
+    /// The share of requests without a canary key to send to the canary, given its share of all requests. Requests whose keys
+    /// stick to the canary are already part of `canary_ratio`.
     pub fn free_canary_ratio(&self, canary_ratio: f64) -> f64 {
         let free_ratio = (1.0 - self.canary_ratio).max(MIN_FREE_RATIO);
         ((canary_ratio - self.canary_ratio) / free_ratio).max(0.0)
