--- a/crates/gateway/src/dispatch/answers.rs
+++ b/crates/gateway/src/dispatch/answers.rs
@@ -1,4 +1,4 @@
-//! Answers: every request gets exactly one, from an endpoint, from the policy or because its time is over.
+//! Answers: every request gets exactly one, from an endpoint, from the policy or at its deadline.
 
 use harrierdock_flow_metering::FlowOutcome;
 use harrierdock_multi_site::{Event as MultiSiteEvent, RequestEnd};
@@ -13,7 +13,7 @@
 use crate::runtime::timer::Timer;
 
 impl Gateway {
-    /// Notes that a request has its answer, or needs none any more. Returns whether it had none before.
+    /// Marks the request as answered or abandoned by its client. Returns whether it was unanswered before.
     fn finish_request(&mut self, id: RequestId, end: RequestEnd, outcome: FlowOutcome) -> bool {
         let Some(entry) = self.dispatcher.requests.get_unanswered_mut(id) else {
             return false;
@@ -41,7 +41,7 @@
         true
     }
 
-    /// Answers a request with an endpoint's response, unless it has its answer.
+    /// Answers a request with an endpoint's response. Drops the response if the request is already answered.
     pub(super) fn answer_with_response(
         &mut self,
         now: Timestamp,
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Answers a request, unless it has its answer.
+    /// Answers a request, unless it is already answered.
     pub(crate) fn answer(&mut self, id: RequestId, answer: Answer) {
         let entry = self.dispatcher.requests.get(id);
         let may_have_effect = entry.is_some_and(RequestEntry::may_have_effect);
@@ -99,7 +99,8 @@
         self.dispatcher.requests.remove_if_complete(id);
     }
 
-    /// The policy rejects a request. What the other site has not seen and no endpoint has worked on may still be forwarded.
+    /// Handles the policy's rejection of a request. Offers the request to the other site if neither that site nor an endpoint
+    /// can have processed it; otherwise answers it.
     pub(super) fn handle_rejection(
         &mut self,
         now: Timestamp,
@@ -129,7 +130,7 @@
         self.handle_multi_site_event(now, event);
     }
 
-    /// Nobody waits for a request any more.
+    /// Drops a request whose client has disconnected, or which the other site has abandoned.
     pub(super) fn handle_client_disconnected(&mut self, now: Timestamp, id: RequestId) {
         if !self.finish_request(id, RequestEnd::ClientGone, FlowOutcome::ClientDisconnected) {
             return;
@@ -144,18 +145,18 @@
         self.dispatcher.requests.remove_if_complete(id);
     }
 
-    /// Fails a request that the policy has left without an answer beyond its deadline, so that none is ever lost.
+    /// Fails a request that the policy left unanswered beyond its deadline, so that its client always gets an answer.
     pub(crate) fn fail_overdue_request(&mut self, id: RequestId) {
         self.context
             .counters
-            .check_invariant(false, "a request has its answer by its deadline");
+            .check_invariant(false, "every request is answered by its deadline");
         self.answer(id, Answer::Failed);
         let now = self.context.now();
         self.handle_multi_site_event(now, MultiSiteEvent::ClientGone { id });
         self.handle_policy_event(now, Event::ClientDisconnected { id });
     }
 
-    /// Fails every request that has no answer yet.
+    /// Fails every unanswered request.
     pub(crate) fn fail_all_requests(&mut self) {
         let now = self.context.now();
         let unanswered: Vec<RequestId> = self.dispatcher.requests.unanswered().collect();
--- a/crates/gateway/src/dispatch/attempts.rs
+++ b/crates/gateway/src/dispatch/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: from the policy's action to the connection that carries it, and from its end back to the policy.
+//! Attempts: starts those that the policy requests, and reports their outcomes to the policy.
 
 use harrierdock_types::{AttemptOutcome, EndpointId, Event, RequestId, TimeDelta, Timestamp};
 
@@ -9,7 +9,7 @@
 use crate::runtime::gateway::Gateway;
 use crate::upstream::{AttemptId, AttemptStart};
 
-fn counter_of(outcome: AttemptOutcome) -> Counter {
+fn outcome_counter(outcome: AttemptOutcome) -> Counter {
     match outcome {
         AttemptOutcome::Succeeded => Counter::AttemptsSucceeded,
         AttemptOutcome::ServerError => Counter::AttemptsWithServerError,
@@ -23,12 +23,13 @@
 }
 
 impl Gateway {
-    /// Whether the endpoint list is too old to be acted on.
+    /// Whether the endpoint list is too old to start attempts from.
     pub(super) fn is_list_stale(&self) -> bool {
         self.discovery.is_stale(self.context.now())
     }
 
-    /// Starts an attempt. One that cannot start is reported with the outcome that this amounts to.
+    /// Starts an attempt. If it cannot start, reports it as finished with the outcome that describes why. A `timeout` of zero
+    /// leaves the request's deadline as the only limit.
     pub(super) fn start_attempt(
         &mut self,
         now: Timestamp,
@@ -40,7 +41,7 @@
             return self
                 .context
                 .counters
-                .check_invariant(false, "an attempt belongs to a request in the table");
+                .check_invariant(false, "every attempt belongs to a request in the table");
         };
         let precondition = self.dispatcher.precondition(entry, endpoint);
         let attempt = entry.attempts.len();
@@ -89,7 +90,7 @@
         }
     }
 
-    /// Sends the request's bytes to the endpoint, if somebody still waits for the answer.
+    /// Sends the request to the endpoint, unless its client has disconnected.
     fn send_attempt(&mut self, now: Timestamp, start: &AttemptStart) -> Result<(), AttemptOutcome> {
         let id = start.id.request;
         if self.context.descriptors.available() == 0
@@ -124,7 +125,7 @@
         started.unwrap_or(Err(AttemptOutcome::NotSent))
     }
 
-    /// Notes the end of an attempt, answers the request if it succeeded, and tells the policy.
+    /// Records the outcome of an attempt, answers the request on success, and notifies the policy.
     pub(super) fn handle_attempt_finished(&mut self, now: Timestamp, finished: FinishedAttempt) {
         let FinishedAttempt {
             id,
@@ -132,11 +133,11 @@
             outcome,
             response,
         } = finished;
-        self.context.counters.add(counter_of(outcome));
+        self.context.counters.add(outcome_counter(outcome));
         let ended = self.dispatcher.requests.end_attempt(id, attempt, outcome);
         self.context
             .counters
-            .check_invariant(ended.is_some(), "an attempt ends once");
+            .check_invariant(ended.is_some(), "every attempt finishes exactly once");
         let Some(ended) = ended else { return };
         let duration = now - ended.started_at;
         let flow = AttemptFlow {
--- a/crates/gateway/src/dispatch/dispatcher.rs
+++ b/crates/gateway/src/dispatch/dispatcher.rs
@@ -1,5 +1,5 @@
-//! The dispatcher: the only caller of the policy. Internal events become the policy's events, and its actions are executed by
-//! the parts that they concern.
+//! The dispatcher: the only caller of the policy. Translates internal events into policy events, and executes the policy's
+//! actions.
 
 use harrierdock_config::Names;
 use harrierdock_multi_site::Event as MultiSiteEvent;
@@ -16,24 +16,24 @@
 use crate::runtime::timer::Timer;
 use crate::upstream::AttemptId;
 
-/// The policy, and what is needed to speak with it.
+/// The policy, and the state needed to translate its events and actions.
 pub(crate) struct Dispatcher {
-    /// The policy.
+    /// Decides on attempts, rejections, votes and gossip; does no I/O.
     pub(crate) policy: Policy,
-    /// The names that its ids stand for.
+    /// The names behind the policy's numeric ids.
     pub(crate) names: Names,
-    /// The requests under way.
+    /// The requests that lack an answer or have an open attempt.
     pub(crate) requests: RequestTable,
-    /// How many attempts a request may have.
+    /// The most attempts per request.
     pub(crate) max_attempts: usize,
-    /// The granularity of the platform's clock.
+    /// The granularity of the rollout platform's clock.
     pub(crate) tick: TimeDelta,
-    /// The elimination votes that were logged.
+    /// Logs this gateway's elimination votes.
     elimination_log: EliminationLog,
 }
 
 impl Dispatcher {
-    /// A dispatcher without requests.
+    /// Creates a dispatcher without requests. `seed` seeds the policy's random choices.
     pub(crate) fn new(parameters: Parameters, names: Names, seed: u64) -> Dispatcher {
         Dispatcher {
             names,
@@ -45,17 +45,17 @@
         }
     }
 
-    /// The oldest build that may answer this key.
+    /// The oldest build that may serve requests with this affinity key.
     pub(crate) fn sticky_build(&self, key: AffinityKey) -> BuildId {
         self.policy.sticky_build(key)
     }
 
-    /// The build that an endpoint runs, if it is listed.
+    /// The build that the endpoint runs, or `None` if the endpoint list lacks the endpoint.
     pub(crate) fn build_of(&self, endpoint: EndpointId) -> Option<BuildId> {
         Some(self.policy.endpoint(endpoint)?.build)
     }
 
-    /// How many endpoints are ready.
+    /// The number of endpoints in the lifecycle state `Ready`.
     pub(crate) fn ready_endpoint_count(&self) -> usize {
         self.policy
             .endpoints()
@@ -63,7 +63,7 @@
             .count()
     }
 
-    /// Logs an elimination vote of this gateway, as it is sent to the others.
+    /// Logs `message` if it is an elimination vote that this gateway sends to its peers.
     fn log_elimination(&mut self, message: &GossipMessage) {
         let GossipMessage::EliminationVote {
             build,
@@ -84,8 +84,8 @@
         self.elimination_log.log(vote, &self.names, evidence);
     }
 
-    /// Forgets the names of endpoints that are gone, so that they don't pile up as endpoints come and go. To be called when
-    /// the policy has received every endpoint list.
+    /// Removes the names of endpoints that the policy no longer lists, so that the name table stays bounded. Call only when no
+    /// endpoint list is queued for the policy.
     fn forget_removed_endpoints(&mut self) {
         let Dispatcher { policy, names, .. } = self;
         if names.endpoints.ids().len() > policy.endpoint_count() {
@@ -170,7 +170,7 @@
         }
     }
 
-    /// Has the policy serve a request at this site, within the time that is left.
+    /// Has the policy serve the request at this site. `time_left` can only shorten the request's deadline.
     pub(crate) fn serve_locally(&mut self, now: Timestamp, id: RequestId, time_left: TimeDelta) {
         let Some(entry) = self.dispatcher.requests.get_unanswered_mut(id) else {
             return;
@@ -179,7 +179,7 @@
             ServingSite::Other => ServingSite::ReturnedToLocal,
             _ => ServingSite::Local,
         };
-        // A request that the other site has returned must not outlive the deduplication window of its key.
+        // A request returned by the other site must not run beyond the deduplication window of its idempotency key.
         entry.deadline = entry.deadline.min(now + time_left);
         let event = Event::RequestReceived {
             id,
@@ -231,13 +231,13 @@
                     gossip.send_gossip(&mut self.context, to, &message);
                 }
             }
-            // Discovery is watched from the start on.
+            // The gateway watches discovery from its start, so there is nothing to do.
             Action::WatchEndpoints => {}
             Action::SetTimer { after } => self.context.timers.set(now + after, Timer::Policy),
         }
     }
 
-    /// Tells the policy that its timer has fired.
+    /// Delivers the firing of the policy's timer.
     pub(crate) fn handle_policy_timer(&mut self) {
         let now = self.context.now();
         self.handle_policy_event(now, Event::TimerFired);
--- a/crates/gateway/src/dispatch/flow_records.rs
+++ b/crates/gateway/src/dispatch/flow_records.rs
@@ -1,4 +1,4 @@
-//! What the flow exporter learns of requests, attempts and rollouts. Nothing is recorded without an exporter.
+//! Records requests, attempts and rollout updates with the flow exporter, if one is configured.
 
 use harrierdock_flow_export::{AttemptEnded, RequestEnded};
 use harrierdock_flow_metering::{FlowOutcome, FlowPath};
@@ -7,23 +7,23 @@
 use crate::dispatch::request_table::{EndedAttempt, RequestEntry, ServingSite};
 use crate::runtime::gateway::Gateway;
 
-/// An attempt that has ended, as it is recorded.
+/// A finished attempt to record.
 pub(super) struct AttemptFlow<'a> {
-    /// The request.
+    /// The request that the attempt belongs to.
     pub(super) id: RequestId,
-    /// The attempt, counted from 0.
+    /// The attempt's number within its request, counted from 0.
     pub(super) attempt: usize,
-    /// Where it went.
+    /// The attempt's endpoint, start and request size.
     pub(super) ended: &'a EndedAttempt,
-    /// How it ended.
+    /// The attempt's result.
     pub(super) outcome: AttemptOutcome,
-    /// How long it took.
+    /// The time from the policy's request for the attempt to its end.
     pub(super) duration: TimeDelta,
-    /// The size of the response's body.
+    /// The size of the response's body in bytes; 0 without a successful response.
     pub(super) response_bytes: usize,
 }
 
-fn path_of(entry: &RequestEntry) -> FlowPath {
+fn flow_path(entry: &RequestEntry) -> FlowPath {
     match (entry.is_inbound, entry.serving_site) {
         (true, _) => FlowPath::Inbound,
         (false, ServingSite::Other) => FlowPath::Forwarded,
@@ -32,21 +32,21 @@
 }
 
 impl Gateway {
-    /// Records a change of the rollout.
+    /// Records the current rollout state.
     pub(super) fn record_rollout_update(&mut self, update: &RolloutUpdate) {
         if let Some(exporter) = &mut self.exporter {
             exporter.set_rollout(update);
         }
     }
 
-    /// Records that a request was received.
+    /// Counts a received request.
     pub(super) fn record_request_received(&mut self) {
         if let Some(exporter) = &mut self.exporter {
             exporter.count_received_request();
         }
     }
 
-    /// Records how a request ended.
+    /// Records the outcome of a request. Ignores a request that is not in the table.
     pub(super) fn record_request(&mut self, id: RequestId, outcome: FlowOutcome) {
         let entry = self.dispatcher.requests.get(id);
         if let (Some(exporter), Some(entry)) = (&mut self.exporter, entry) {
@@ -54,14 +54,14 @@
             let ended = RequestEnded {
                 class: entry.class,
                 outcome,
-                path: path_of(entry),
+                path: flow_path(entry),
                 duration: now - entry.received_at,
             };
             exporter.record_request(now, &ended);
         }
     }
 
-    /// Records how an attempt ended.
+    /// Records the outcome of an attempt. Ignores an attempt whose request is not in the table.
     pub(super) fn record_attempt(&mut self, now: Timestamp, flow: &AttemptFlow<'_>) {
         let entry = self.dispatcher.requests.get(flow.id);
         let (Some(exporter), Some(entry)) = (&mut self.exporter, entry) else {
--- a/crates/gateway/src/dispatch/leases.rs
+++ b/crates/gateway/src/dispatch/leases.rs
@@ -1,4 +1,4 @@
-//! Leases: peers' messages and the gateway's events are passed to the lease participant, and its actions are executed here.
+//! Passes peers' messages and the gateway's events to the lease participant, and executes the actions it returns.
 
 use harrierdock_lease::{Event, LeaseName};
 use harrierdock_rollout_controller::{self as rollout_controller, Event as RolloutEvent};
@@ -14,11 +14,11 @@
 use crate::runtime::timer::Timer;
 
 impl Gateway {
-    /// Takes part in the leases, if any are configured.
+    /// Starts the lease participant and the rollout controller, if they are configured.
     ///
     /// # Errors
     ///
-    /// The settings do not fit.
+    /// The lease settings do not match the gateway's configuration.
     pub(crate) fn start_leases(
         &mut self,
         config: &GatewayConfig,
@@ -53,7 +53,7 @@
         Ok(())
     }
 
-    /// Tells the leases what has happened, and executes the actions they return.
+    /// Delivers an event to the lease participant and executes the actions it returns.
     pub(crate) fn handle_lease_event(&mut self, event: Event) {
         let now = self.context.now();
         if let Some(leases) = &mut self.leases {
@@ -62,7 +62,7 @@
         }
     }
 
-    /// The timer of the leases has fired.
+    /// Delivers the firing of the lease participant's timer.
     pub(crate) fn handle_lease_timer(&mut self) {
         if let Some(leases) = &mut self.leases {
             leases.timer_deadline = None;
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Sends a binary message to a peer.
+    /// Sends a binary message to a peer, in the message version that peers expect. Does nothing without leases.
     pub(super) fn send_to_peer(&mut self, to: PeerId, mut bytes: Vec<u8>) {
         if let Some((gossip, leases)) = self.gossip.as_ref().zip(self.leases.as_ref()) {
             leases.convert_version(&mut bytes);
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Handles a binary message of a peer. One that cannot be read changes nothing.
+    /// Handles a binary message from a peer. Counts and ignores an invalid message.
     pub(super) fn handle_peer_message(&mut self, from: PeerId, mut bytes: Vec<u8>) {
         let now = self.context.now();
         if let Some(leases) = &self.leases {
@@ -124,17 +124,19 @@
         }
     }
 
-    /// Applies the lease settings that were read again. Settings that do not fit change nothing.
+    /// Applies reloaded lease settings. Keeps the current settings if the new ones are invalid.
     pub(crate) fn reload_electorate(&mut self, extension: &ExtensionConfig) {
         let now = self.context.now();
         match (&mut self.leases, &extension.leases) {
             (Some(leases), Some(settings)) => match leases.reload(now, settings) {
                 Ok(actions) => self.execute_lease_actions(actions),
-                Err(e) => tracing::warn!("fleet: what is held stays: {e}"),
+                Err(e) => {
+                    tracing::warn!("fleet: invalid lease settings, keeping the current ones: {e}")
+                }
             },
             (None, None) => {}
             (Some(_), None) | (None, Some(_)) => {
-                tracing::warn!("fleet: begins or ends with the next start only");
+                tracing::warn!("fleet: enabling or disabling leases requires a restart");
             }
         }
     }
--- a/crates/gateway/src/dispatch/mod.rs
+++ b/crates/gateway/src/dispatch/mod.rs
@@ -1,4 +1,4 @@
-//! From received requests to the policy, and from its actions to the parts that execute them.
+//! Delivers events to the policy and executes the actions it returns, in the downstream, upstream and control plane.
 
 pub(crate) mod answers;
 pub(crate) mod attempts;
--- a/crates/gateway/src/dispatch/multi_site.rs
+++ b/crates/gateway/src/dispatch/multi_site.rs
@@ -1,4 +1,4 @@
-//! Cross-site forwarding: the gateway's events are passed to `harrierdock-multi-site`, and its actions are executed here.
+//! Cross-site forwarding: passes the gateway's events to `harrierdock-multi-site` and executes the actions it returns.
 
 use std::time::Instant;
 
@@ -20,28 +20,28 @@
 use crate::runtime::gateway::Gateway;
 use crate::runtime::timer::Timer;
 
-/// A request that the other site has forwarded to this one.
+/// A request that the other site forwarded to this site.
 struct InboundRequest {
     inbound: InboundId,
     class: ClassId,
     key: Option<AffinityKey>,
-    /// When its message was handled. Its time counts from then.
-    came_at: Timestamp,
+    /// When the request's message was handled. `time_left` counts from this time.
+    received_at: Timestamp,
     time_left: TimeDelta,
     message: ForwardedRequest,
 }
 
-/// A request that is to be forwarded.
+/// A request to forward to the other site.
 struct OutboundForward {
     id: RequestId,
     path: PathId,
-    /// What `harrierdock-multi-site` has filled in of the message.
-    blank: ForwardedRequest,
+    /// The message, with only the fields that `harrierdock-multi-site` sets.
+    partial_message: ForwardedRequest,
     time_left: TimeDelta,
 }
 
 impl Gateway {
-    /// Tells cross-site forwarding what has happened, and executes the actions it returns.
+    /// Delivers an event to cross-site forwarding and executes the actions it returns.
     pub(crate) fn handle_multi_site_event(&mut self, now: Timestamp, event: Event) {
         let Some(forwarding) = &mut self.forwarding else {
             return;
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Handles what the transport has received, and sends what waits to be sent.
+    /// Handles the transport's pending events and flushes its queued messages.
     pub(crate) fn process_transport(&mut self) {
         while let Some(event) = self
             .forwarding
@@ -66,14 +66,14 @@
         }
     }
 
-    /// The transport's timer has fired.
+    /// Delivers the firing of the transport's timer.
     pub(crate) fn handle_transport_timer(&mut self) {
         if let Some(forwarding) = &mut self.forwarding {
             forwarding.handle_transport_timer();
         }
     }
 
-    /// The timer of cross-site forwarding has fired.
+    /// Delivers the firing of the cross-site forwarding timer.
     pub(crate) fn handle_multi_site_timer(&mut self) {
         let now = self.context.now();
         if let Some(forwarding) = &mut self.forwarding {
@@ -89,7 +89,7 @@
         match event {
             TransportEvent::Opened { path, peer } => {
                 forwarding.connecting.remove(&path);
-                tracing::info!("sites: linked with {peer}");
+                tracing::info!("sites: connected to {peer}");
                 self.handle_multi_site_event(now, Event::PathOpened { path, peer });
             }
             TransportEvent::Closed {
@@ -116,13 +116,13 @@
                 }
                 Err(e) => {
                     self.context.counters.add(Counter::SiteMessagesRefused);
-                    tracing::debug!("sites: a message cannot be read: {e}");
+                    tracing::debug!("sites: failed to decode a message: {e}");
                 }
             },
         }
     }
 
-    /// Executes an action that cross-site forwarding returned for an event at `now`.
+    /// Executes an action that cross-site forwarding returned. `now` is the time of the event that caused the action.
     pub(crate) fn execute_multi_site(&mut self, now: Timestamp, action: Action) {
         match action {
             Action::ServeLocally { id, remaining } => self.serve_locally(now, id, remaining),
@@ -134,7 +134,7 @@
                 heartbeat_sequence,
                 remaining,
             } => {
-                let blank = ForwardedRequest {
+                let partial_message = ForwardedRequest {
                     forwarding_id,
                     receiver_incarnation,
                     heartbeat_sequence,
@@ -143,7 +143,7 @@
                 let forward = OutboundForward {
                     id,
                     path,
-                    blank,
+                    partial_message,
                     time_left: remaining,
                 };
                 self.forward_request(now, forward);
@@ -165,7 +165,7 @@
                 inbound,
                 class,
                 key,
-                came_at: now,
+                received_at: now,
                 time_left: remaining,
                 message: request,
             }),
@@ -186,7 +186,7 @@
         }
     }
 
-    /// Executes an action that concerns the transport alone.
+    /// Opens or closes a path, or sends a message on one. Ignores all other actions.
     fn execute_transport(&mut self, now: Timestamp, action: Action) {
         let Some(forwarding) = &mut self.forwarding else {
             return;
@@ -198,7 +198,7 @@
                         forwarding.connecting.insert(path, peer);
                     }
                     Err(e) => {
-                        tracing::debug!("sites: {peer} cannot be dialled: {e}");
+                        tracing::debug!("sites: failed to open a connection to {peer}: {e}");
                         self.handle_multi_site_event(now, Event::ConnectFailed { peer });
                     }
                 }
@@ -213,7 +213,7 @@
         }
     }
 
-    /// Accepts a request that the other site has forwarded.
+    /// Queues a request forwarded by the other site as a received request.
     fn accept_inbound(&mut self, request: InboundRequest) {
         let id = self.context.next_request_id();
         let is_client_retry = request.message.is_client_retry;
@@ -230,7 +230,7 @@
                 build: sticky_build,
             };
             self.context
-                .emit_at(request.came_at, InternalEvent::Policy(learned));
+                .emit_at(request.received_at, InternalEvent::Policy(learned));
         }
         let received = ReceivedRequest {
             id,
@@ -240,11 +240,13 @@
             time_left: request.time_left,
             inbound: Some(request.inbound),
         };
-        self.context
-            .emit_at(request.came_at, InternalEvent::RequestReceived(received));
+        self.context.emit_at(
+            request.received_at,
+            InternalEvent::RequestReceived(received),
+        );
     }
 
-    /// The other site waits no more for a request that it has forwarded.
+    /// Drops a forwarded request that the other site no longer waits for.
     fn abandon_inbound(&mut self, inbound: InboundId) {
         let id = self
             .forwarding
@@ -255,7 +257,7 @@
         }
     }
 
-    /// Sends a client's request to the other site.
+    /// Sends a client's request to the other site. Does nothing if the request is already answered.
     fn forward_request(&mut self, now: Timestamp, forward: OutboundForward) {
         let id = forward.id;
         let Some(attributes) = self.dispatcher.requests.mark_forwarded(id) else {
@@ -275,21 +277,21 @@
             sticky_build,
             time_left: forward.time_left,
         };
-        let forwarding_id = forward.blank.forwarding_id;
+        let forwarding_id = forward.partial_message.forwarding_id;
         let incarnation = forwarding.sites.incarnation();
-        let blank = ForwardedRequest {
+        let partial_message = ForwardedRequest {
             sender_incarnation: incarnation,
-            ..forward.blank
+            ..forward.partial_message
         };
-        let write = |request: OutboundRequest<'_>| outbound.message(&request, blank);
-        // If its client has left, this is reported as an event of its own, and nothing is sent.
+        let write = |request: OutboundRequest<'_>| outbound.message(&request, partial_message);
+        // `None`: the client has disconnected, which a separate event reports.
         let Some(message) = self.downstream.with_outbound_request(id, write) else {
             return;
         };
         self.context.counters.add(Counter::RequestsForwarded);
         let message = SiteMessage::Request(message);
         if !forwarding.send(&mut self.context, forward.path, &message) {
-            // Not sent, so it has certainly had no effect.
+            // The request was not sent, so it cannot have had an effect at the other site.
             let response = ForwardingResponse {
                 forwarding_id,
                 sender_incarnation: incarnation,
@@ -305,7 +307,7 @@
         }
     }
 
-    /// The other site has answered a request with an endpoint's response.
+    /// Answers a request with an endpoint's response from the other site. Fails the request if no buffer can hold the response.
     fn handle_forwarded_response(
         &mut self,
         now: Timestamp,
@@ -313,7 +315,7 @@
         body: &[u8],
         build: Option<BuildId>,
     ) {
-        // A request that has its answer already takes no buffer.
+        // No buffer is acquired for a request that is already answered.
         let Some(attributes) = self.dispatcher.requests.mark_forwarded(id) else {
             return;
         };
@@ -337,7 +339,7 @@
         self.answer(id, answer);
     }
 
-    /// Sends the answer of a request back to the site that has forwarded it. Any other request is ignored.
+    /// Sends the answer of an inbound request back to the other site. Ignores a request that was not forwarded.
     pub(crate) fn answer_inbound(&mut self, now: Timestamp, id: RequestId, answer: InboundAnswer) {
         let inbound = self
             .forwarding
@@ -354,7 +356,7 @@
         }
     }
 
-    /// Tells cross-site forwarding how many endpoints are ready at this site.
+    /// Reports the number of ready endpoints at this site to cross-site forwarding.
     pub(crate) fn update_local_capacity(&mut self, now: Timestamp) {
         if self.forwarding.is_some() {
             let ready = self.dispatcher.ready_endpoint_count();
--- a/crates/gateway/src/dispatch/preconditions.rs
+++ b/crates/gateway/src/dispatch/preconditions.rs
@@ -1,4 +1,5 @@
-//! Preconditions: an attempt carries what it was decided on, and is dropped before its last byte if that no longer holds.
+//! Preconditions: each attempt records the state that its decision relied on. The attempt is cancelled before its last byte is
+//! written if that state no longer holds.
 
 use harrierdock_attempt_guard::{CurrentState, ListedEndpoint, Precondition, Violation};
 use harrierdock_event_loop::ConnectionId;
@@ -10,15 +11,15 @@
 use crate::runtime::gateway::Gateway;
 use crate::upstream::UnsentAttempt;
 
-/// What is known outside the dispatcher when an attempt is about to be written.
+/// The state outside the dispatcher at the time when an attempt is about to be written.
 struct WriteState {
     now: Timestamp,
     is_client_waiting: bool,
-    list_is_stale: bool,
+    is_list_stale: bool,
 }
 
 impl Dispatcher {
-    /// What an attempt of this request at this endpoint is decided on now.
+    /// The precondition of an attempt of this request at this endpoint, from the current state.
     pub(super) fn precondition(&self, entry: &RequestEntry, endpoint: EndpointId) -> Precondition {
         let listed = self.policy.endpoint(endpoint);
         let build = listed.map_or(BuildId(0), |record| record.build);
@@ -31,8 +32,8 @@
         }
     }
 
-    /// Why an attempt, of whose request the last byte has not been written, may not be written any more.
-    fn violation(&self, attempt: &UnsentAttempt, state: &WriteState) -> Option<Violation> {
+    /// Checks the precondition of an attempt whose last byte is still unwritten. Returns the first violation.
+    fn find_violation(&self, attempt: &UnsentAttempt, state: &WriteState) -> Option<Violation> {
         let Some(entry) = self.requests.get(attempt.id.request) else {
             return Some(Violation::RequestFinished);
         };
@@ -44,7 +45,7 @@
         record.precondition.violation(&CurrentState {
             now: state.now,
             request_finished: entry.is_answered || !state.is_client_waiting,
-            list_is_stale: state.list_is_stale,
+            list_is_stale: state.is_list_stale,
             endpoint: endpoint.map(|endpoint| ListedEndpoint {
                 lifecycle: endpoint.lifecycle,
                 build: endpoint.build,
@@ -55,8 +56,9 @@
         })
     }
 
-    /// Counts the attempt's exposure from now on, and returns a violation if the limit leaves nothing for it.
-    fn exposure_violation(&mut self, now: Timestamp, attempt: &UnsentAttempt) -> Option<Violation> {
+    /// Moves the attempt's count against the exposure limit to `now`. Returns a violation if the limit does not admit the
+    /// attempt any more.
+    fn recount_exposure(&mut self, now: Timestamp, attempt: &UnsentAttempt) -> Option<Violation> {
         let entry = self.requests.get_mut(attempt.id.request)?;
         let class = entry.class;
         let record = entry.attempts.get_mut(attempt.id.attempt)?;
@@ -69,8 +71,8 @@
     }
 }
 
-/// When endpoints may stop recognising the idempotency key. `None` if no attempt may have had its effect, or if the class
-/// has no keys.
+/// When endpoints may forget the request's idempotency key. `None` if no attempt can have had an effect, or if the class has no
+/// idempotency keys.
 fn deduplicated_until(
     entry: &RequestEntry,
     class: Option<&ClassParameters>,
@@ -91,8 +93,8 @@
 }
 
 impl Gateway {
-    /// Cancels the attempt on this connection if it is not written in full and its precondition no longer holds. The endpoint
-    /// cannot have started on it.
+    /// Cancels the attempt on this connection if its precondition no longer holds and its last byte is unwritten. The endpoint
+    /// cannot have started to process the attempt.
     pub(crate) fn cancel_on_violation(&mut self, connection_id: ConnectionId) {
         let Some(attempt) = self.upstream.unsent_attempt(connection_id) else {
             return;
@@ -103,14 +105,14 @@
         let state = WriteState {
             now: self.context.now(),
             is_client_waiting,
-            list_is_stale: self.is_list_stale(),
+            is_list_stale: self.is_list_stale(),
         };
         let violation = self
             .dispatcher
-            .violation(&attempt, &state)
-            .or_else(|| self.dispatcher.exposure_violation(state.now, &attempt));
+            .find_violation(&attempt, &state)
+            .or_else(|| self.dispatcher.recount_exposure(state.now, &attempt));
         if let Some(violation) = violation {
-            tracing::debug!("upstream: an attempt is not written: {violation:?}");
+            tracing::debug!("upstream: cancelled an attempt before it was sent: {violation:?}");
             self.context.counters.add(Counter::PreconditionViolations);
             self.upstream
                 .cancel_unsent(&mut self.context, connection_id);
--- a/crates/gateway/src/dispatch/request_table.rs
+++ b/crates/gateway/src/dispatch/request_table.rs
@@ -1,67 +1,67 @@
-//! The request table: every request from its receipt until it has its answer and all its attempts have ended.
+//! The request table: holds every request from its receipt until it is answered and all its attempts have finished.
 
 use std::collections::BTreeMap;
 
 use harrierdock_attempt_guard::Precondition;
 use harrierdock_types::{AffinityKey, AttemptOutcome, ClassId, EndpointId, RequestId, Timestamp};
 
-/// An attempt of a request.
+/// An attempt of a request, open or finished.
 pub(crate) struct AttemptRecord {
-    /// Where it goes.
+    /// The endpoint that the attempt is sent to.
     pub(crate) endpoint: EndpointId,
-    /// When the policy asked for it.
+    /// When the policy requested the attempt.
     pub(crate) started_at: Timestamp,
-    /// From when on it counts against the exposure limit.
+    /// The time as of which the attempt counts against the exposure limit.
     pub(crate) exposure_counted_at: Timestamp,
-    /// What it was decided on.
+    /// The state that the policy's decision relied on.
     pub(crate) precondition: Precondition,
-    /// Whether it has not ended.
+    /// Whether the attempt is unfinished.
     pub(crate) is_open: bool,
-    /// Whether it certainly had no effect.
+    /// Whether the attempt finished and certainly had no effect.
     pub(crate) had_no_effect: bool,
-    /// The size of the request's body.
+    /// The size of the request's body in bytes; 0 until the request is passed to the upstream.
     pub(crate) body_bytes: usize,
 }
 
 /// Which site serves a request.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ServingSite {
-    /// It is not decided yet.
+    /// Not decided yet, or offered to the other site after a local rejection.
     Undecided,
     /// This site.
     Local,
     /// The other site.
     Other,
-    /// This site, after the other one has returned it.
+    /// This site, after the other site returned the request.
     ReturnedToLocal,
 }
 
-/// A request under way.
+/// A request that lacks an answer or has an open attempt.
 pub(crate) struct RequestEntry {
-    /// Its class.
+    /// The request class.
     pub(crate) class: ClassId,
-    /// Its affinity key, if it has one.
+    /// The affinity key, or `None` if the request carries none.
     pub(crate) key: Option<AffinityKey>,
-    /// Whether its client has sent it before.
+    /// Whether the client sent the request again.
     pub(crate) is_client_retry: bool,
-    /// When it was received.
+    /// When the dispatcher received the request.
     pub(crate) received_at: Timestamp,
-    /// When its client's wait ends.
+    /// When the client stops waiting, or earlier if less time is granted.
     pub(crate) deadline: Timestamp,
-    /// When it must have been answered, whatever the policy does.
+    /// When the gateway fails the request if the policy has left it unanswered: one tick after its first deadline.
     pub(crate) overdue_at: Timestamp,
-    /// Whether it has its answer, or needs none any more.
+    /// Whether the request is answered, or abandoned by its client.
     pub(crate) is_answered: bool,
-    /// Which site serves it.
+    /// The site that serves the request.
     pub(crate) serving_site: ServingSite,
-    /// Whether the other site has forwarded it.
+    /// Whether the other site forwarded the request to this one.
     pub(crate) is_inbound: bool,
-    /// Its attempts at this site's endpoints, by their number.
+    /// The attempts at this site's endpoints, indexed by attempt number.
     pub(crate) attempts: Vec<AttemptRecord>,
 }
 
 impl RequestEntry {
-    /// Whether an attempt may have had its effect.
+    /// Whether any attempt may have had an effect.
     pub(crate) fn may_have_effect(&self) -> bool {
         self.attempts.iter().any(|attempt| !attempt.had_no_effect)
     }
@@ -71,64 +71,64 @@
     }
 }
 
-/// What is known of an attempt that has just ended.
+/// The data of an attempt that has just finished.
 pub(crate) struct EndedAttempt {
-    /// Where it went.
+    /// The endpoint that the attempt was sent to.
     pub(crate) endpoint: EndpointId,
-    /// When the policy asked for it.
+    /// When the policy requested the attempt.
     pub(crate) started_at: Timestamp,
-    /// The size of the request's body.
+    /// The size of the request's body in bytes; 0 if the request was never passed to the upstream.
     pub(crate) body_bytes: usize,
 }
 
-/// What the other site needs to know of a request besides its bytes.
+/// The attributes that are forwarded to the other site with a request's bytes.
 pub(crate) struct ForwardedAttributes {
-    /// Its class.
+    /// The request class.
     pub(crate) class: ClassId,
-    /// Its affinity key, if it has one.
+    /// The affinity key, or `None` if the request carries none.
     pub(crate) key: Option<AffinityKey>,
-    /// Whether its client has sent it before.
+    /// Whether the client sent the request again.
     pub(crate) is_client_retry: bool,
 }
 
-/// The requests under way.
+/// All requests that lack an answer or have an open attempt, by id.
 #[derive(Default)]
 pub(crate) struct RequestTable {
     entries: BTreeMap<RequestId, RequestEntry>,
 }
 
 impl RequestTable {
-    /// Adds a request.
+    /// Adds a request, replacing any entry under the same id.
     pub(crate) fn insert(&mut self, id: RequestId, entry: RequestEntry) {
         self.entries.insert(id, entry);
     }
 
-    /// A request, if it is under way.
+    /// The entry of a request, or `None` if the request is complete or unknown.
     pub(crate) fn get(&self, id: RequestId) -> Option<&RequestEntry> {
         self.entries.get(&id)
     }
 
-    /// A request, if it is under way.
+    /// The entry of a request, or `None` if the request is complete or unknown.
     pub(crate) fn get_mut(&mut self, id: RequestId) -> Option<&mut RequestEntry> {
         self.entries.get_mut(&id)
     }
 
-    /// A request that has no answer yet.
+    /// The entry of a request, or `None` if the request is answered or unknown.
     pub(crate) fn get_unanswered_mut(&mut self, id: RequestId) -> Option<&mut RequestEntry> {
         self.get_mut(id).filter(|entry| !entry.is_answered)
     }
 
-    /// Whether the request is under way and was forwarded by the other site.
+    /// Whether the table holds the request and the other site forwarded it.
     pub(crate) fn is_inbound(&self, id: RequestId) -> bool {
         self.get(id).is_some_and(|entry| entry.is_inbound)
     }
 
-    /// Whether the request has its answer, or is not known any more.
+    /// Whether the request is answered or no longer in the table.
     pub(crate) fn is_finished(&self, id: RequestId) -> bool {
         self.get(id).is_none_or(|entry| entry.is_answered)
     }
 
-    /// An attempt of a request.
+    /// An attempt by its number, counted from 0. `None` if the request or the attempt is unknown.
     pub(crate) fn attempt_mut(
         &mut self,
         id: RequestId,
@@ -137,7 +137,7 @@
         self.get_mut(id)?.attempts.get_mut(attempt)
     }
 
-    /// Notes that an attempt has ended. `None` if it is unknown or has ended before.
+    /// Records the outcome of an attempt. Returns `None` if the attempt is unknown or already finished.
     pub(crate) fn end_attempt(
         &mut self,
         id: RequestId,
@@ -157,7 +157,7 @@
         })
     }
 
-    /// Notes that the other site serves a request. `None` if it has its answer already.
+    /// Records that the other site serves a request. Returns `None` if the request is answered or unknown.
     pub(crate) fn mark_forwarded(&mut self, id: RequestId) -> Option<ForwardedAttributes> {
         let entry = self.get_unanswered_mut(id)?;
         entry.serving_site = ServingSite::Other;
@@ -168,14 +168,14 @@
         })
     }
 
-    /// Removes a request that has its answer and no open attempt.
+    /// Removes the request if it is answered and has no open attempt.
     pub(crate) fn remove_if_complete(&mut self, id: RequestId) {
         if self.get(id).is_some_and(RequestEntry::is_complete) {
             self.entries.remove(&id);
         }
     }
 
-    /// The requests that have no answer yet.
+    /// The ids of the unanswered requests, in ascending order.
     pub(crate) fn unanswered(&self) -> impl Iterator<Item = RequestId> + '_ {
         self.entries
             .iter()
@@ -183,7 +183,7 @@
             .map(|(id, _)| *id)
     }
 
-    /// How many requests have no answer yet.
+    /// The number of unanswered requests.
     pub(crate) fn unanswered_count(&self) -> usize {
         self.unanswered().count()
     }
--- a/crates/gateway/src/dispatch/rollout.rs
+++ b/crates/gateway/src/dispatch/rollout.rs
@@ -1,5 +1,5 @@
-//! The rollout controller: votes and rollout updates are passed to `harrierdock-rollout-controller`, and its actions are executed
-//! here. The commands to the deployment controller go out under a lease.
+//! Passes votes and rollout updates to `harrierdock-rollout-controller` and executes the actions it returns. Commands to the
+//! deployment controller are sent only under the lease.
 
 use calloop::Readiness;
 use harrierdock_event_loop::ConnectionId;
@@ -18,8 +18,8 @@
 use crate::runtime::timer::Timer;
 
 impl Gateway {
-    /// Gives the policy's vote to the rollout controller. Returns whether there is one; else the vote goes to the rollout
-    /// platform.
+    /// Passes the policy's vote to the rollout controller. Returns false if no rollout controller is configured; the caller then
+    /// votes at the rollout platform.
     pub(super) fn vote_to_rollout_controller(
         &mut self,
         build: BuildId,
@@ -31,7 +31,7 @@
         }
         self.context.counters.add(Counter::Votes);
         self.handle_rollout_event(Event::VoteChanged(votes::vote(build, stage, decision)));
-        // The policy takes this as the answer to its vote, and renews the vote as it would at the platform.
+        // Answers the policy's vote, so that the policy renews the vote as it does with the rollout platform.
         let update = RolloutUpdate {
             build,
             stage,
@@ -46,7 +46,7 @@
         true
     }
 
-    /// Handles a vote of a peer.
+    /// Handles a rollout vote received from a peer.
     pub(super) fn handle_rollout_vote(&mut self, from: PeerId, bytes: &[u8]) {
         match rollout_controller::decode(bytes) {
             Ok(message) => {
@@ -55,12 +55,12 @@
             }
             Err(e) => {
                 self.context.counters.add(Counter::GossipRefused);
-                tracing::debug!("fleet: a vote is refused: {e}");
+                tracing::debug!("fleet: ignored an invalid rollout vote from a peer: {e}");
             }
         }
     }
 
-    /// Tells the rollout controller what the platform says of a rollout.
+    /// Passes the platform's rollout update to the rollout controller.
     pub(super) fn handle_rollout_update(&mut self, update: &RolloutUpdate) {
         if self.rollout_commands.is_none() {
             return;
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Tells the rollout controller what has happened, and executes the actions it returns.
+    /// Delivers an event to the rollout controller and executes the actions it returns.
     pub(super) fn handle_rollout_event(&mut self, event: Event) {
         let now = self.context.now();
         let Some(commands) = &mut self.rollout_commands else {
@@ -104,7 +104,7 @@
         }
     }
 
-    /// The timer of the rollout controller has fired.
+    /// Delivers the firing of the rollout controller's timer.
     pub(crate) fn handle_rollout_timer(&mut self) {
         if let Some(commands) = &mut self.rollout_commands {
             commands.timer_deadline = None;
@@ -139,7 +139,7 @@
         }
     }
 
-    /// The connection of a command is ready. The lease is checked when its bytes can go out, and not before.
+    /// Handles readiness of a command's connection. Checks the lease only when the command can be written, so that it is current.
     pub(crate) fn handle_rollout_command_readiness(
         &mut self,
         connection_id: ConnectionId,
@@ -158,7 +158,7 @@
         self.handle_command_finished(finished);
     }
 
-    /// A command has had no response in time.
+    /// Fails a command whose response did not arrive before its deadline.
     pub(crate) fn time_out_rollout_command(&mut self, connection_id: ConnectionId) {
         let finished = self
             .rollout_commands
--- a/crates/gateway/src/dispatch/site_administration.rs
+++ b/crates/gateway/src/dispatch/site_administration.rs
@@ -1,4 +1,4 @@
-//! What operators may do about the other site: drain or resume this site, ask for the status, and replace keys.
+//! Operator commands for a gateway with two sites: drain or resume this site, query the status, and reload keys.
 
 use harrierdock_multi_site::{Event, OperatorCommand};
 
@@ -7,7 +7,7 @@
 use crate::runtime::gateway::Gateway;
 
 impl Gateway {
-    /// Carries out an operator's command and returns the status, in one line of JSON.
+    /// Executes an operator's command. Returns the status, or an error, as one line of JSON.
     pub(crate) fn handle_control_command(&mut self, command: &str) -> String {
         let now = self.context.now();
         let operator_command = match command {
@@ -16,13 +16,13 @@
             "status" => None,
             unknown => {
                 return format!(
-                    "{{\"error\":\"unknown word '{}'\"}}\n",
+                    "{{\"error\":\"unknown command '{}'\"}}\n",
                     unknown.escape_default()
                 )
             }
         };
         if let Some(operator_command) = operator_command {
-            tracing::warn!("sites: told by hand to {command}");
+            tracing::warn!("sites: executing operator command: {command}");
             self.handle_multi_site_event(now, Event::OperatorCommand(operator_command));
             self.process_events();
         }
@@ -30,18 +30,18 @@
             .forwarding
             .as_ref()
             .and_then(|forwarding| serde_json::to_string(&forwarding.sites.status()).ok());
-        let no_site = || r#"{"error":"no other site is told"}"#.to_string();
-        format!("{}\n", status.unwrap_or_else(no_site))
+        let not_configured = || r#"{"error":"no other site is configured"}"#.to_string();
+        format!("{}\n", status.unwrap_or_else(not_configured))
     }
 
-    /// Uses new keys and certificates for the connections that come up from now on.
+    /// Reloads keys and certificates. They apply to connections opened after the reload.
     pub(crate) fn reload_site_keys(&mut self, extension: &ExtensionConfig) {
         let Some(forwarding) = &mut self.forwarding else {
             return;
         };
         match &extension.sites {
             Some(settings) if settings.other.site != forwarding.other_site => {
-                tracing::warn!("sites: another other site counts from the next start on");
+                tracing::warn!("sites: changing the name of the other site requires a restart");
             }
             Some(settings) => {
                 log_reloaded_keys(forwarding.reload_keys(settings, extension.folder()));
@@ -53,7 +53,7 @@
 
 fn log_reloaded_keys(reloaded: Result<(), ForwardingError>) {
     match reloaded {
-        Ok(()) => tracing::info!("sites: keys are read again"),
-        Err(e) => tracing::warn!("sites: the keys held stay: {e}"),
+        Ok(()) => tracing::info!("sites: reloaded the keys"),
+        Err(e) => tracing::warn!("sites: failed to reload the keys, keeping the current ones: {e}"),
     }
 }
--- a/crates/gateway/src/upstream/pool.rs
+++ b/crates/gateway/src/upstream/pool.rs
@@ -1,4 +1,4 @@
-//! The connection pool: which instance runs at each endpoint, and the idle connections to it.
+//! The connection pool: the instance that runs at each endpoint, and the idle connections to that instance.
 
 use std::net::SocketAddr;
 
@@ -11,27 +11,28 @@
 use crate::runtime::context::Context;
 use crate::runtime::timer::Timer;
 
-/// What runs at an endpoint. Another start, build or address is another instance, which has connections of its own.
+/// One run of an endpoint's server process. A different address, start time or build is a different instance, and connections
+/// are never shared between instances.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) struct EndpointInstance {
-    /// Where it listens.
+    /// The address that the instance listens on.
     pub(crate) address: SocketAddr,
-    /// When it started, in Unix milliseconds, as discovery says.
+    /// The instance's start time from discovery, in Unix milliseconds.
     pub(crate) started_at_ms: i64,
-    /// Its build.
+    /// The build that the instance runs.
     pub(crate) build: BuildId,
 }
 
-/// An endpoint that runs.
+/// A running endpoint.
 pub(super) struct EndpointConnections {
-    /// What runs there.
+    /// The instance that runs at the endpoint.
     pub(super) instance: EndpointInstance,
-    /// The idle connections, the last used at the end.
+    /// The idle connections, the most recently used last.
     pub(super) idle: Vec<ConnectionId>,
 }
 
 impl Upstream {
-    /// Notes what runs at an endpoint, if anything does. Idle connections to what ran there before are closed.
+    /// Sets the instance that runs at an endpoint, or `None` if none runs. Closes idle connections to the previous instance.
     pub(crate) fn set_instance(
         &mut self,
         context: &mut Context,
@@ -56,21 +57,21 @@
         }
     }
 
-    /// Whether an idle connection to the endpoint may be used.
+    /// Whether the pool has a reusable connection to the endpoint.
     pub(crate) fn has_idle_connection(&self, now: Timestamp, endpoint: EndpointId) -> bool {
         self.endpoints
             .get(&endpoint)
             .is_some_and(|endpoint| endpoint.idle.iter().any(|id| !self.is_resting(now, *id)))
     }
 
-    /// Whether the connection is idle for so short a time that the endpoint may not expect a request on it.
+    /// Whether the connection became idle so recently that a duplicate of the last response may still arrive on it.
     fn is_resting(&self, now: Timestamp, id: ConnectionId) -> bool {
-        self.connections
-            .get(&id)
-            .is_some_and(|pooled| self.reuse_policy.state(pooled.since, now) == IdleState::Resting)
+        self.connections.get(&id).is_some_and(|pooled| {
+            self.reuse_policy.state(pooled.last_used_at, now) == IdleState::Resting
+        })
     }
 
-    /// Takes the connection that was used last out of the pool, of those that may be used.
+    /// Takes the most recently used reusable connection out of the pool.
     fn take_idle(&mut self, now: Timestamp, endpoint: EndpointId) -> Option<ConnectionId> {
         let index = self
             .endpoints
@@ -81,8 +82,9 @@
         Some(self.endpoints.get_mut(&endpoint)?.idle.remove(index))
     }
 
-    /// Puts an exchange on an idle connection. `None` if there is none that is still open.
-    pub(super) fn reuse(
+    /// Assigns an exchange to an idle connection. Closes expired and disconnected ones on the way. Returns `None` if no idle
+    /// connection is usable.
+    pub(super) fn reuse_connection(
         &mut self,
         context: &mut Context,
         endpoint: EndpointId,
@@ -92,17 +94,17 @@
             let Some(pooled) = self.connections.get_mut(&id) else {
                 continue;
             };
-            // The endpoint may have closed the connection, or be about to.
+            // The endpoint may have closed the connection, or may close it soon.
             let is_expired =
-                self.reuse_policy.state(pooled.since, context.now()) == IdleState::Expired;
+                self.reuse_policy.state(pooled.last_used_at, context.now()) == IdleState::Expired;
             if is_expired || !pooled.connection.is_open_and_quiet() {
                 context.counters.add(Counter::IdleConnectionsClosed);
                 self.close(context, id);
                 continue;
             }
             context.counters.add(Counter::ConnectionsReused);
-            pooled.phase = Phase::Writing;
-            pooled.since = context.now();
+            pooled.phase = Phase::WritingRequest;
+            pooled.last_used_at = context.now();
             pooled.exchange = Some(exchange);
             context
                 .timers
@@ -112,12 +114,12 @@
         None
     }
 
-    /// Closes connections that have been idle for too long.
+    /// Closes connections that have been idle for longer than the idle timeout.
     pub(crate) fn close_expired(&mut self, context: &mut Context) {
         let now = context.now();
         let is_expired = |pooled: &PooledConnection| {
             pooled.phase == Phase::Idle
-                && self.reuse_policy.state(pooled.since, now) == IdleState::Expired
+                && self.reuse_policy.state(pooled.last_used_at, now) == IdleState::Expired
         };
         let expired: Vec<ConnectionId> = self
             .connections
@@ -130,7 +132,7 @@
         }
     }
 
-    /// Closes an idle connection and takes it out of the pool.
+    /// Closes an idle connection and removes it from the pool.
     pub(super) fn close_idle(&mut self, context: &mut Context, id: ConnectionId) {
         let endpoint = self
             .connections
@@ -142,13 +144,13 @@
         self.close(context, id);
     }
 
-    /// Closes the connection that has been idle for longest. Returns whether there was one.
+    /// Closes the connection that has been idle the longest. Returns false if no connection is idle.
     pub(crate) fn close_longest_idle(&mut self, context: &mut Context) -> bool {
         let longest_idle = self
             .connections
             .iter()
             .filter(|(_, pooled)| pooled.phase == Phase::Idle)
-            .min_by_key(|(_, pooled)| pooled.since)
+            .min_by_key(|(_, pooled)| pooled.last_used_at)
             .map(|(id, _)| *id);
         match longest_idle {
             Some(id) => {
--- a/crates/gateway/src/upstream/wire.rs
+++ b/crates/gateway/src/upstream/wire.rs
@@ -1,4 +1,4 @@
-//! Requests and responses of endpoints as bytes. The names that endpoints use on the wire stand in this file.
+//! The wire format of requests to endpoints and of their responses, with the header names that endpoints use.
 
 use std::net::SocketAddr;
 
@@ -15,7 +15,7 @@
 const LINE_END: &str = "\r\n";
 const MICROS_PER_MILLISECOND: i64 = 1000;
 
-/// Writes a request without the time that its client still waits. Returns where this is to be inserted.
+/// Writes a request without the client's remaining time. Returns the offset in `output` at which to insert that time.
 pub(super) fn write_request(
     output: &mut Vec<u8>,
     address: SocketAddr,
@@ -25,7 +25,7 @@
     write::field(output, "Host", address);
     write::field(output, REQUEST_ID_FIELD, request.client_request_id);
     write::field(output, TIME_LEFT_FIELD, "");
-    let time_left_at = output.len() - LINE_END.len();
+    let time_left_offset = output.len() - LINE_END.len();
     if let Some(key) = request.idempotency_key {
         write::field(output, IDEMPOTENCY_KEY_FIELD, key);
     }
@@ -34,16 +34,16 @@
     } else {
         write::body(output, request.body);
     }
-    time_left_at
+    time_left_offset
 }
 
-/// Inserts the time that its client still waits into a request.
-pub(super) fn insert_time_left(output: &mut Vec<u8>, at: usize, time_left: TimeDelta) {
+/// Inserts the client's remaining time, in whole milliseconds, into a request.
+pub(super) fn insert_time_left(output: &mut Vec<u8>, offset: usize, time_left: TimeDelta) {
     let text = (time_left.0.max(0) / MICROS_PER_MILLISECOND).to_string();
-    output.splice(at..at, text.into_bytes());
+    output.splice(offset..offset, text.into_bytes());
 }
 
-/// What a response means for its attempt.
+/// The outcome of an attempt whose response has this head.
 pub(super) fn outcome_of(head: &ResponseHead<'_>) -> AttemptOutcome {
     let is_rejected = || head.fields.single(REJECTED_FIELD).ok().flatten() == Some("1");
     match head.status {
