--- a/crates/policy/src/rollout_voter.rs
+++ b/crates/policy/src/rollout_voter.rs
@@ -1,4 +1,5 @@
-//! Decides what this gateway votes for at the rollout platform, and when it casts the vote. Owns the desired and the scheduled vote.
+//! Decides what this gateway votes for at the rollout platform, and when it casts the vote. Owns the desired vote and the
+//! scheduled one.
 
 use harrierdock_types::{
     Action, Arm, BuildId, PlatformStatus, RolloutDecision, RolloutPhase, StageControl, TimeDelta,
