--- a/crates/policy/src/control_plane.rs
+++ b/crates/policy/src/control_plane.rs
@@ -57,7 +57,7 @@
         self.voter.decide(&RolloutEvidence {
             context: &self.context,
             rollout: &self.rollout,
-            eliminations: &self.elimination_votes,
+            elimination_votes: &self.elimination_votes,
             endpoints: &self.endpoints,
         });
     }
--- a/crates/policy/src/elimination_votes.rs
+++ b/crates/policy/src/elimination_votes.rs
@@ -20,7 +20,7 @@
 }
 
 impl EliminationVotes {
-    /// Counts a vote; its weight is a power of η. Only votes of aggregators count, each with the highest weight it has had.
+    /// Counts a vote; its weight is an exponent of η. Only aggregators vote, and the highest weight of each one counts.
     pub fn record(&mut self, context: &Context, arm: Arm, from: PeerId, weight: usize) {
         let is_aggregator =
             from.0 < context.parameters.gateway_count && context.gossip_group_of(from) == from;
--- a/crates/policy/src/exposure_limiter.rs
+++ b/crates/policy/src/exposure_limiter.rs
@@ -53,19 +53,21 @@
         let is_counted = |class: ClassId| {
             rollout.exposure_counting == ExposureCounting::Combined || class == attempt.class
         };
-        let edge = context.now - rollout.exposure_window;
-        let sent = self.attempts.count_after(edge - tick - tick, |other| {
-            other.build == attempt.build && is_counted(other.class)
-        });
+        let window_start = context.now - rollout.exposure_window;
+        let sent = self
+            .attempts
+            .count_after(window_start - tick - tick, |other| {
+                other.build == attempt.build && is_counted(other.class)
+            });
         let received = self
             .received
-            .count_after(edge + tick, |class| is_counted(*class));
+            .count_after(window_start + tick, |class| is_counted(*class));
         sent + 1.0 <= rollout.exposure_allowance + exposure_limit * received
     }
 
-    /// Drops requests and attempts counted before `edge`.
-    pub fn drop_before(&mut self, edge: Timestamp) {
-        self.received.drop_before(edge);
-        self.attempts.drop_before(edge);
+    /// Drops requests and attempts counted before `time`.
+    pub fn drop_before(&mut self, time: Timestamp) {
+        self.received.drop_before(time);
+        self.attempts.drop_before(time);
     }
 }
--- a/crates/policy/src/fleet_view.rs
+++ b/crates/policy/src/fleet_view.rs
@@ -20,7 +20,7 @@
     pub(crate) endpoints: &'a EndpointTable,
     pub(crate) rollout: &'a RolloutState,
     pub(crate) zones: &'a ZoneEjection,
-    pub(crate) eliminations: &'a EliminationVotes,
+    pub(crate) elimination_votes: &'a EliminationVotes,
     /// The longest mean answer time of all classes.
     pub(crate) mean_latency: TimeDelta,
 }
@@ -40,7 +40,7 @@
         let now = self.context.now;
         let is_active_canary = self.is_canary(endpoint.record.build)
             && !self
-                .eliminations
+                .elimination_votes
                 .is_eliminated(self.context, Arm::Canary, 1.0);
         (is_active_canary || !endpoint.health.is_ejected(now))
             && !self.zones.is_ejected(endpoint.record.zone, now)
--- a/crates/policy/src/gossip_group.rs
+++ b/crates/policy/src/gossip_group.rs
@@ -20,7 +20,7 @@
 /// The latency ratio that stands for an ejected endpoint.
 const EJECTED_LATENCY_RATIO: f64 = 1000.0;
 /// A member's attempts count once it has reported without interruption for this many latency objectives. Until then the
-/// reported traffic holds no answers to the attempts that it has in flight.
+/// reported traffic lacks answers to the member's attempts in flight.
 const MEMBER_SETTLING_RATIO: f64 = 1.5;
 
 /// The last report of a group member.
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -247,7 +247,7 @@
             endpoints: &self.endpoints,
             rollout: &self.rollout,
             zones: &self.zones,
-            eliminations: &self.elimination_votes,
+            elimination_votes: &self.elimination_votes,
             mean_latency: self.latency.longest_mean(),
         }
     }
--- a/crates/policy/src/outcome_reports.rs
+++ b/crates/policy/src/outcome_reports.rs
@@ -20,8 +20,8 @@
     build: BuildId,
     class: ClassId,
     outcome: AttemptOutcome,
-    in_time: bool,
-    fast: bool,
+    is_in_time: bool,
+    is_fast: bool,
     /// Whether the endpoint had warmed up when the attempt started.
     is_warm: bool,
 }
@@ -32,7 +32,7 @@
     pub(crate) fn report_outcome(&mut self, report: OutcomeReport) {
         self.record_outcome(&report);
         if self.context.is_aggregator() {
-            self.test_outcome(&report);
+            self.count_outcome(&report);
         } else {
             self.gossip.queue_outcome(report);
         }
@@ -125,30 +125,30 @@
         };
         let report = OutcomeReport { build, ..report };
         self.record_outcome(&report);
-        self.test_outcome(&report);
+        self.count_outcome(&report);
     }
 
     /// Counts an outcome in the elimination test.
-    fn test_outcome(&mut self, report: &OutcomeReport) {
+    fn count_outcome(&mut self, report: &OutcomeReport) {
         let class = report.class;
         if class.0 >= self.context.parameters.classes.len() {
             return;
         }
         match report.event {
-            ReportedEvent::Attempt(outcome) => self.test_attempt(report, outcome),
+            ReportedEvent::Attempt(outcome) => self.count_attempt(report, outcome),
             // Shed requests count as late; otherwise shedding load would hide a lack of capacity.
-            ReportedEvent::NotAttempted => self.test_service(ServiceOutcome {
+            ReportedEvent::NotAttempted => self.count_overall(ServiceOutcome {
                 class,
-                in_time: false,
-                fast: false,
+                is_in_time: false,
+                is_fast: false,
             }),
-            ReportedEvent::Complaint => self.test_complaint(report),
+            ReportedEvent::Complaint => self.count_complaint(report),
         }
     }
 
     /// Counts an attempt in each metric that its outcome is evidence for. A warming endpoint is slow whatever its build
     /// (departure C), but its errors count, as it would return them when warm too.
-    fn test_attempt(&mut self, report: &OutcomeReport, outcome: AttemptOutcome) {
+    fn count_attempt(&mut self, report: &OutcomeReport, outcome: AttemptOutcome) {
         if !self.rollout.is_compared(report.build) {
             return;
         }
@@ -173,21 +173,21 @@
             build: report.build,
             class: report.class,
             outcome,
-            in_time: succeeded && report.latency_ratio <= 1.0,
-            fast: succeeded && duration <= usual * FAST_LATENCY_RATIO / warmth,
+            is_in_time: succeeded && report.latency_ratio <= 1.0,
+            is_fast: succeeded && duration <= usual * FAST_LATENCY_RATIO / warmth,
             is_warm: warmth >= 1.0,
         };
         if succeeded || outcome == AttemptOutcome::TimedOut {
-            self.test_service(ServiceOutcome {
+            self.count_overall(ServiceOutcome {
                 class: report.class,
-                in_time: arm_outcome.in_time,
-                fast: arm_outcome.fast,
+                is_in_time: arm_outcome.is_in_time,
+                is_fast: arm_outcome.is_fast,
             });
         }
-        self.test_arm(&arm_outcome);
+        self.count_for_arm(&arm_outcome);
     }
 
-    fn test_arm(&mut self, arm_outcome: &ArmOutcome) {
+    fn count_for_arm(&mut self, arm_outcome: &ArmOutcome) {
         let outcome = arm_outcome.outcome;
         let succeeded = outcome == AttemptOutcome::Succeeded;
         let answered = succeeded || outcome == AttemptOutcome::ServerError;
@@ -210,8 +210,8 @@
                 self.elimination.record(metric, arm, source, outcomes);
             }
         };
-        record(Metric::InTime, arm_outcome.in_time, is_timed);
-        record(Metric::Speed, arm_outcome.fast, is_paired && succeeded);
+        record(Metric::InTime, arm_outcome.is_in_time, is_timed);
+        record(Metric::Speed, arm_outcome.is_fast, is_paired && succeeded);
         record(Metric::Correctness, true, succeeded && complaints_enabled);
         record(Metric::Success, succeeded, answered);
         record(Metric::ClassSuccess(arm_outcome.class), succeeded, answered);
@@ -228,7 +228,7 @@
 
     /// Counts an outcome for the overall metrics, whatever its build. Outcomes count towards the past until a build is under
     /// evaluation and runs on enough of the fleet to lower these metrics.
-    fn test_service(&mut self, outcome: ServiceOutcome) {
+    fn count_overall(&mut self, outcome: ServiceOutcome) {
         let is_past = !self.rollout.is_under_evaluation(&self.context)
             || self.endpoints.canary().ratio < APPROXIMATION_RATIO;
         if is_past {
@@ -241,7 +241,7 @@
 
     /// Takes back the payoff of an answer that a client complained about (departure F). A single complaint may be mistaken, and
     /// does not eliminate a build.
-    fn test_complaint(&mut self, report: &OutcomeReport) {
+    fn count_complaint(&mut self, report: &OutcomeReport) {
         if !self.rollout.is_compared(report.build) {
             return;
         }
--- a/crates/policy/src/payoff.rs
+++ b/crates/policy/src/payoff.rs
@@ -1,8 +1,8 @@
 //! The payoffs of outcomes, and the statistics that compare two of them.
 
-/// η: the error probability that one unit of elimination weight stands for; a weight is a power of it.
+/// η: the base of elimination weights. A weight of n stands for an error probability of η to the power of n.
 pub const ETA: f64 = 0.9;
-/// δ: the probability with which a rollout decision may be wrong.
+/// δ: the acceptable probability of a wrong rollout decision.
 pub const DELTA: f64 = 0.05;
 /// Number of outcomes that each arm needs before the arms are compared.
 pub const MIN_OUTCOMES: f64 = 20.0;
@@ -48,7 +48,7 @@
         self.count * (divergence_term(own_mean, mean) + divergence_term(1.0 - own_mean, 1.0 - mean))
     }
 
-    /// How far the outcomes are below those of the rest; 0 if they are not. The rest counts with one more outcome of payoff 0.
+    /// The divergence from the mean of `rest` if this mean is lower, else 0. One more outcome, with payoff 0, is added to `rest`.
     pub fn divergence_below(&self, rest: &Payoff) -> f64 {
         let rest_mean = rest.sum / (rest.count + 1.0);
         if self.mean() < rest_mean {
@@ -58,7 +58,7 @@
         }
     }
 
-    /// The confidence of the KL-Racing test, as a power of η, that this arm is worse than a better one by more than `tolerance`
+    /// The confidence of the KL-Racing test, as an exponent of η, that this arm is worse than `better` by more than `tolerance`
     /// (departures A and B in docs/design.md). 0 means no elimination.
     pub fn elimination_weight(&self, better: &Payoff, tolerance: f64) -> usize {
         let outcomes = self.count.min(better.count);
--- a/crates/policy/src/rollout_voter.rs
+++ b/crates/policy/src/rollout_voter.rs
@@ -52,13 +52,14 @@
 pub(crate) struct RolloutEvidence<'a> {
     pub(crate) context: &'a Context,
     pub(crate) rollout: &'a RolloutState,
-    pub(crate) eliminations: &'a EliminationVotes,
+    pub(crate) elimination_votes: &'a EliminationVotes,
     pub(crate) endpoints: &'a EndpointTable,
 }
 
 impl RolloutEvidence<'_> {
     fn is_eliminated(&self, arm: Arm, ratio: f64) -> bool {
-        self.eliminations.is_eliminated(self.context, arm, ratio)
+        self.elimination_votes
+            .is_eliminated(self.context, arm, ratio)
     }
 
     /// Whether the fallback wait is over. It begins with the stage, or with the start of the canary's newest endpoint if later.
@@ -97,7 +98,7 @@
 }
 
 impl RolloutVoter {
-    /// Handles the start of a new stage.
+    /// Ends any hold when a new stage starts.
     pub(crate) fn change_stage(&mut self) {
         self.held_since = None;
     }
