--- a/crates/gateway/src/dispatch/dispatcher.rs
+++ b/crates/gateway/src/dispatch/dispatcher.rs
@@ -108,7 +108,7 @@
                 break;
             }
         }
-        self.downstream.trim_idle(&mut self.context);
+        self.downstream.trim_between_requests(&mut self.context);
         self.dispatcher.forget_removed_endpoints();
     }
 
--- a/crates/gateway/src/downstream/connection.rs
+++ b/crates/gateway/src/downstream/connection.rs
@@ -1,69 +1,70 @@
-//! One client's connection, and how it stands between requests.
+//! A client connection: its current phase, and the ways in which it can be idle.
 
 use harrierdock_event_loop::Connection;
 use harrierdock_http::MessageReader;
 use harrierdock_types::{RequestId, TimeDelta, Timestamp};
 
-/// What a connection is used for now.
+/// What a connection is currently doing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Phase {
-    /// A request is read, or awaited.
+    /// Waiting for a request, or reading one.
     Reading,
-    /// The client waits for the answer to this request.
+    /// The client waits for the response to this request.
     Waiting(RequestId),
-    /// A response is written.
+    /// Writing a response.
     Responding {
-        /// Whether the connection is kept after it.
+        /// Whether the connection stays open after the response.
         keeps_open: bool,
     },
-    /// The last response is written; input is discarded until the client closes.
+    /// The last response has been written; input is discarded until the client closes the connection.
     Closing,
 }
 
-/// The kinds of connections without a request under way, in the order in which they are closed for others.
+/// The ways in which a connection can be idle, in the order in which connections are evicted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum IdleKind {
-    /// Nothing was ever received on it.
+    /// No byte has been received since the connection was accepted.
     NeverUsed,
-    /// A request has come in part.
+    /// Part of a request has been received.
     PartialRequest,
-    /// The client has not closed it after its last response.
+    /// The last response has been written, but the client has not closed the connection.
     Closing,
-    /// Between requests.
+    /// A response has been written, and no byte of the next request has been received.
     BetweenRequests,
-    /// The client does not take in its response.
+    /// The client does not read its response.
     UnreadResponse,
 }
 
-/// Since when a connection has been idle in this way.
+/// How a connection is idle, and since when.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Idle {
-    /// In which way.
+    /// The reason why no request is under way.
     pub(super) kind: IdleKind,
-    /// Since when.
+    /// Start of the idle time.
     pub(super) since: Timestamp,
 }
 
-/// A client's connection.
+/// A client's connection and its state.
 pub(super) struct ClientConnection {
     /// The socket and its buffers.
     pub(super) connection: Connection,
-    /// The state of the message that is read.
+    /// Parser state of the request that is being read.
     pub(super) reader: MessageReader,
-    /// What the connection is used for.
+    /// What the connection is currently doing.
     pub(super) phase: Phase,
-    /// Whether the client wants the connection kept after its last request.
+    /// Whether the last request allowed the connection to stay open. `false` before the first request.
     pub(super) keeps_alive: bool,
-    /// Since when its phase lasts. The first request counts from the connection's opening.
+    /// Start of the idle time: the accept for the first request, later the last flush or the first byte of a request.
     pub(super) since: Timestamp,
-    /// How long its first request may have waited for the connection to be accepted.
+    /// Upper bound on how long the first request waited in the accept queue. Zero once that request has been read.
     pub(super) queue_time: TimeDelta,
-    /// How the connection is listed for eviction.
+    /// This connection's entry in the list of idle connections. `None` if it is not listed.
     pub(super) listed_idle: Option<Idle>,
 }
 
 impl ClientConnection {
-    /// A connection that was just accepted, and has waited for that with a request.
+    /// Wraps a connection that was just accepted. `queue_time` is how long its first request may have waited in the accept
+    /// queue.
     pub(super) fn new(
         connection: Connection,
         now: Timestamp,
@@ -80,17 +81,17 @@
         }
     }
 
-    /// Whether no bytes follow the request that was read.
+    /// Whether the input buffer ends with the request that was read.
     pub(super) fn has_single_request(&self) -> bool {
         self.reader.body().end >= self.connection.input.len()
     }
 
-    /// Whether nothing of the next request has been received.
+    /// Whether the connection waits for a request and has received no byte of it.
     pub(super) fn is_between_requests(&self) -> bool {
         self.phase == Phase::Reading && self.reader.is_untouched(&self.connection.input)
     }
 
-    /// How the connection is idle. `None` while a request is under way.
+    /// How the connection is idle. `None` while its client waits for a response.
     pub(super) fn idle(&self) -> Option<Idle> {
         let kind = match self.phase {
             Phase::Waiting(_) => return None,
--- a/crates/gateway/src/downstream/idle_eviction.rs
+++ b/crates/gateway/src/downstream/idle_eviction.rs
@@ -1,4 +1,4 @@
-//! Idle eviction: which idle connections are closed, because others need their descriptors or because their time is over.
+//! Closes idle client connections when they time out or when other connections need their descriptors.
 
 use std::collections::BTreeSet;
 
@@ -12,21 +12,21 @@
 use crate::metrics::Counter;
 use crate::runtime::context::Context;
 
-/// Has a connection read as though input had been announced.
+/// Readiness passed to a connection to make it read pending input that the event loop has not reported yet.
 pub(super) const READABLE: Readiness = Readiness {
     readable: true,
     writable: false,
     error: false,
 };
 
-/// An idle connection, in the order of eviction.
+/// An idle connection. Ordered by kind, then by idle time, longest first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct IdleConnection {
     idle: Idle,
     id: ConnectionId,
 }
 
-/// The idle connections, those that are evicted first at the front.
+/// The idle connections by kind, each kind longest idle first.
 #[derive(Default)]
 pub(super) struct IdleList {
     connections: BTreeSet<IdleConnection>,
@@ -39,13 +39,13 @@
         self.between_requests += usize::from(idle.kind == IdleKind::BetweenRequests);
     }
 
-    /// Takes a connection off the list.
+    /// Removes a connection from the list.
     pub(super) fn remove(&mut self, id: ConnectionId, idle: Idle) {
         self.connections.remove(&IdleConnection { idle, id });
         self.between_requests -= usize::from(idle.kind == IdleKind::BetweenRequests);
     }
 
-    /// The connection that has been idle in this way for longest, if that is `min_time` at the least.
+    /// The longest idle connection of this kind, if it has been idle for at least `min_time`.
     fn longest_idle(
         &self,
         kind: IdleKind,
@@ -65,8 +65,8 @@
 }
 
 impl Downstream {
-    /// Lists a connection as it is idle now.
-    pub(super) fn update_idle(&mut self, id: ConnectionId) {
+    /// Updates a connection's entry in the list of idle connections to its current state.
+    pub(super) fn update_idle_list(&mut self, id: ConnectionId) {
         let Some(client) = self.connections.get_mut(&id) else {
             return;
         };
@@ -83,16 +83,16 @@
         }
     }
 
-    /// Closes the connections that were unused longest while more are unused than clients may keep. Connections that are kept
-    /// after one request would otherwise leave none for other clients.
-    pub(crate) fn trim_idle(&mut self, context: &mut Context) {
-        while self.idle.between_requests > self.max_unused
+    /// Closes the longest idle connections between requests until their number is within the limit. Connections kept after
+    /// one request would otherwise leave no descriptors for other clients.
+    pub(crate) fn trim_between_requests(&mut self, context: &mut Context) {
+        while self.idle.between_requests > self.max_between_requests
             && self.evict(context, IdleKind::BetweenRequests, TimeDelta::ZERO)
         {}
     }
 
-    /// Closes connections whose time is over, and resumes accepting if there are descriptors. A client that has begun a
-    /// request gets a response first.
+    /// Closes connections that have timed out, and resumes accepting if descriptors are available. A client that has sent
+    /// part of a request gets a 408 response first.
     pub(crate) fn close_expired(&mut self, context: &mut Context) {
         let now = context.now();
         let limits = [
@@ -122,7 +122,7 @@
             .is_some_and(|client| client.listed_idle == Some(connection.idle))
     }
 
-    /// Has connections read again that stopped because there was no buffer.
+    /// Resumes reading on connections that stopped because no buffer was available.
     pub(super) fn resume_reading(&mut self, context: &Context) {
         let reading = self
             .connections
@@ -141,11 +141,11 @@
         }
         context.counters.add(Counter::MalformedRequests);
         self.respond(context, connection.id, &Response::final_status(408));
-        self.update_idle(connection.id);
+        self.update_idle_list(connection.id);
     }
 
-    /// Closes one connection for another: those never used first, then those that have stalled, then those unused for as long
-    /// as the protocol grants. Returns whether there was one.
+    /// Closes one connection to free its descriptor. Tries never used connections first, then stalled ones, then those that
+    /// have been between requests for at least the protocol's minimum time. Returns whether one was closed.
     pub(crate) fn evict_stalled(&mut self, context: &mut Context) -> bool {
         let limits = [
             (IdleKind::NeverUsed, TimeDelta::ZERO),
@@ -158,12 +158,13 @@
             .any(|(kind, limit)| self.evict(context, kind, limit))
     }
 
-    /// Closes the connection that was unused longest, however short that is. Returns whether there was one.
-    pub(crate) fn evict_idle(&mut self, context: &mut Context) -> bool {
+    /// Closes the longest idle connection between requests, however short its idle time. Returns whether one was closed.
+    pub(crate) fn evict_between_requests(&mut self, context: &mut Context) -> bool {
         self.evict(context, IdleKind::BetweenRequests, TimeDelta::ZERO)
     }
 
-    /// Closes the connection that has been idle in this way for longest, if that is `min_time` at the least.
+    /// Closes the longest idle connection of this kind, if it has been idle for at least `min_time`. Returns whether one was
+    /// closed.
     pub(super) fn evict(
         &mut self,
         context: &mut Context,
@@ -172,7 +173,7 @@
     ) -> bool {
         let now = context.now();
         while let Some(oldest) = self.idle.longest_idle(kind, min_time, now) {
-            // Input that has arrived meanwhile may complete a request, which is then accepted.
+            // Input that arrived in the meantime may complete a request, which is then accepted.
             self.handle_readiness(context, oldest.id, READABLE);
             if self.is_still_idle(oldest) {
                 self.close(context, oldest.id);
@@ -184,7 +185,7 @@
         false
     }
 
-    /// Closes connections between requests, in a shutdown. Returns whether only closing connections are left.
+    /// Closes connections between requests during a shutdown. Returns whether all that remain are in the closing phase.
     pub(crate) fn close_between_requests(&mut self, context: &mut Context) -> bool {
         let candidates: Vec<ConnectionId> = self
             .connections
@@ -193,7 +194,7 @@
             .map(|(id, _)| *id)
             .collect();
         for id in candidates {
-            // A request that has arrived meanwhile is still accepted.
+            // A request that arrived in the meantime is still accepted.
             self.handle_readiness(context, id, READABLE);
             let client = self.connections.get(&id);
             if client.is_some_and(ClientConnection::is_between_requests) {
--- a/crates/gateway/src/downstream/listener.rs
+++ b/crates/gateway/src/downstream/listener.rs
@@ -1,4 +1,4 @@
-//! The listener: connections are accepted while there are descriptors for them.
+//! Listener for client connections. It accepts them while file descriptors are available, and pauses otherwise.
 
 use std::error::Error;
 use std::io::{self, ErrorKind};
@@ -20,47 +20,47 @@
 use crate::runtime::context::Context;
 use crate::runtime::error::WatchError;
 
-const BACKLOG: i32 = 1024;
+const LISTEN_BACKLOG: i32 = 1024;
 const SERVICE_UNAVAILABLE: u16 = 503;
 const NO_WAIT: Timespec = Timespec {
     tv_sec: 0,
     tv_nsec: 0,
 };
-/// Connections accepted in one turn of the loop, so that a flood of them gives way to requests under way.
+/// Connections accepted per turn of the event loop, so that a burst of them doesn't delay requests under way.
 const MAX_ACCEPTS_PER_TURN: usize = 64;
 
-/// Whether connections are accepted, and until when they are not.
+/// Whether connections are accepted, or what ends the pause.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum ListenerState {
     Accepting,
-    /// Paused until a descriptor is free.
-    AwaitsDescriptor,
-    /// Paused until the next maintenance: the system refuses a descriptor that the budget has.
-    AwaitsMaintenance,
+    /// Paused until the process has a free descriptor in its budget.
+    AwaitingDescriptor,
+    /// Paused until the next maintenance: the budget has a free descriptor, but the operating system refused it.
+    AwaitingMaintenance,
 }
 
-/// The listening socket.
+/// The listening socket for client connections.
 pub(crate) struct Listener {
     socket: Rc<TcpListener>,
     bound_at: Instant,
     token: Option<RegistrationToken>,
     state: ListenerState,
-    /// Since when connections may wait that could not be accepted at once.
+    /// Earliest time since which a connection may have waited in the accept queue. `None` if the queue was last empty.
     backlog_since: Option<Timestamp>,
 }
 
 impl Listener {
-    /// Listens at an address. Connections wait until `Downstream::start_accepting`.
+    /// Listens on an address. Connections stay in the accept queue until `Downstream::start_accepting`.
     ///
     /// # Errors
     ///
-    /// The address cannot be listened on.
+    /// The socket cannot be created or bound to the address.
     pub(crate) fn bind(address: SocketAddr) -> io::Result<Listener> {
         let kind = Type::STREAM.nonblocking().cloexec();
         let socket = Socket::new(Domain::for_address(address), kind, Some(Protocol::TCP))?;
         socket.set_reuse_address(true)?;
         socket.bind(&address.into())?;
-        socket.listen(BACKLOG)?;
+        socket.listen(LISTEN_BACKLOG)?;
         Ok(Listener {
             socket: Rc::new(socket.into()),
             bound_at: Instant::now(),
@@ -70,28 +70,28 @@
         })
     }
 
-    /// Whether a connection waits to be accepted, or the system does not say that none does.
+    /// Whether the accept queue may hold a connection. `true` also if polling the socket fails.
     fn may_have_backlog(&self) -> bool {
         let mut watched = [PollFd::new(&*self.socket, PollFlags::IN)];
         !matches!(poll(&mut watched, Some(&NO_WAIT)), Ok(0))
     }
 }
 
-/// How a turn of accepting ended.
+/// Why accepting connections stopped in one turn of the event loop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AcceptResult {
-    /// No connection waits any more.
+    /// The accept queue is empty.
     NoneWaiting,
-    /// The turn is over before it was known whether another connection waits.
+    /// A limit was reached, and the accept queue may hold another connection.
     MoreMayWait,
-    /// A descriptor has to be freed before another connection can be accepted.
+    /// No descriptor is available for the next connection.
     NoDescriptor,
 }
 
-/// What an attempt to accept a connection came to.
+/// Result of one call to `accept`.
 enum Accepted {
     Stream(TcpStream),
-    /// The connection is gone already; another may wait.
+    /// The connection was closed before it was accepted, or the call was interrupted. The queue may hold another one.
     Aborted,
     NoneWaiting,
     NoDescriptor,
@@ -108,10 +108,11 @@
     }
 }
 
-/// Rejects an accepted connection that the loop cannot watch: whatever is requested on it may be sent again.
+/// Responds with 503 on an accepted connection that the event loop cannot watch. No request was read from it, so the client
+/// may safely retry.
 fn reject_unwatched(context: &mut Context, stream: &TcpStream, error: &dyn Error) {
     context.counters.add(Counter::ConnectionsUnwatched);
-    tracing::warn!("a client's connection is rejected: {error}");
+    tracing::warn!("client connection rejected, the event loop cannot watch it: {error}");
     let mut response = Vec::new();
     write::status_line(&mut response, SERVICE_UNAVAILABLE);
     write::field(&mut response, "Connection", "close");
@@ -120,20 +121,20 @@
 }
 
 impl Downstream {
-    /// The address of the listener.
+    /// The address that the listener is bound to, with the port that the system assigned.
     ///
     /// # Errors
     ///
-    /// The system does not say it.
+    /// The operating system does not report the address.
     pub(crate) fn local_address(&self) -> io::Result<SocketAddr> {
         self.listener.socket.local_addr()
     }
 
-    /// Begins to accept connections. Those that came since the listener was bound may have waited since then.
+    /// Starts to accept connections. Those already in the queue count as waiting since the listener was bound.
     ///
     /// # Errors
     ///
-    /// The loop cannot watch the listener.
+    /// The event loop cannot watch the listener.
     pub(crate) fn start_accepting(&mut self, context: &Context) -> Result<(), WatchError> {
         let source = Generic::new(self.listener.socket.clone(), Interest::READ, Mode::Level);
         let accept_connections = context.handlers.listener;
@@ -149,10 +150,11 @@
         Ok(())
     }
 
-    /// Accepts waiting connections while descriptors last, and so many in one turn.
+    /// Accepts queued connections, up to the limit per turn and while descriptors are available.
     pub(crate) fn accept(&mut self, context: &mut Context) -> AcceptResult {
         let result = self.accept_up_to_limit(context);
-        // A turn may end with its last connection. Whoever comes later then has not waited since this one.
+        // The last connection accepted in this turn may have emptied the queue. A connection that arrives later must not
+        // inherit the start of this backlog.
         let has_backlog = result != AcceptResult::NoneWaiting && self.listener.may_have_backlog();
         self.listener.backlog_since = has_backlog.then(|| {
             let now = context.now();
@@ -164,8 +166,8 @@
     fn accept_up_to_limit(&mut self, context: &mut Context) -> AcceptResult {
         for accepted_count in 0..MAX_ACCEPTS_PER_TURN {
             if context.descriptors.available() == 0 {
-                // After the first connection it is not known whether another waits. The listener is ready again if so, and
-                // no connection is closed for nobody.
+                // After the first accept it is unknown whether another connection is queued. If one is, the listener becomes
+                // ready again. Reporting a shortage here could close a connection needlessly.
                 let is_first = accepted_count == 0;
                 if !is_first {
                     return AcceptResult::MoreMayWait;
@@ -186,9 +188,9 @@
         AcceptResult::MoreMayWait
     }
 
-    /// Adds an accepted connection. One that cannot be watched is rejected, counted and logged.
+    /// Adds an accepted connection. If the event loop cannot watch it, rejects, counts and logs it.
     fn add_connection(&mut self, context: &mut Context, stream: TcpStream) {
-        // Without it a response may be late, which is no reason to drop the connection.
+        // Without TCP_NODELAY responses may be delayed, but the connection still works.
         let _ = stream.set_nodelay(true);
         if let Err(e) = stream.set_nonblocking(true) {
             return reject_unwatched(context, &stream, &e);
@@ -210,10 +212,11 @@
         let queue_time = self.queue_time(context, &connection);
         let client = ClientConnection::new(connection, context.now(), queue_time);
         self.connections.insert(id, client);
-        self.update_idle(id);
+        self.update_idle_list(id);
     }
 
-    /// How long a connection that was just accepted may have waited with a request on it.
+    /// Upper bound on how long a request on a newly accepted connection waited in the accept queue. Zero if no input has
+    /// arrived yet.
     fn queue_time(&self, context: &Context, connection: &Connection) -> TimeDelta {
         match self.listener.backlog_since {
             Some(since) if !connection.is_open_and_quiet() => context.now() - since,
@@ -221,41 +224,42 @@
         }
     }
 
-    /// Stops accepting until there are descriptors, so that the loop does not spin on a listener that stays ready.
+    /// Stops accepting until descriptors are available. Without the pause the event loop would spin on a listener that stays
+    /// ready.
     pub(crate) fn pause(&mut self, context: &Context) {
         let Some(token) = self.listener.token.filter(|_| !self.is_paused()) else {
             return;
         };
         self.listener.state = match context.descriptors.available() {
-            0 => ListenerState::AwaitsDescriptor,
-            _ => ListenerState::AwaitsMaintenance,
+            0 => ListenerState::AwaitingDescriptor,
+            _ => ListenerState::AwaitingMaintenance,
         };
         if let Err(e) = context.handle.disable(&token) {
-            tracing::warn!("the listener cannot be paused: {e}");
+            tracing::warn!("cannot pause the listener: {e}");
         }
     }
 
-    /// Whether accepting has stopped for want of descriptors.
+    /// Whether accepting is paused because of a descriptor shortage.
     pub(crate) fn is_paused(&self) -> bool {
         self.listener.state != ListenerState::Accepting
     }
 
-    /// Accepts connections again if a descriptor has become free.
+    /// Resumes accepting if it is paused until a descriptor is free, and one is.
     pub(crate) fn resume_with_descriptor(&mut self, context: &Context) {
-        let awaits_descriptor = self.listener.state == ListenerState::AwaitsDescriptor;
-        if awaits_descriptor && context.descriptors.available() > 0 {
+        let is_awaiting_descriptor = self.listener.state == ListenerState::AwaitingDescriptor;
+        if is_awaiting_descriptor && context.descriptors.available() > 0 {
             self.resume(context);
         }
     }
 
-    /// Accepts connections again.
+    /// Resumes accepting if it is paused.
     pub(super) fn resume(&mut self, context: &Context) {
         let Some(token) = self.listener.token.filter(|_| self.is_paused()) else {
             return;
         };
         self.listener.state = ListenerState::Accepting;
         if let Err(e) = context.handle.enable(&token) {
-            tracing::warn!("the listener cannot be resumed: {e}");
+            tracing::warn!("cannot resume the listener: {e}");
         }
     }
 }
--- a/crates/gateway/src/downstream/mod.rs
+++ b/crates/gateway/src/downstream/mod.rs
@@ -1,4 +1,4 @@
-//! The clients' side: connections, the requests that arrive on them, and the responses.
+//! Client-facing side of the gateway: accepts connections, reads requests and writes responses.
 
 mod connection;
 mod idle_eviction;
@@ -22,39 +22,40 @@
 pub(crate) use listener::{AcceptResult, Listener};
 pub(crate) use responses::Answer;
 
-/// How long the protocol grants a connection without an open request at the least.
+/// Minimum time for which the protocol lets a connection stay open without a request.
 pub(crate) const MIN_IDLE_TIME: TimeDelta = TimeDelta(2_000_000);
-/// Clients may use one in this many descriptors for requests, by the protocol.
+/// The protocol lets clients use one in this many file descriptors for requests.
 const DESCRIPTORS_PER_REQUEST: usize = 3;
 
-/// Whether the gateway is ready for requests.
+/// What the gateway reports to readiness checks.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Readiness {
-    /// It has no endpoint list.
+    /// The gateway has no endpoint list yet.
     NotReady,
     Ready,
-    /// Every connection is closed after its response.
+    /// Readiness checks fail, and every connection is closed after its response.
     ShuttingDown,
 }
 
-/// How clients are served.
+/// Settings for client connections.
 pub(crate) struct DownstreamSettings {
-    /// The request classes.
+    /// The names that clients may put into the request class field.
     pub(crate) classes: ClassNames,
-    /// How long a connection is kept unused, or a response unread.
+    /// How long a connection may stay open between requests, or with a response that its client doesn't read.
     pub(crate) idle_timeout: TimeDelta,
-    /// How long a stalled connection is kept while others need its resources.
+    /// After this time a stalled connection may be closed if another one needs its descriptor or buffer.
     pub(crate) stall_timeout: TimeDelta,
-    /// How many descriptors the process may have.
+    /// Limit on the file descriptors of the process.
     pub(crate) descriptor_limit: usize,
 }
 
+/// A client that waits for the response to its request.
 struct WaitingClient {
     connection_id: ConnectionId,
     client_request_id: String,
 }
 
-/// The requests whose clients wait for an answer.
+/// The clients that wait for a response, by request id.
 #[derive(Default)]
 struct WaitingClients {
     clients: BTreeMap<RequestId, WaitingClient>,
@@ -71,14 +72,14 @@
         self.clients.insert(id, client);
     }
 
-    /// The client waits no more. Returns the connection on which it did.
+    /// Removes the client of a request and returns its connection.
     fn remove(&mut self, id: RequestId) -> Option<ConnectionId> {
         let client = self.clients.remove(&id)?;
         self.client_request_ids.remove(&client.client_request_id);
         Some(client.connection_id)
     }
 
-    /// Whether a client waits for a request with this id.
+    /// Whether any client waits for a request with this client request id.
     fn contains(&self, client_request_id: &str) -> bool {
         self.client_request_ids.contains(client_request_id)
     }
@@ -88,13 +89,13 @@
     }
 }
 
-/// The clients' side of the gateway.
+/// Client connections and the listener that accepts them.
 pub(crate) struct Downstream {
     listener: Listener,
     connections: BTreeMap<ConnectionId, ClientConnection>,
     idle: IdleList,
-    /// How many connections may be kept between requests.
-    max_unused: usize,
+    /// Limit on open connections between requests.
+    max_between_requests: usize,
     waiting: WaitingClients,
     classes: ClassNames,
     idle_timeout: TimeDelta,
@@ -103,13 +104,13 @@
 }
 
 impl Downstream {
-    /// Serves the clients of a listener. None is accepted until `start_accepting`.
+    /// Takes over a bound listener. No connection is accepted before `start_accepting`.
     pub(crate) fn new(listener: Listener, settings: DownstreamSettings) -> Downstream {
         Downstream {
             listener,
             connections: BTreeMap::new(),
             idle: IdleList::default(),
-            max_unused: settings.descriptor_limit / DESCRIPTORS_PER_REQUEST / 2,
+            max_between_requests: settings.descriptor_limit / DESCRIPTORS_PER_REQUEST / 2,
             waiting: WaitingClients::default(),
             classes: settings.classes,
             idle_timeout: settings.idle_timeout,
@@ -118,23 +119,23 @@
         }
     }
 
-    /// How many connections clients have.
+    /// Number of open client connections.
     pub(crate) fn connection_count(&self) -> usize {
         self.connections.len()
     }
 
-    /// Answers readiness checks with yes, unless the gateway shuts down.
+    /// Makes readiness checks succeed, unless the gateway is shutting down.
     pub(crate) fn set_ready(&mut self) {
         self.readiness = self.readiness.max(Readiness::Ready);
     }
 
-    /// Answers readiness checks with no, and closes every connection after its response.
+    /// Makes readiness checks fail and closes every connection after its response.
     pub(crate) fn start_shutdown(&mut self) {
         self.readiness = Readiness::ShuttingDown;
     }
 
-    /// Whether a request's client still waits, by what its connection says now. A client may have left while the loop was busy
-    /// with other sockets, and no attempt is to be sent for it then.
+    /// Reads the client's connection and returns whether the client still waits for this request. The client may have
+    /// disconnected while the event loop handled other sockets; no attempt may be sent for it after that.
     pub(crate) fn is_client_waiting(&mut self, context: &mut Context, id: RequestId) -> bool {
         if let Some(connection_id) = self.waiting.connection_of(id) {
             self.handle_readiness(context, connection_id, READABLE);
@@ -142,7 +143,7 @@
         self.waiting.connection_of(id).is_some()
     }
 
-    /// Calls a function with a request's bytes, if its client still waits.
+    /// Calls `function` with the request's bytes. Returns `None` if the client no longer waits.
     pub(crate) fn with_outbound_request<T>(
         &self,
         id: RequestId,
--- a/crates/gateway/src/downstream/request_parser.rs
+++ b/crates/gateway/src/downstream/request_parser.rs
@@ -1,5 +1,4 @@
-//! What a client sends: a request to be served, a readiness check, or neither. The names that clients use on the wire stand
-//! in this file.
+//! Parses request heads of clients. All paths, header fields and parameters that clients use on the wire are defined here.
 
 use harrierdock_config::ClassNames;
 use harrierdock_http::RequestHead;
@@ -7,7 +6,7 @@
 
 use crate::runtime::context::OutboundRequest;
 
-/// The longest request id that is passed on.
+/// Longest request id that is accepted.
 const MAX_ID_BYTES: usize = 64;
 
 const READY_PATH: &str = "/ready";
@@ -20,46 +19,49 @@
 const CLIENT_RETRY_FIELD: &str = "X-Resent";
 const IDEMPOTENCY_KEY_FIELD: &str = "Idempotency-Key";
 
-/// The digits of an affinity key that is a number already.
+/// Length of an affinity key that is parsed as a hexadecimal number rather than hashed.
 const KEY_DIGITS: usize = 16;
 
-/// What a request head says.
+/// A parsed request head.
 pub(super) enum ParsedRequest<'head> {
-    /// Whether the gateway is ready.
+    /// A check whether the gateway is ready for requests.
     ReadinessCheck,
-    /// A request to be served.
+    /// A request for an endpoint.
     Request(RequestAttributes<'head>),
-    /// Nothing is served at this path.
+    /// The path is unknown.
     NotFound,
-    /// The path takes only these methods.
+    /// The path doesn't support the request's method.
     MethodNotAllowed {
-        /// The methods, separated by commas.
+        /// The supported methods, separated by commas.
         methods: String,
     },
     /// A field is missing or malformed.
     InvalidField {
-        /// Its name.
+        /// The field name, as on the wire.
         field: &'static str,
     },
 }
 
-/// What the head of a request to be served says.
+/// Attributes of a request for an endpoint, from its head.
 pub(super) struct RequestAttributes<'head> {
-    /// The id that its client gave it.
+    /// Request id that the client assigned.
     pub(super) client_request_id: &'head str,
-    /// Its class.
+    /// Request class.
     pub(super) class: ClassId,
-    /// Its affinity key, if it has one.
+    /// Affinity key, if the request has one.
     pub(super) key: Option<AffinityKey>,
-    /// Whether its client has sent it before.
+    /// Whether the client marked the request as a retry.
     pub(super) is_client_retry: bool,
-    /// How long its client still waits.
+    /// Remaining time that the client states it will wait.
     pub(super) time_left: TimeDelta,
 }
 
 impl<'head> ParsedRequest<'head> {
-    /// Reads a request head.
-    pub(super) fn read(head: &RequestHead<'head>, classes: &ClassNames) -> ParsedRequest<'head> {
+    /// Determines what a request head asks for.
+    pub(super) fn from_head(
+        head: &RequestHead<'head>,
+        classes: &ClassNames,
+    ) -> ParsedRequest<'head> {
         match head.path() {
             READY_PATH => ParsedRequest::ReadinessCheck,
             REQUEST_PATH if !REQUEST_METHODS.contains(&head.method) => {
@@ -76,7 +78,7 @@
     }
 }
 
-/// Reads the fields of a request, or returns the name of the first one that is missing or malformed.
+/// Reads the attributes of a request. The error is the name of a field that is missing or malformed.
 fn read_attributes<'head>(
     head: &RequestHead<'head>,
     classes: &ClassNames,
@@ -104,7 +106,7 @@
     })
 }
 
-/// A key of sixteen hexadecimal digits is that number, any other text its hash.
+/// Parses a key of 16 hexadecimal digits as a number, and hashes any other text.
 fn affinity_key(text: &str) -> AffinityKey {
     let number = (text.len() == KEY_DIGITS)
         .then(|| u64::from_str_radix(text, 16).ok())
@@ -116,7 +118,7 @@
     !text.is_empty() && text.len() <= MAX_ID_BYTES && text.bytes().all(|b| b.is_ascii_graphic())
 }
 
-/// The parts of a request that are sent on to an endpoint. `None` if it has no id.
+/// The parts of a request that are sent to an endpoint. `None` if the request has no id.
 pub(super) fn outbound_request<'bytes>(
     head: &RequestHead<'bytes>,
     body: &'bytes [u8],
--- a/crates/gateway/src/downstream/requests.rs
+++ b/crates/gateway/src/downstream/requests.rs
@@ -1,4 +1,4 @@
-//! Reading: what arrives on a client's connection becomes requests, and the end of a connection ends its request.
+//! Reads requests from client connections, and drops a request when its client disconnects.
 
 use calloop::Readiness as SocketReadiness;
 use harrierdock_event_loop::{ConnectionId, ReadResult};
@@ -13,7 +13,7 @@
 use crate::runtime::context::{Context, InternalEvent, ReceivedRequest};
 
 impl Downstream {
-    /// Reads and writes what a connection is ready for.
+    /// Handles the readiness of a client connection.
     pub(crate) fn handle_readiness(
         &mut self,
         context: &mut Context,
@@ -26,7 +26,7 @@
         if readiness.readable {
             self.handle_readable(context, id);
         }
-        self.update_idle(id);
+        self.update_idle_list(id);
     }
 
     fn handle_writable(&mut self, context: &mut Context, id: ConnectionId) {
@@ -41,7 +41,7 @@
             return;
         };
         if !client.connection.is_reading() {
-            // Input is not awaited, so the connection is ready because it broke.
+            // Reading is paused, so a readable event means that the connection failed.
             if !matches!(client.phase, Phase::Responding { .. }) {
                 self.close(context, id);
             }
@@ -55,8 +55,8 @@
             return;
         }
         let was_empty = client.connection.input.is_empty();
-        // Bytes that follow a request under way are discarded: if they filled the buffer, the client's disconnection would go
-        // unseen. The first of them stay, so that the connection is closed after the response.
+        // Discards further bytes that follow a request under way. If they filled the buffer, a disconnection would go
+        // unnoticed. The first of these bytes stay in the buffer, so that the connection is closed after the response.
         let has_surplus = matches!(client.phase, Phase::Waiting(_)) && !client.has_single_request();
         let result = if has_surplus {
             client.connection.discard_input(context)
@@ -65,7 +65,7 @@
         };
         match result {
             ReadResult::Data if client.phase == Phase::Reading => {
-                // A request counts from its first byte, so that one sent byte by byte has no longer than others.
+                // The time limit of a request runs from its first byte, so a client that sends byte by byte gains no time.
                 if was_empty && client.keeps_alive {
                     client.since = context.now();
                 }
@@ -77,7 +77,8 @@
         }
     }
 
-    /// Stops reading. A stalled partial request is evicted, so that those cannot hold all buffers.
+    /// Stops reading for lack of a buffer. If this connection holds no buffer, evicts one stalled partial request, so that
+    /// partial requests cannot occupy all buffers.
     fn handle_buffer_shortage(&mut self, context: &mut Context, id: ConnectionId) {
         let Some(client) = self.connections.get(&id) else {
             return;
@@ -89,7 +90,7 @@
         }
     }
 
-    /// Reads the requests in the input buffer, and accepts or refuses those that are complete.
+    /// Parses the requests in the input buffer. Accepts or refuses each complete one.
     pub(super) fn read_requests(&mut self, context: &mut Context, id: ConnectionId) {
         while let Some(client) = self
             .connections
@@ -109,8 +110,8 @@
                     write::continue_response(output);
                     return self.flush(context, id);
                 }
-                // Clients send one request at a time. Bytes that follow one show that its length is wrong, or that requests are
-                // pipelined, which is not supported.
+                // Clients send one request at a time. Bytes after a request mean that its length is wrong, or that requests
+                // are pipelined, which is not supported.
                 Ok(Progress::Complete) if !client.has_single_request() => {
                     self.refuse(context, id, ParseError::Malformed);
                 }
@@ -120,7 +121,7 @@
         }
     }
 
-    /// Accepts a request that is to be served, and responds to anything else.
+    /// Queues a request for the dispatcher. Responds to readiness checks, duplicates and invalid requests directly.
     fn handle_complete_request(&mut self, context: &mut Context, id: ConnectionId) {
         let Some(client) = self.connections.get_mut(&id) else {
             return;
@@ -133,7 +134,7 @@
         client.keeps_alive = head.keeps_alive();
         let queue_time = std::mem::take(&mut client.queue_time);
         let message;
-        let response = match ParsedRequest::read(&head, &self.classes) {
+        let response = match ParsedRequest::from_head(&head, &self.classes) {
             ParsedRequest::Request(attributes) => {
                 if !self.waiting.contains(attributes.client_request_id) {
                     let request_id = context.next_request_id();
@@ -144,7 +145,7 @@
                     context.counters.add(Counter::RequestsReceived);
                     return context.emit(InternalEvent::RequestReceived(request));
                 }
-                // A second copy of a request that is under way, which goes on undisturbed.
+                // Another request with the same id is under way. Refuses this one and leaves the first unaffected.
                 Response::status(409)
             }
             ParsedRequest::ReadinessCheck if self.readiness == Readiness::Ready => {
@@ -172,7 +173,7 @@
     }
 }
 
-/// A request that was read. Its time counts from when its client sent it, before its connection was accepted.
+/// Builds a request for the dispatcher. Subtracts the time that it may have waited in the accept queue from the time left.
 fn received_request(
     id: RequestId,
     attributes: &RequestAttributes<'_>,
--- a/crates/gateway/src/downstream/responses.rs
+++ b/crates/gateway/src/downstream/responses.rs
@@ -1,4 +1,4 @@
-//! Responses to clients: how they are written, and what becomes of the connection afterwards.
+//! Writes responses to clients, and then keeps or closes the connection.
 
 use harrierdock_event_loop::{ConnectionId, WriteResult};
 use harrierdock_http::{write, ParseError};
@@ -9,61 +9,61 @@
 use crate::metrics::Counter;
 use crate::runtime::context::{Context, ResponseBody};
 
-/// The answer to a request.
+/// The final result of a request, to be sent to its client.
 pub(crate) enum Answer {
-    /// An endpoint's response.
+    /// The request succeeded with this endpoint response.
     Succeeded(ResponseBody),
-    /// The request is rejected without effect.
+    /// The request is rejected and had no effect.
     Rejected {
-        /// When the client may retry, if this is said.
+        /// Delay after which the client may retry. `None` omits the `Retry-After` field.
         retry_after: Option<TimeDelta>,
     },
-    /// The request has ended with unknown effect.
+    /// The request failed; whether it had an effect is unknown.
     Failed,
 }
 
-/// A header field.
+/// A header field of a response.
 pub(super) struct Field {
-    /// Its name.
+    /// The field name, as written on the wire.
     pub(super) name: &'static str,
-    /// Its value.
+    /// The field value, as written on the wire.
     pub(super) value: String,
 }
 
-/// A response as it is written.
+/// A response to be written to a client.
 pub(super) struct Response<'body> {
-    /// The status code.
+    /// The HTTP status code.
     pub(super) status: u16,
-    /// A field beside those that every response has.
+    /// A header field in addition to those that every response has.
     pub(super) extra_field: Option<Field>,
-    /// The body.
+    /// The response body, empty if there is none.
     pub(super) body: &'body [u8],
-    /// Whether the request was read in full, so that the next one's start is known.
-    pub(super) request_is_complete: bool,
+    /// Whether the request was read in full. If not, the start of the next request is unknown and the connection is closed.
+    pub(super) is_request_complete: bool,
 }
 
 impl Response<'_> {
-    /// A response without a body, to a request that was read in full.
+    /// A response with an empty body, to a request that was read in full.
     pub(super) fn status(status: u16) -> Response<'static> {
         Response {
             status,
             extra_field: None,
             body: b"",
-            request_is_complete: true,
+            is_request_complete: true,
         }
     }
 
-    /// A response without a body, after which the connection is closed, because it is not known where the next request starts.
+    /// A response with an empty body, after which the connection is closed because the start of the next request is unknown.
     pub(super) fn final_status(status: u16) -> Response<'static> {
         Response {
-            request_is_complete: false,
+            is_request_complete: false,
             ..Response::status(status)
         }
     }
 }
 
 impl Downstream {
-    /// Answers a request, if its client still waits.
+    /// Sends the answer to a request, if its client still waits.
     pub(crate) fn answer(&mut self, context: &mut Context, id: RequestId, answer: Answer) {
         let Some(connection_id) = self.waiting.remove(id) else {
             return;
@@ -95,11 +95,11 @@
                 self.respond(context, connection_id, &Response::status(502));
             }
         }
-        self.update_idle(connection_id);
+        self.update_idle_list(connection_id);
     }
 
-    /// Writes a response. The connection is kept afterwards if the client wants it, its request was read in full, and no
-    /// bytes follow it.
+    /// Writes a response. The connection stays open afterwards if the request was read in full and allowed keep-alive, no
+    /// bytes follow it, and the gateway is not shutting down.
     pub(super) fn respond(
         &mut self,
         context: &mut Context,
@@ -109,7 +109,7 @@
         let Some(client) = self.connections.get_mut(&id) else {
             return;
         };
-        let keeps_open = response.request_is_complete
+        let keeps_open = response.is_request_complete
             && client.has_single_request()
             && client.keeps_alive
             && self.readiness != Readiness::ShuttingDown;
@@ -128,13 +128,14 @@
         self.flush(context, id);
     }
 
-    /// Refuses a malformed request and closes its connection, because it is not known where the next request starts.
+    /// Refuses a malformed request and closes its connection, because the start of the next request is unknown.
     pub(super) fn refuse(&mut self, context: &mut Context, id: ConnectionId, error: ParseError) {
         context.counters.add(Counter::MalformedRequests);
         self.respond(context, id, &Response::final_status(error.status()));
     }
 
-    /// Writes what waits to be written, and reads the next request once a response is complete.
+    /// Flushes the output buffer. Once a response is written in full, reads the next request or closes the connection for
+    /// sending.
     pub(super) fn flush(&mut self, context: &mut Context, id: ConnectionId) {
         let Some(client) = self.connections.get_mut(&id) else {
             return;
@@ -143,8 +144,8 @@
         match client.connection.flush(context) {
             WriteResult::Failed => return self.close(context, id),
             WriteResult::Partial => {
-                let reads = client.phase == Phase::Reading;
-                return client.connection.set_interest(context, reads, true);
+                let is_reading = client.phase == Phase::Reading;
+                return client.connection.set_interest(context, is_reading, true);
             }
             WriteResult::Complete => client.connection.set_interest(context, true, false),
         }
--- a/crates/gateway/src/runtime/maintenance.rs
+++ b/crates/gateway/src/runtime/maintenance.rs
@@ -43,7 +43,7 @@
         let context = &mut self.context;
         self.downstream.evict_stalled(context)
             || self.upstream.close_longest_idle(context)
-            || self.downstream.evict_idle(context)
+            || self.downstream.evict_between_requests(context)
     }
 
     /// Reports the gateway as ready once it has an endpoint list.
