--- a/crates/gateway/src/control_plane/discovery.rs
+++ b/crates/gateway/src/control_plane/discovery.rs
@@ -1,4 +1,4 @@
-//! The discovery client: it fetches an endpoint list if it has none, and then watches the changes that follow its version.
+//! Discovery client. It fetches a snapshot if it has no endpoint list, and then streams the changes since its version.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -15,30 +15,31 @@
 use crate::runtime::context::{Context, InternalEvent};
 use crate::upstream::Upstream;
 
-/// A working stream sends something, if only an empty line, this often.
+/// Interval at which a working stream sends at least an empty line.
 const KEEPALIVE_INTERVAL: TimeDelta = TimeDelta(2_000_000);
 /// Keepalive intervals without a line after which a stream counts as unresponsive.
 const MISSED_KEEPALIVES: f64 = 2.5;
-/// Maintenance intervals that are needed to notice a silent stream, to give up a connection and to open the next one.
+/// Maintenance intervals needed to detect an unresponsive stream, abandon a connection attempt and open the next one.
 const RECOVERY_INTERVALS: f64 = 3.0;
 
-/// Where the names and connections of endpoints are kept.
+/// The tables that an endpoint list updates.
 struct EndpointTables<'a> {
     names: &'a mut Names,
     upstream: &'a mut Upstream,
 }
 
-/// What is known of the request or stream that was opened last.
+/// State of the most recently opened snapshot request or watch stream.
 #[derive(Clone, Copy)]
 struct Watch {
     opened_at: Timestamp,
+    /// Whether a list or a keepalive line has been received.
     has_received: bool,
-    /// Whether it has brought a list, or has stood for longer than a call may take.
+    /// Whether it has delivered a list, or has worked for longer than a failing request may take.
     has_succeeded: bool,
 }
 
 impl Watch {
-    fn opened(now: Timestamp) -> Watch {
+    fn new(now: Timestamp) -> Watch {
         Watch {
             opened_at: now,
             has_received: false,
@@ -47,11 +48,11 @@
     }
 }
 
-/// The lines received so far of a list that is written over several.
+/// Received lines of an endpoint list that spans several lines.
 #[derive(Default)]
 struct PartialList {
     bytes: Vec<u8>,
-    /// When the first line came, if the list is known to be incomplete.
+    /// When the first line arrived. `None` unless a list is incomplete.
     since: Option<Timestamp>,
 }
 
@@ -62,26 +63,27 @@
     }
 }
 
-/// What was received next.
+/// Result of handling one event of the stream.
 enum Received {
+    /// An endpoint list to apply.
     List {
         message: EndpointListMessage,
-        /// Whether it answers a call for the whole list, after which the watch is to be opened.
+        /// Whether the list answers a snapshot request. The watch is opened next.
         is_response: bool,
     },
-    /// Nothing to be applied, and the stream goes on.
+    /// Nothing to apply; the stream continues.
     Nothing,
-    /// The stream was renewed; what was received after this belongs to the former one.
-    Renewed,
+    /// The stream was closed; the remaining events belong to the closed stream.
+    Closed,
 }
 
-/// The discovery client.
+/// Keeps the endpoint list up to date from the discovery service.
 pub(crate) struct Discovery {
     stream: LineStream,
-    /// The version of the list that is held.
+    /// Version of the current endpoint list. `None` if the next request must fetch a snapshot.
     version: Option<i64>,
     retry_interval: TimeDelta,
-    /// Set if all gateways share the discovery service, so that they must not overload it.
+    /// `Some` if all gateways share the discovery service and must not overload it.
     backoff: Option<Backoff>,
     freshness: ListFreshness,
     was_stale: bool,
@@ -91,8 +93,7 @@
 }
 
 impl Discovery {
-    /// A client that has not connected yet. `retry_interval` is the interval of `run_maintenance`, and how long a connection
-    /// may take to come up.
+    /// Creates an unconnected client. `retry_interval` is the interval of `run_maintenance` and the connect timeout.
     pub(crate) fn new(
         now: Timestamp,
         address: SocketAddr,
@@ -100,7 +101,7 @@
         parameters: &Parameters,
         seed: u64,
     ) -> Discovery {
-        // A silent stream is noticed early enough to be replaced before the notification deadline.
+        // Detects an unresponsive stream early enough to replace it before the notification deadline.
         let max_silence = (KEEPALIVE_INTERVAL * MISSED_KEEPALIVES)
             .min(NOTIFICATION_DEADLINE - retry_interval * RECOVERY_INTERVALS);
         Discovery {
@@ -111,22 +112,22 @@
             freshness: ListFreshness::new(parameters, now),
             was_stale: false,
             reopen_at: now,
-            watch: Watch::opened(now),
+            watch: Watch::new(now),
             partial: PartialList::default(),
         }
     }
 
-    /// Whether the list may not be acted on any more.
+    /// Whether the endpoint list is too old to send requests by.
     pub(crate) fn is_stale(&self, now: Timestamp) -> bool {
         self.freshness.is_stale(now)
     }
 
-    /// Whether there is a list.
+    /// Whether the client has an endpoint list from whose version a watch can continue.
     pub(crate) fn has_list(&self) -> bool {
         self.version.is_some()
     }
 
-    /// Applies the list that the configuration has kept from an earlier start. An empty one is none.
+    /// Applies an endpoint list that the configuration cached from an earlier run. Ignores an empty list.
     pub(crate) fn apply_cached(
         &mut self,
         context: &mut Context,
@@ -138,17 +139,17 @@
             return;
         }
         self.version = Some(list.version);
-        // The cached list serves meanwhile, so there is time to spread the calls of many gateways.
+        // The cached list is usable in the meantime, so the requests of many gateways can be spread over time.
         let delay = self.backoff.as_mut().map(Backoff::spread);
         self.reopen_at = self.reopen_at + delay.unwrap_or_default();
         let mut tables = EndpointTables { names, upstream };
-        apply(context, &mut tables, list, UpdateKind::Cached);
+        apply_list(context, &mut tables, list, UpdateKind::Cached);
     }
 
-    /// Opens the watch, or calls for the whole list if there is none that changes could apply to.
+    /// Opens the watch. Requests a snapshot instead if there is no list to apply changes to.
     fn open(&mut self, context: &mut Context) {
         self.partial.clear();
-        self.watch = Watch::opened(context.now());
+        self.watch = Watch::new(context.now());
         let handler = context.handlers.discovery;
         match self.version {
             Some(version) => {
@@ -162,12 +163,12 @@
         }
     }
 
-    /// The address in use.
+    /// Address of the discovery service.
     pub(crate) fn address(&self) -> SocketAddr {
         self.stream.address()
     }
 
-    /// Switches to another address at once. The list stays.
+    /// Switches to another address immediately. The endpoint list stays.
     pub(crate) fn set_address(&mut self, context: &mut Context, address: SocketAddr) {
         if self.stream.set_address(context, address) {
             self.reset_backoff();
@@ -181,8 +182,7 @@
         }
     }
 
-    /// Decides when to open the stream again after it has ended. A shared service that has brought nothing is called later and
-    /// later.
+    /// Schedules the next opening of a closed stream. Backs off if a shared service has delivered nothing on it.
     fn schedule_reopening(&mut self, now: Timestamp) {
         let has_succeeded = std::mem::take(&mut self.watch.has_succeeded);
         self.reopen_at = match &mut self.backoff {
@@ -192,8 +192,8 @@
         };
     }
 
-    /// Confirms the list if the watch works. A call that fails late has sent keepalive lines before, so the first of them do
-    /// not count as success.
+    /// Confirms the endpoint list if the watch works. A request that fails late may send keepalive lines before it fails, so
+    /// early keepalives don't count as success.
     fn confirm_if_working(&mut self, now: Timestamp) {
         self.watch.has_succeeded |= ListFreshness::has_succeeded(self.watch.opened_at, now);
         if self.watch.has_succeeded {
@@ -202,25 +202,25 @@
         }
     }
 
-    /// Reopens a stream that has ended or is unresponsive, and notes whether the list is stale. To be called at the retry
+    /// Reopens a closed or unresponsive stream, and logs when the list becomes stale or current. Must be called at the retry
     /// interval.
     pub(crate) fn run_maintenance(&mut self, context: &mut Context) {
         let now = context.now();
         self.log_staleness(now);
-        // A list may stop between two of its lines while keepalives go on.
+        // A list may stall between two of its lines while keepalives continue.
         let is_list_stalled = self
             .partial
             .since
             .is_some_and(|since| now - since > self.retry_interval);
         let is_open = self.stream.is_open();
-        // A whole list comes at once or not at all, and sends no keepalives.
-        let is_call_unanswered =
+        // A snapshot response arrives completely or not at all, and sends no keepalives.
+        let is_request_unanswered =
             !self.has_list() && is_open && now - self.watch.opened_at >= KEEPALIVE_INTERVAL;
         if is_list_stalled
-            || is_call_unanswered
+            || is_request_unanswered
             || self.stream.is_unresponsive(now, self.retry_interval)
         {
-            self.renew(context);
+            self.reconnect(context);
         } else if !is_open && now >= self.reopen_at {
             self.open(context);
         } else if is_open && self.watch.has_received && !self.watch.has_succeeded {
@@ -234,16 +234,16 @@
             return;
         }
         let state = if is_stale {
-            "too old, nothing is sent by it"
+            "too old, no attempts are sent"
         } else {
-            "confirmed again"
+            "up to date again"
         };
-        tracing::warn!("discovery: the list held is {state}");
+        tracing::warn!("discovery: the endpoint list is {state}");
     }
 
-    /// Closes the stream, and opens it again if it is time; else `run_maintenance` will, so that many malformed responses cost
-    /// little.
-    fn renew(&mut self, context: &mut Context) {
+    /// Closes the stream and reopens it if the retry delay has passed. Otherwise `run_maintenance` reopens it later, which
+    /// limits the cost of repeated malformed responses.
+    fn reconnect(&mut self, context: &mut Context) {
         self.partial.clear();
         self.stream.close(context);
         self.schedule_reopening(context.now());
@@ -252,7 +252,7 @@
         }
     }
 
-    /// Reads what the stream is ready for, and applies the lists that come.
+    /// Handles the readiness of the stream, and applies the endpoint lists that it delivers.
     pub(crate) fn handle_readiness(
         &mut self,
         context: &mut Context,
@@ -268,7 +268,7 @@
                     is_response,
                 } => self.handle_list(context, &mut tables, &message, is_response),
                 Received::Nothing => {}
-                Received::Renewed => break,
+                Received::Closed => break,
             }
         }
     }
@@ -276,8 +276,8 @@
     fn receive(&mut self, context: &mut Context, event: StreamEvent) -> Received {
         match event {
             StreamEvent::Disconnected => {
-                self.renew(context);
-                Received::Renewed
+                self.reconnect(context);
+                Received::Closed
             }
             StreamEvent::Refused(status) => {
                 self.handle_refusal(status);
@@ -293,11 +293,14 @@
         }
     }
 
-    /// Forgets the version if discovery does not know it any more, so that the whole list is called for. An overloaded service
-    /// says nothing about the version, and a whole list would cost it more.
+    /// Discards the version if discovery no longer knows it, so that a snapshot is requested next. A refusal by an
+    /// overloaded service says nothing about the version, and a snapshot would cost that service more.
     fn handle_refusal(&mut self, status: Option<u16>) {
         let is_overloaded = status.is_none_or(|status| matches!(status, 408 | 425 | 429 | 500..));
-        tracing::warn!("discovery: refuses with {}", status.unwrap_or_default());
+        tracing::warn!(
+            "discovery: request refused with status {}",
+            status.unwrap_or_default()
+        );
         if !is_overloaded {
             self.version = None;
         }
@@ -318,17 +321,17 @@
                     is_response,
                 }
             }
-            // A list may be indented. Each of its lines but the last is only a part of it.
+            // An indented list spans several lines; every line except the last leaves it incomplete.
             Err(e) if e.is_eof() && !is_response && self.partial.bytes.len() <= MAX_BODY_BYTES => {
                 self.partial.since.get_or_insert(context.now());
                 Received::Nothing
             }
             Err(e) => {
                 context.counters.add(Counter::LinesRefused);
-                tracing::warn!("discovery: a line cannot be read, the watch is renewed: {e}");
-                // The list stays valid for its version, from which the next watch goes on.
-                self.renew(context);
-                Received::Renewed
+                tracing::warn!("discovery: malformed line, reconnecting: {e}");
+                // The list stays valid at its version, and the next watch continues from that version.
+                self.reconnect(context);
+                Received::Closed
             }
         }
     }
@@ -344,7 +347,7 @@
         self.watch.has_succeeded |= list.is_snapshot || !list.endpoints.is_empty();
         self.confirm_if_working(context.now());
         self.version = Some(list.version);
-        apply(context, tables, list, list.kind());
+        apply_list(context, tables, list, list.kind());
         if is_response {
             let path = watch_path(list.version);
             self.stream.request(context, &path, ResponseMode::Lines);
@@ -352,8 +355,8 @@
     }
 }
 
-/// Notes what runs at each endpoint, and queues the list for the policy.
-fn apply(
+/// Updates the instance of each endpoint, and queues the list as a policy event.
+fn apply_list(
     context: &mut Context,
     tables: &mut EndpointTables<'_>,
     list: &EndpointListMessage,
@@ -378,7 +381,7 @@
         tables.upstream.set_instance(context, endpoint, None);
     }
     tracing::debug!(
-        "discovery: list {} with {} lines",
+        "discovery: list {} with {} endpoints",
         list.version,
         endpoints.len()
     );
--- a/crates/gateway/src/control_plane/discovery_messages.rs
+++ b/crates/gateway/src/control_plane/discovery_messages.rs
@@ -1,4 +1,4 @@
-//! Endpoint lists as discovery writes them. The names of its JSON form and its paths stand in this file.
+//! Endpoint list messages of the discovery service. All JSON names and paths of discovery are defined here.
 
 use std::net::SocketAddr;
 
@@ -9,30 +9,30 @@
 
 use crate::upstream::EndpointInstance;
 
-/// The path of a whole list.
+/// Path of a snapshot request.
 pub(crate) const SNAPSHOT_PATH: &str = "/v1/endpoints";
 
-/// The path of the stream of changes that follow a version.
+/// Path of the stream of changes since `version`.
 pub(crate) fn watch_path(version: i64) -> String {
     format!("/v1/endpoints?stream=1&index={version}")
 }
 
-/// An endpoint list.
+/// An endpoint list as discovery sends it.
 #[derive(Clone, Default, Deserialize)]
 pub(crate) struct EndpointListMessage {
-    /// The list's version.
+    /// Version of the list, to continue the watch from.
     #[serde(default, rename = "revision")]
     pub(crate) version: i64,
-    /// Whether it names every endpoint, and not only those that have changed.
+    /// Whether the list contains every endpoint rather than only the changed ones.
     #[serde(default, rename = "complete")]
     pub(crate) is_snapshot: bool,
-    /// The endpoints.
+    /// All endpoints of a snapshot, or the changed ones.
     #[serde(default, rename = "members")]
     pub(crate) endpoints: Vec<EndpointMessage>,
 }
 
 impl EndpointListMessage {
-    /// How the list relates to those before it.
+    /// Whether the list replaces earlier lists or changes them.
     pub(crate) fn kind(&self) -> UpdateKind {
         if self.is_snapshot {
             UpdateKind::Snapshot
@@ -42,7 +42,7 @@
     }
 }
 
-/// An endpoint on a list.
+/// An endpoint in an endpoint list.
 #[derive(Clone, Deserialize)]
 pub(crate) struct EndpointMessage {
     id: String,
@@ -58,7 +58,7 @@
     lifecycle: LifecycleMessage,
     #[serde(default = "default_weight", rename = "size")]
     weight: f64,
-    /// Zero if it is not known.
+    /// Start of the endpoint's process in Unix milliseconds. Zero if unknown.
     #[serde(default, rename = "up_since_ms")]
     started_at_ms: i64,
     #[serde(rename = "revision_no")]
@@ -80,7 +80,7 @@
 }
 
 impl EndpointMessage {
-    /// The endpoint as the policy sees it.
+    /// Converts the message to a record for the policy. Assigns ids to names that are new.
     pub(crate) fn record(
         &self,
         names: &mut Names,
@@ -99,13 +99,13 @@
                 LifecycleMessage::Removed => Lifecycle::Removed,
             },
             weight: self.weight,
-            // The clock maps a start to one timestamp however often it is listed, so the policy sees one start.
+            // The clock always maps a start time to the same timestamp, so repeated lists show the policy one start.
             age: (self.started_at_ms > 0).then(|| now - clock.at_unix_ms(self.started_at_ms)),
             gossip_id: gossip_id(&self.id),
         }
     }
 
-    /// What runs at the endpoint. `None` if it is removed.
+    /// The running instance of the endpoint. `None` if the endpoint was removed.
     pub(crate) fn instance(&self) -> Option<EndpointInstance> {
         match self.lifecycle {
             LifecycleMessage::Removed => None,
--- a/crates/gateway/src/control_plane/mod.rs
+++ b/crates/gateway/src/control_plane/mod.rs
@@ -1,4 +1,4 @@
-//! Endpoint discovery and the rollout platform: the clients, and the JSON forms that they read and write.
+//! Clients of endpoint discovery and of the rollout platform, and the JSON messages that they exchange.
 
 pub(crate) mod discovery;
 pub(crate) mod discovery_messages;
--- a/crates/gateway/src/control_plane/rollout_messages.rs
+++ b/crates/gateway/src/control_plane/rollout_messages.rs
@@ -1,16 +1,16 @@
-//! What the rollout platform writes and reads. The names of its JSON forms and its paths stand in this file.
+//! Messages of the rollout platform. All JSON names and paths of the platform are defined here.
 
 use harrierdock_types::{
     BuildId, PlatformStatus, RolloutDecision, RolloutPhase, RolloutUpdate, TimeDelta,
 };
 use serde::Deserialize;
 
-/// The path of the stream of rollout updates and complaints.
+/// Path of the stream of rollout updates and complaints.
 pub(super) const EVENTS_PATH: &str = "/apis/fleet/events";
-/// The path that votes are posted to.
+/// Path to which votes are posted.
 pub(super) const VOTES_PATH: &str = "/apis/fleet/votes";
 
-/// The state of the newest rollout.
+/// State of the most recent rollout.
 #[derive(Clone, Copy, Debug, Deserialize)]
 pub(crate) struct RolloutMessage {
     #[serde(rename = "image")]
@@ -25,7 +25,7 @@
     age_ms: i64,
 }
 
-/// In the order in which a build passes through them.
+/// Rollout phases in the order in which a build passes through them. The derived order relies on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Deserialize)]
 enum PhaseMessage {
     #[serde(rename = "trial")]
@@ -38,7 +38,7 @@
     RolledBack,
 }
 
-/// How far a rollout has come. Later states are greater.
+/// Progress of a rollout. Later states compare greater.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Progress {
     build: u32,
@@ -47,7 +47,7 @@
 }
 
 impl RolloutMessage {
-    /// Whether this state comes after the other one.
+    /// Whether this state is later than `other`.
     pub(super) fn is_later_than(&self, other: &RolloutMessage) -> bool {
         self.progress() > other.progress()
     }
@@ -60,7 +60,7 @@
         }
     }
 
-    /// The state as the policy sees it.
+    /// Converts the state to an update for the policy.
     pub(super) fn update(&self, answers_vote: bool) -> RolloutUpdate {
         RolloutUpdate {
             build: BuildId(self.build),
@@ -79,33 +79,33 @@
     }
 }
 
-/// A line of the stream.
+/// A line of the event stream.
 #[derive(Deserialize)]
 #[serde(tag = "type", content = "object")]
 pub(super) enum EventMessage {
-    /// The state of the newest rollout.
+    /// A state of the most recent rollout.
     #[serde(rename = "news")]
     Rollout(RolloutMessage),
-    /// A client has complained about an answer.
+    /// A client complained about a response.
     #[serde(rename = "report")]
     Complaint(ComplaintMessage),
 }
 
-/// A complaint.
+/// A client's complaint about a response.
 #[derive(Deserialize)]
 pub(super) struct ComplaintMessage {
-    /// The endpoint that answered.
+    /// Name of the endpoint that sent the response.
     #[serde(rename = "host")]
     pub(super) endpoint: String,
-    /// The request class.
+    /// Name of the request class.
     #[serde(rename = "type")]
     pub(super) class: String,
-    /// Checked, and read by no decision.
+    /// Must be present and valid, but is not used.
     #[serde(rename = "lag_ms")]
     _age_ms: i64,
 }
 
-/// A decision as a vote says it.
+/// Name of a decision in a vote.
 pub(super) fn decision_name(decision: RolloutDecision) -> &'static str {
     match decision {
         RolloutDecision::Withdraw => "clear",
@@ -115,14 +115,14 @@
     }
 }
 
-/// The body of a vote.
+/// JSON body of a vote.
 pub(super) fn vote_body(build: BuildId, stage: usize, decision: RolloutDecision) -> String {
     let opinion = decision_name(decision);
     format!(r#"{{"image":{build},"ring":{stage},"opinion":"{opinion}"}}"#)
 }
 
-/// What a status that brings no state means for a vote.
-pub(super) fn status_of_refused_vote(status: Option<u16>) -> PlatformStatus {
+/// Maps the HTTP status of a failed vote to a platform status. `None` means that no valid response was received.
+pub(super) fn failed_vote_status(status: Option<u16>) -> PlatformStatus {
     match status {
         Some(429) => PlatformStatus::Overloaded,
         Some(409) => PlatformStatus::Superseded,
--- a/crates/gateway/src/control_plane/rollout_platform.rs
+++ b/crates/gateway/src/control_plane/rollout_platform.rs
@@ -1,4 +1,4 @@
-//! The client of the rollout platform: it follows the stream of rollout updates and complaints.
+//! Client of the rollout platform. It follows the stream of rollout updates and complaints.
 
 use std::net::SocketAddr;
 
@@ -12,39 +12,40 @@
 use crate::metrics::Counter;
 use crate::runtime::context::{Context, InternalEvent};
 
-/// A working stream sends something this often.
+/// Interval at which a working stream sends at least an empty event.
 const KEEPALIVE_INTERVAL: TimeDelta = TimeDelta(1_000_000);
 /// Keepalive intervals without a line after which a stream counts as unresponsive.
 const MISSED_KEEPALIVES: f64 = 2.5;
 
-/// A line without content, sent as a keepalive.
+/// Keepalive line.
 const EMPTY_EVENT: &[u8] = b"{}";
 
-/// The latest state of a rollout that was received.
+/// The latest rollout state received so far.
 #[derive(Clone, Copy)]
 struct LatestRollout {
     message: RolloutMessage,
     received_at: Timestamp,
 }
 
-/// Whether what a stream has brought besides still counts.
+/// Whether the remaining events of a stream are still to be handled.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum StreamState {
-    Continues,
-    Renewed,
+    Open,
+    /// The stream was closed, and its remaining events are discarded.
+    Closed,
 }
 
-/// The client of the rollout platform.
+/// Receives rollout updates and complaints from the rollout platform, and posts votes to it.
 pub(crate) struct RolloutPlatform {
     stream: LineStream,
-    /// The votes that wait for their responses.
+    /// Votes that wait for a response.
     pub(super) votes: Votes,
     latest: Option<LatestRollout>,
     retry_interval: TimeDelta,
 }
 
 impl RolloutPlatform {
-    /// A client that has not connected yet. `vote_timeout` is how long a vote waits for its response, `retry_interval` the
+    /// Creates an unconnected client. `vote_timeout` limits the wait for the response to a vote, and `retry_interval` is the
     /// interval of `run_maintenance`.
     pub(crate) fn new(
         address: SocketAddr,
@@ -59,8 +60,8 @@
         }
     }
 
-    /// Tells the policy the state of the newest rollout. The stream and the responses to votes may overtake each other, so a
-    /// state that the rollout has left behind is replaced by the latest one.
+    /// Queues a rollout state as a policy event. The stream and the responses to votes may overtake each other, so the
+    /// latest state replaces an outdated one.
     pub(crate) fn apply_update(
         &mut self,
         context: &mut Context,
@@ -88,7 +89,7 @@
             }
         };
         if later.is_none() || answers_vote {
-            tracing::debug!("platform: {message:?}, answers a vote: {answers_vote}");
+            tracing::debug!("platform: received {message:?}, answers a vote: {answers_vote}");
             context.emit_at(now, InternalEvent::Policy(Event::RolloutUpdated(update)));
         }
     }
@@ -99,8 +100,9 @@
             .open(context, EVENTS_PATH, ResponseMode::Lines, handler);
     }
 
-    /// Closes the stream, and opens it again if it was open for a while; else `run_maintenance` will.
-    fn renew(&mut self, context: &mut Context) {
+    /// Closes the stream and reopens it, unless it was opened within the retry interval. In that case `run_maintenance`
+    /// reopens it later.
+    fn reconnect(&mut self, context: &mut Context) {
         self.stream.close(context);
         if self.may_open(context.now()) {
             self.open(context);
@@ -111,7 +113,7 @@
         !self.stream.is_open() && !self.stream.was_opened_within(now, self.retry_interval)
     }
 
-    /// Reads what the stream is ready for, and applies it.
+    /// Handles the readiness of the stream, and applies the events that it delivers.
     pub(crate) fn handle_readiness(
         &mut self,
         context: &mut Context,
@@ -119,7 +121,7 @@
         readiness: Readiness,
     ) {
         for event in self.stream.handle_readiness(context, readiness) {
-            if self.handle_stream_event(context, names, event) == StreamState::Renewed {
+            if self.handle_stream_event(context, names, event) == StreamState::Closed {
                 break;
             }
         }
@@ -133,38 +135,38 @@
     ) -> StreamState {
         let line = match event {
             StreamEvent::Disconnected => {
-                self.renew(context);
-                return StreamState::Renewed;
+                self.reconnect(context);
+                return StreamState::Closed;
             }
             StreamEvent::Refused(_) => {
-                tracing::warn!("platform: refuses its stream");
-                return StreamState::Continues;
+                tracing::warn!("platform: event stream refused");
+                return StreamState::Open;
             }
             StreamEvent::Line(line) | StreamEvent::Response(line) => line,
         };
         if line.is_empty() || line == EMPTY_EVENT {
-            return StreamState::Continues;
+            return StreamState::Open;
         }
         match serde_json::from_slice(&line) {
             Ok(EventMessage::Rollout(message)) => self.apply_update(context, message, false),
             Ok(EventMessage::Complaint(complaint)) => apply_complaint(context, names, &complaint),
             Err(e) => {
-                // The stream may go on after such a line, but nothing on it can be relied on.
+                // More lines may follow, but the stream can no longer be trusted.
                 context.counters.add(Counter::LinesRefused);
-                tracing::warn!("platform: a line cannot be read, the stream is renewed: {e}");
-                self.renew(context);
-                return StreamState::Renewed;
+                tracing::warn!("platform: malformed line, reconnecting: {e}");
+                self.reconnect(context);
+                return StreamState::Closed;
             }
         }
-        StreamState::Continues
+        StreamState::Open
     }
 
-    /// The address in use.
+    /// Address of the rollout platform.
     pub(crate) fn address(&self) -> SocketAddr {
         self.stream.address()
     }
 
-    /// Switches to another address. Votes under way stay where they were sent.
+    /// Switches to another address. Pending votes continue at the address that they were sent to.
     pub(crate) fn set_address(&mut self, context: &mut Context, address: SocketAddr) {
         self.votes.set_address(address);
         if self.stream.set_address(context, address) {
@@ -172,7 +174,7 @@
         }
     }
 
-    /// Reopens a stream that has ended or is unresponsive. To be called at the retry interval.
+    /// Reopens a closed or unresponsive stream. Must be called at the retry interval.
     pub(crate) fn run_maintenance(&mut self, context: &mut Context) {
         let now = context.now();
         if self.stream.is_unresponsive(now, self.retry_interval) || self.may_open(now) {
--- a/crates/gateway/src/control_plane/votes.rs
+++ b/crates/gateway/src/control_plane/votes.rs
@@ -1,4 +1,4 @@
-//! Votes: each is posted to the rollout platform on a connection of its own.
+//! Posts votes to the rollout platform, each on a connection of its own.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,43 +12,44 @@
 };
 
 use super::rollout_messages::{
-    decision_name, status_of_refused_vote, vote_body, RolloutMessage, VOTES_PATH,
+    decision_name, failed_vote_status, vote_body, RolloutMessage, VOTES_PATH,
 };
 use super::rollout_platform::RolloutPlatform;
 use crate::metrics::Counter;
 use crate::runtime::context::{Context, InternalEvent};
 use crate::runtime::timer::Timer;
 
-/// A vote that waits for its response.
+/// A posted vote that waits for a response.
 struct Vote {
     connection: Connection,
     reader: MessageReader,
-    is_written: bool,
+    is_sent: bool,
     deadline: Timestamp,
 }
 
-/// How a vote stands after its connection was ready.
+/// State of a vote after its connection was handled.
 enum VoteProgress {
+    /// The vote is not fully sent, or its response is incomplete.
     Pending,
-    /// The platform has responded with the state of the rollout.
-    Counted(RolloutMessage),
-    /// No state came back.
-    Refused(PlatformStatus),
+    /// The platform responded with a rollout state.
+    Answered(RolloutMessage),
+    /// The vote ended without a rollout state.
+    Failed(PlatformStatus),
 }
 
 impl Vote {
     fn handle_readiness(&mut self, context: &mut Context, readiness: Readiness) -> VoteProgress {
-        if readiness.writable && !self.is_written {
+        if readiness.writable && !self.is_sent {
             match self.write(context) {
                 WriteResult::Complete => {
-                    self.is_written = true;
+                    self.is_sent = true;
                     self.connection.set_interest(context, true, false);
                 }
                 WriteResult::Partial => return VoteProgress::Pending,
-                WriteResult::Failed => return VoteProgress::Refused(PlatformStatus::ServerError),
+                WriteResult::Failed => return VoteProgress::Failed(PlatformStatus::ServerError),
             }
         }
-        if readiness.readable && self.is_written {
+        if readiness.readable && self.is_sent {
             self.read(context)
         } else {
             VoteProgress::Pending
@@ -80,14 +81,14 @@
             .map(|head| head.status);
         if status == Some(200) {
             if let Ok(message) = serde_json::from_slice(&input[self.reader.body()]) {
-                return VoteProgress::Counted(message);
+                return VoteProgress::Answered(message);
             }
         }
-        VoteProgress::Refused(status_of_refused_vote(status))
+        VoteProgress::Failed(failed_vote_status(status))
     }
 }
 
-/// The votes that wait for their responses.
+/// Votes that wait for a response, by connection.
 pub(super) struct Votes {
     address: SocketAddr,
     timeout: TimeDelta,
@@ -95,7 +96,7 @@
 }
 
 impl Votes {
-    /// Without votes.
+    /// Creates an empty set. Each vote waits for its response at most `timeout`.
     pub(super) fn new(address: SocketAddr, timeout: TimeDelta) -> Votes {
         Votes {
             address,
@@ -104,12 +105,12 @@
         }
     }
 
-    /// Posts later votes to another address.
+    /// Sets the address to which later votes are posted. Pending votes are unaffected.
     pub(super) fn set_address(&mut self, address: SocketAddr) {
         self.address = address;
     }
 
-    /// Begins to post a vote. Returns whether it could begin.
+    /// Starts to post a vote. Returns `false` if no connection or buffer was available.
     fn post(&mut self, context: &mut Context, body: &str) -> bool {
         let id = context.next_connection_id();
         let handle_vote = context.handlers.vote;
@@ -134,7 +135,7 @@
         let vote = Vote {
             connection,
             reader: MessageReader::default(),
-            is_written: false,
+            is_sent: false,
             deadline: context.set_timer_after(self.timeout, Timer::Vote(id)),
         };
         self.pending.insert(id, vote);
@@ -162,7 +163,7 @@
 }
 
 impl RolloutPlatform {
-    /// Casts a vote.
+    /// Casts a vote on a build in a rollout stage. The response arrives as a policy event.
     pub(crate) fn vote(
         &mut self,
         context: &mut Context,
@@ -172,16 +173,16 @@
     ) {
         context.counters.add(Counter::Votes);
         tracing::info!(
-            "votes {} on build {build} in stage {stage}",
+            "platform: vote {} cast on build {build} in stage {stage}",
             decision_name(decision)
         );
         let body = vote_body(build, stage, decision);
         if !self.votes.post(context, &body) {
-            report_refused_vote(context, PlatformStatus::ServerError);
+            report_failed_vote(context, PlatformStatus::ServerError);
         }
     }
 
-    /// Reads and writes what the connection of a vote is ready for.
+    /// Handles the readiness of a vote's connection.
     pub(crate) fn handle_vote_readiness(
         &mut self,
         context: &mut Context,
@@ -190,28 +191,28 @@
     ) {
         match self.votes.handle_readiness(context, id, readiness) {
             VoteProgress::Pending => {}
-            VoteProgress::Counted(message) => {
+            VoteProgress::Answered(message) => {
                 self.votes.close(context, id);
                 self.apply_update(context, message, true);
             }
-            VoteProgress::Refused(status) => {
+            VoteProgress::Failed(status) => {
                 self.votes.close(context, id);
-                report_refused_vote(context, status);
+                report_failed_vote(context, status);
             }
         }
     }
 
-    /// A vote has had no response in time. It may have been counted, or may yet be.
+    /// Gives up on a vote without a response in time. The platform may have counted it or may still count it.
     pub(crate) fn time_out_vote(&mut self, context: &mut Context, id: ConnectionId) {
         self.votes.close(context, id);
-        report_refused_vote(context, PlatformStatus::TimedOut);
+        report_failed_vote(context, PlatformStatus::TimedOut);
     }
 }
 
-/// Tells the policy that a vote has brought back no state.
-fn report_refused_vote(context: &mut Context, status: PlatformStatus) {
+/// Queues a policy event for a vote that ended without a rollout state.
+fn report_failed_vote(context: &mut Context, status: PlatformStatus) {
     context.counters.add(Counter::VotesRefused);
-    tracing::info!("a vote got no state: {status:?}");
+    tracing::info!("platform: vote failed: {status:?}");
     let update = RolloutUpdate {
         build: BuildId(0),
         stage: 0,
