--- a/crates/fault-injection/src/gateway_process.rs
+++ b/crates/fault-injection/src/gateway_process.rs
@@ -248,7 +248,7 @@
             if let Some(address) = address_after(&line, " listens on ") {
                 self.site_address = Some(address);
             }
-            if let Some(address) = address_after(&line, " hears peers on ") {
+            if let Some(address) = address_after(&line, " receives gossip on ") {
                 self.gossip_address = Some(address);
             }
             if let Some(address) = address_after(&line, " serves on ") {
@@ -263,7 +263,7 @@
         for line in self.log.try_iter() {
             if std::mem::take(&mut self.is_panic_message_next) {
                 self.violations.push(line);
-            } else if line.contains(" broken: ") || line.contains(PANIC_MARK) {
+            } else if line.contains(" invariant violated: ") || line.contains(PANIC_MARK) {
                 self.is_panic_message_next = line.contains(PANIC_MARK);
                 self.violations.push(line);
             } else if line.contains(" fleet: ") || line.contains(" fleet.") {
--- a/crates/gateway/src/gossip.rs
+++ b/crates/gateway/src/gossip.rs
@@ -1,4 +1,4 @@
-//! Gossip: datagrams between the gateways of a fleet, which know each other by their addresses.
+//! Gossip between the gateways of a fleet: UDP datagrams, with each peer identified by its configured address.
 
 use std::io::{self, ErrorKind};
 use std::net::{SocketAddr, UdpSocket};
@@ -14,27 +14,27 @@
 use crate::metrics::Counter;
 use crate::runtime::context::{Context, InternalEvent};
 
-/// The longest datagram that may be sent.
+/// Longest datagram that is sent or accepted.
 const MAX_DATAGRAM_BYTES: usize = 256;
-/// Datagrams read in one turn of the loop, so that a flood of them gives way to requests.
+/// Datagrams read per turn of the event loop, so that a burst of them doesn't delay requests.
 const MAX_READS_PER_TURN: usize = 32;
 
-/// The socket to the peers.
+/// UDP socket for messages to and from peers.
 pub(crate) struct GossipSocket {
     socket: Rc<UdpSocket>,
-    /// The peers' addresses, by their `PeerId`.
+    /// Addresses of the peers, indexed by `PeerId`.
     peers: Vec<SocketAddr>,
-    /// Where a datagram reaches all peers.
+    /// Address at which a datagram reaches all peers. `None` if the configuration has none.
     broadcast: Option<SocketAddr>,
     local_peer: PeerId,
 }
 
 impl GossipSocket {
-    /// Opens the socket. `None` if the configuration names no address for it.
+    /// Binds the socket and watches it. Returns `None` if the configuration has no gossip address.
     ///
     /// # Errors
     ///
-    /// The address cannot be bound.
+    /// The address cannot be bound, or the event loop cannot watch the socket.
     pub(crate) fn open<D>(
         handle: &LoopHandle<'static, D>,
         config: &GatewayConfig,
@@ -46,7 +46,11 @@
         };
         let socket = UdpSocket::bind(address)?;
         socket.set_nonblocking(true)?;
-        tracing::info!("{} hears peers on {}", config.name, socket.local_addr()?);
+        tracing::info!(
+            "{} receives gossip on {}",
+            config.name,
+            socket.local_addr()?
+        );
         let socket = Rc::new(socket);
         let source = Generic::new(socket.clone(), Interest::READ, Mode::Level);
         handle
@@ -63,14 +67,14 @@
         }))
     }
 
-    /// Reads what has arrived, and queues it as internal events.
+    /// Reads received datagrams, up to the limit per turn, and queues them as internal events.
     pub(crate) fn receive(&self, context: &mut Context) {
         let mut buffer = [0_u8; MAX_DATAGRAM_BYTES + 1];
         for _ in 0..MAX_READS_PER_TURN {
             match self.socket.recv_from(&mut buffer) {
                 Ok((size, sender)) => self.handle_datagram(context, sender, &buffer[..size]),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
-                // The system reports here that an earlier datagram could not be delivered.
+                // The operating system reports the failed delivery of an earlier datagram this way.
                 Err(_) => {}
             }
         }
@@ -100,13 +104,13 @@
         }));
     }
 
-    /// The peer with this address. `None` for strangers and for this gateway itself.
+    /// The peer with this address. `None` for unknown addresses and for this gateway itself.
     fn peer_at(&self, address: SocketAddr) -> Option<PeerId> {
         let index = self.peers.iter().position(|peer| *peer == address)?;
         Some(PeerId(index)).filter(|peer| *peer != self.local_peer)
     }
 
-    /// Sends a gossip message to a peer, or to all.
+    /// Sends a gossip message to a peer, or to all peers if `to` is `None`.
     pub(crate) fn send_gossip(
         &self,
         context: &mut Context,
@@ -120,7 +124,7 @@
         self.send_datagram(context, address, gossip::encode(message).as_bytes());
     }
 
-    /// Sends a binary message, about leases or rollout votes, to a peer.
+    /// Sends a peer a binary message about leases or rollout votes.
     pub(crate) fn send_to_peer(&self, context: &mut Context, to: PeerId, bytes: &[u8]) {
         self.send_datagram(context, self.peers.get(to.0).copied(), bytes);
     }
@@ -129,9 +133,9 @@
         let fits = bytes.len() <= MAX_DATAGRAM_BYTES;
         context
             .counters
-            .check_invariant(fits, "a message to a peer fits a datagram");
+            .check_invariant(fits, "a message to a peer fits into a datagram");
         if let Some(address) = address.filter(|_| fits) {
-            // A datagram may be lost, so one that cannot be sent needs no handling of its own.
+            // A datagram may be lost in transit anyway, so a failed send needs no special handling.
             if self.socket.send_to(bytes, address).is_ok() {
                 context.counters.add(Counter::GossipSent);
             }
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -1,11 +1,11 @@
-//! The counters, and the line in which they are logged.
+//! Counters of a gateway process, and the log line that prints them.
 
 use std::fmt;
 
-/// Declares the counters with the names that they are logged by, in the order in which they are logged.
+/// Declares the counters in log order, each with its name in the log line.
 macro_rules! counters {
     ($($(#[$doc:meta])* $counter:ident => $name:literal,)*) => {
-        /// What is counted, since the start.
+        /// Something counted since the start of the process.
         #[derive(Clone, Copy, Debug, PartialEq, Eq)]
         pub(crate) enum Counter {
             $($(#[$doc])* $counter,)*
@@ -22,23 +22,23 @@
     RequestsSucceeded => "succeeded",
     /// Requests rejected without effect.
     RequestsRejected => "rejected",
-    /// Requests that ended with unknown effect.
+    /// Requests that failed, with unknown effect.
     RequestsFailed => "failed",
-    /// Clients that left before their answer.
+    /// Clients that disconnected before they got a response.
     ClientsDisconnected => "client-disconnected",
-    /// Readiness checks, and what else is not a request to be served.
+    /// Readiness checks, duplicates of requests under way, and requests that are not valid requests for an endpoint.
     OtherRequests => "other-requests",
-    /// Requests that could not be read, or were left incomplete.
+    /// Requests that could not be parsed, or that timed out while incomplete.
     MalformedRequests => "malformed",
-    /// Attempts that an endpoint answered.
+    /// Attempts with a successful response from the endpoint.
     AttemptsSucceeded => "attempt-succeeded",
-    /// Attempts that an endpoint answered with an error.
+    /// Attempts with an error response from the endpoint.
     AttemptsWithServerError => "server-error",
     /// Attempts that an endpoint rejected.
     AttemptsRejected => "attempt-rejected",
     /// Attempts without a response in time.
     AttemptsTimedOut => "timed-out",
-    /// Attempts whose connection did not come up, or whose request was not written in full.
+    /// Attempts whose connection could not be established, or whose request was not written in full.
     ConnectsFailed => "connect-failed",
     /// Attempts whose connection broke, or whose response was malformed.
     AttemptsReset => "reset",
@@ -48,43 +48,43 @@
     AttemptsNotSent => "not-sent",
     /// Connections accepted from clients.
     ConnectionsAccepted => "connections-accepted",
-    /// Connections accepted from clients that could not be watched, and were rejected.
+    /// Client connections that were accepted and then rejected, because the event loop could not watch them.
     ConnectionsUnwatched => "connections-unwatched",
     /// Connections opened to endpoints.
     EndpointConnectionsOpened => "endpoint-connections-opened",
-    /// Idle connections to endpoints that carried another attempt.
+    /// Idle endpoint connections that were reused for another attempt.
     ConnectionsReused => "connections-reused",
-    /// Idle connections to endpoints that were closed or too old when they were to be reused.
+    /// Idle endpoint connections that could not be reused because they were closed or too old.
     IdleConnectionsClosed => "idle-connections-closed",
     /// Attempts dropped because their precondition no longer held.
     PreconditionViolations => "precondition-violated",
     /// Endpoint lists received.
     EndpointLists => "endpoint-lists",
-    /// Lines of discovery and of the rollout platform that could not be read.
+    /// Lines of discovery and of the rollout platform that were malformed or referred to unknown names.
     LinesRefused => "lines-refused",
-    /// Streams opened, tries included.
+    /// Attempts to open a stream, including failed ones.
     StreamsOpened => "streams-opened",
     /// Rollout updates received.
     RolloutUpdates => "rollout-updates",
-    /// Rollout updates received after later ones.
+    /// Rollout updates received after an update with a later state.
     OutdatedRolloutUpdates => "rollout-updates-outdated",
-    /// Complaints of clients about answers.
+    /// Client complaints about responses, received from the rollout platform.
     Complaints => "complaints",
     /// Votes cast.
     Votes => "votes",
-    /// Votes that brought back no state.
+    /// Votes that ended without a rollout state in response.
     VotesRefused => "votes-refused",
     /// Messages sent to peers.
     GossipSent => "gossip-sent",
     /// Messages received from peers.
     GossipReceived => "gossip-received",
-    /// Messages from strangers, or malformed ones.
+    /// Messages from unknown addresses, or malformed messages.
     GossipRefused => "gossip-refused",
     /// Requests forwarded to the other site.
     RequestsForwarded => "forwarded",
-    /// Requests that the other site forwarded.
+    /// Requests forwarded by the other site.
     InboundRequests => "inbound",
-    /// Messages of the other site that could not be read.
+    /// Messages from the other site that could not be decoded.
     SiteMessagesRefused => "site-messages-refused",
     /// Times that no descriptor was available.
     DescriptorShortages => "no-descriptor",
@@ -92,13 +92,13 @@
     BufferShortages => "no-buffer",
     /// Log lines dropped because the queue was full.
     DroppedLogLines => "log-lines-dropped",
-    /// Buffers that came back in another state than they were taken in.
+    /// Buffers released with a changed capacity, or released without having been acquired.
     PoolViolations => "pool-broken",
-    /// Invariants that did not hold.
+    /// Detected violations of internal invariants.
     InvariantViolations => "broken",
 }
 
-/// The value of each counter.
+/// The counter values, indexed by `Counter`.
 pub(crate) struct Counters([u64; COUNTERS.len()]);
 
 impl Default for Counters {
@@ -108,32 +108,32 @@
 }
 
 impl Counters {
-    /// Adds one.
+    /// Increments a counter.
     pub(crate) fn add(&mut self, counter: Counter) {
         self.0[counter as usize] += 1;
     }
 
-    /// Sets a counter that is counted elsewhere.
+    /// Sets a counter whose value is maintained elsewhere.
     pub(crate) fn set(&mut self, counter: Counter, value: u64) {
         self.0[counter as usize] = value;
     }
 
-    /// Checks an invariant. A violation is counted and logged.
+    /// Checks an internal invariant. Counts and logs a violation.
     ///
     /// # Panics
     ///
-    /// In debug builds, if it does not hold.
+    /// In debug builds, if `holds` is false.
     pub(crate) fn check_invariant(&mut self, holds: bool, invariant: &str) {
         debug_assert!(holds, "{invariant}");
         if !holds {
             self.add(Counter::InvariantViolations);
-            tracing::error!("broken: {invariant}");
+            tracing::error!("invariant violated: {invariant}");
         }
     }
 }
 
 impl fmt::Display for Counters {
-    /// Writes the counters that are not zero.
+    /// Writes the nonzero counters as `name=value`, separated by spaces.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let mut separator = "";
         for (counter, name) in COUNTERS {
