--- a/crates/gateway/src/control_plane/rollout_platform.rs
+++ b/crates/gateway/src/control_plane/rollout_platform.rs
@@ -8,7 +8,7 @@
 use harrierdock_types::{Event, TimeDelta, Timestamp};
 
 use super::rollout_messages::{ComplaintMessage, EventMessage, RolloutMessage, EVENTS_PATH};
-use super::votes::Votes;
+use super::votes::PendingVotes;
 use crate::metrics::Counter;
 use crate::runtime::context::{Context, InternalEvent};
 
@@ -39,7 +39,7 @@
 pub(crate) struct RolloutPlatform {
     stream: LineStream,
     /// Votes that wait for a response.
-    pub(super) votes: Votes,
+    pub(super) votes: PendingVotes,
     latest: Option<LatestRollout>,
     retry_interval: TimeDelta,
 }
@@ -54,7 +54,7 @@
     ) -> RolloutPlatform {
         RolloutPlatform {
             stream: LineStream::new("platform", address, KEEPALIVE_INTERVAL * MISSED_KEEPALIVES),
-            votes: Votes::new(address, vote_timeout),
+            votes: PendingVotes::new(address, vote_timeout),
             latest: None,
             retry_interval,
         }
--- a/crates/gateway/src/control_plane/votes.rs
+++ b/crates/gateway/src/control_plane/votes.rs
@@ -89,16 +89,16 @@
 }
 
 /// Votes that wait for a response, by connection.
-pub(super) struct Votes {
+pub(super) struct PendingVotes {
     address: SocketAddr,
     timeout: TimeDelta,
     pending: BTreeMap<ConnectionId, Vote>,
 }
 
-impl Votes {
+impl PendingVotes {
     /// Creates an empty set. Each vote waits for its response at most `timeout`.
-    pub(super) fn new(address: SocketAddr, timeout: TimeDelta) -> Votes {
-        Votes {
+    pub(super) fn new(address: SocketAddr, timeout: TimeDelta) -> PendingVotes {
+        PendingVotes {
             address,
             timeout,
             pending: BTreeMap::new(),
--- a/crates/gateway/src/downstream/idle_eviction.rs
+++ b/crates/gateway/src/downstream/idle_eviction.rs
@@ -112,7 +112,7 @@
         }
         self.resume_reading(context);
         if context.descriptors.available() > 0 {
-            self.resume(context);
+            self.resume_accepting(context);
         }
     }
 
--- a/crates/gateway/src/downstream/listener.rs
+++ b/crates/gateway/src/downstream/listener.rs
@@ -226,8 +226,8 @@
 
     /// Stops accepting until descriptors are available. Without the pause the event loop would spin on a listener that stays
     /// ready.
-    pub(crate) fn pause(&mut self, context: &Context) {
-        let Some(token) = self.listener.token.filter(|_| !self.is_paused()) else {
+    pub(crate) fn pause_accepting(&mut self, context: &Context) {
+        let Some(token) = self.listener.token.filter(|_| !self.is_accepting_paused()) else {
             return;
         };
         self.listener.state = match context.descriptors.available() {
@@ -240,7 +240,7 @@
     }
 
     /// Whether accepting is paused because of a descriptor shortage.
-    pub(crate) fn is_paused(&self) -> bool {
+    pub(crate) fn is_accepting_paused(&self) -> bool {
         self.listener.state != ListenerState::Accepting
     }
 
@@ -248,13 +248,13 @@
     pub(crate) fn resume_with_descriptor(&mut self, context: &Context) {
         let is_awaiting_descriptor = self.listener.state == ListenerState::AwaitingDescriptor;
         if is_awaiting_descriptor && context.descriptors.available() > 0 {
-            self.resume(context);
+            self.resume_accepting(context);
         }
     }
 
     /// Resumes accepting if it is paused.
-    pub(super) fn resume(&mut self, context: &Context) {
-        let Some(token) = self.listener.token.filter(|_| self.is_paused()) else {
+    pub(super) fn resume_accepting(&mut self, context: &Context) {
+        let Some(token) = self.listener.token.filter(|_| self.is_accepting_paused()) else {
             return;
         };
         self.listener.state = ListenerState::Accepting;
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -5,7 +5,7 @@
 /// Declares the counters in log order, each with its name in the log line.
 macro_rules! counters {
     ($($(#[$doc:meta])* $counter:ident => $name:literal,)*) => {
-        /// Something counted since the start of the process.
+        /// A counter, which starts at zero when the process starts.
         #[derive(Clone, Copy, Debug, PartialEq, Eq)]
         pub(crate) enum Counter {
             $($(#[$doc])* $counter,)*
--- a/crates/gateway/src/runtime/maintenance.rs
+++ b/crates/gateway/src/runtime/maintenance.rs
@@ -9,7 +9,7 @@
 impl Gateway {
     /// Closes what has been idle for too long, reopens streams that have ended, and schedules itself again.
     pub(super) fn run_maintenance(&mut self) {
-        if self.downstream.is_paused() && self.context.descriptors.available() == 0 {
+        if self.downstream.is_accepting_paused() && self.context.descriptors.available() == 0 {
             self.free_descriptor();
         }
         let context = &mut self.context;
@@ -32,7 +32,7 @@
     pub(super) fn accept_connections(&mut self) -> AcceptResult {
         let result = self.downstream.accept(&mut self.context);
         if result == AcceptResult::NoDescriptor && !self.free_descriptor() {
-            self.downstream.pause(&self.context);
+            self.downstream.pause_accepting(&self.context);
         }
         result
     }
