--- a/crates/gateway/src/dispatch/answers.rs
+++ b/crates/gateway/src/dispatch/answers.rs
@@ -130,7 +130,7 @@
         self.handle_multi_site_event(now, event);
     }
 
-    /// Drops a request whose client has disconnected, or which the other site has abandoned.
+    /// Finishes a request whose client has disconnected, or which the other site has abandoned.
     pub(super) fn handle_client_disconnected(&mut self, now: Timestamp, id: RequestId) {
         if !self.finish_request(id, RequestEnd::ClientGone, FlowOutcome::ClientDisconnected) {
             return;
--- a/crates/gateway/src/dispatch/dispatcher.rs
+++ b/crates/gateway/src/dispatch/dispatcher.rs
@@ -26,7 +26,7 @@
     pub(crate) requests: RequestTable,
     /// The most attempts per request.
     pub(crate) max_attempts: usize,
-    /// The granularity of the rollout platform's clock.
+    /// The granularity of the platform's clock.
     pub(crate) tick: TimeDelta,
     /// Logs this gateway's elimination votes.
     elimination_log: EliminationLog,
--- a/crates/gateway/src/dispatch/leases.rs
+++ b/crates/gateway/src/dispatch/leases.rs
@@ -18,7 +18,7 @@
     ///
     /// # Errors
     ///
-    /// The lease settings do not match the gateway's configuration.
+    /// A lease setting is invalid for this gateway's configuration.
     pub(crate) fn start_leases(
         &mut self,
         config: &GatewayConfig,
--- a/crates/gateway/src/dispatch/request_table.rs
+++ b/crates/gateway/src/dispatch/request_table.rs
@@ -28,7 +28,7 @@
 pub(crate) enum ServingSite {
     /// Not decided yet, or offered to the other site after a local rejection.
     Undecided,
-    /// This site.
+    /// This site, before any forwarding.
     Local,
     /// The other site.
     Other,
@@ -42,7 +42,7 @@
     pub(crate) class: ClassId,
     /// The affinity key, or `None` if the request carries none.
     pub(crate) key: Option<AffinityKey>,
-    /// Whether the client sent the request again.
+    /// Whether the client has sent this request before.
     pub(crate) is_client_retry: bool,
     /// When the dispatcher received the request.
     pub(crate) received_at: Timestamp,
@@ -87,7 +87,7 @@
     pub(crate) class: ClassId,
     /// The affinity key, or `None` if the request carries none.
     pub(crate) key: Option<AffinityKey>,
-    /// Whether the client sent the request again.
+    /// Whether the client has sent this request before.
     pub(crate) is_client_retry: bool,
 }
 
--- a/crates/gateway/src/dispatch/rollout.rs
+++ b/crates/gateway/src/dispatch/rollout.rs
@@ -139,7 +139,8 @@
         }
     }
 
-    /// Handles readiness of a command's connection. Checks the lease only when the command can be written, so that it is current.
+    /// Handles readiness of a command's connection. Checks the lease only when the command can be
+    /// written, since the lease may expire before that.
     pub(crate) fn handle_rollout_command_readiness(
         &mut self,
         connection_id: ConnectionId,
--- a/crates/gateway/src/upstream/exchange.rs
+++ b/crates/gateway/src/upstream/exchange.rs
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Writes or reads the connection according to its readiness.
+    /// Writes to and reads from a connection, as its readiness allows.
     pub(crate) fn handle_readiness(
         &mut self,
         context: &mut Context,
--- a/crates/gateway/src/upstream/pool.rs
+++ b/crates/gateway/src/upstream/pool.rs
@@ -82,7 +82,7 @@
         Some(self.endpoints.get_mut(&endpoint)?.idle.remove(index))
     }
 
-    /// Assigns an exchange to an idle connection. Closes expired and disconnected ones on the way. Returns `None` if no idle
+    /// Assigns an exchange to an idle connection. Closes unusable connections that it finds. Returns `None` if no idle
     /// connection is usable.
     pub(super) fn reuse_connection(
         &mut self,
@@ -114,7 +114,7 @@
         None
     }
 
-    /// Closes connections that have been idle for longer than the idle timeout.
+    /// Closes connections that have been idle for so long that their endpoints may close them soon.
     pub(crate) fn close_expired(&mut self, context: &mut Context) {
         let now = context.now();
         let is_expired = |pooled: &PooledConnection| {
