--- a/crates/fault-injection/src/elimination/rules/mod.rs
+++ b/crates/fault-injection/src/elimination/rules/mod.rs
@@ -66,7 +66,7 @@
         for (group, weight) in weights.iter().enumerate() {
             votes.record(&context, Arm::Canary, PeerId(group), *weight);
         }
-        votes.eliminate(&context, Arm::Canary, 1.0)
+        votes.is_eliminated(&context, Arm::Canary, 1.0)
     }
 }
 
