--- a/crates/gateway/src/cli/arguments.rs
+++ b/crates/gateway/src/cli/arguments.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command line arguments. The doc comments are the help texts.
 
 use std::path::PathBuf;
 use std::str::FromStr;
@@ -7,95 +7,98 @@
 use harrierdock_event_loop::logging::{Format, Level};
 use thiserror::Error;
 
-/// The gateway that routes requests and votes on staged releases.
+/// Gateway that routes requests to endpoints and votes on staged rollouts of new builds.
 #[derive(Bpaf, Clone, Debug)]
 #[bpaf(options, generate(command_line))]
 pub(crate) enum Command {
-    /// Serves requests until it is told to end (SIGTERM, SIGINT).
+    /// Serves requests until SIGTERM or SIGINT. SIGHUP reloads the configuration.
     #[bpaf(command)]
     Serve {
-        /// The least that is logged: error, warn, info, debug or trace; or off
+        /// Lowest level to log: error, warn, info, debug, trace or off
         #[bpaf(long("log"), argument("LEVEL"), fallback(Level::INFO))]
         log: Level,
-        /// How log lines are written: plain, or json (one object a line)
+        /// Format of log lines: plain, or json (one object per line)
         #[bpaf(long("log-form"), argument("FORM"), fallback(Format::Plain))]
         format: Format,
-        /// The configuration, instead of the file that LB_CONFIG names
+        /// Configuration file; overrides LB_CONFIG
         #[bpaf(long("config"), argument("FILE"))]
         config: Option<PathBuf>,
-        /// What this installation has beyond the configuration: a JSON file of the form that `schema` prints
+        /// Extension file: JSON as described by the output of `schema`
         #[bpaf(long("with"), argument("FILE"))]
         extension: Option<PathBuf>,
     },
-    /// Reads a configuration and says what it holds, or in one line what is wrong with it.
+    /// Checks a configuration and prints a summary of it, or an error in one line.
     #[bpaf(command)]
     Check {
-        /// The configuration, instead of the file that LB_CONFIG names
+        /// Configuration file; overrides LB_CONFIG
         #[bpaf(long("config"), argument("FILE"))]
         config: Option<PathBuf>,
-        /// The file beside it that `serve --with` would read
+        /// Extension file, as for `serve --with`
         #[bpaf(long("with"), argument("FILE"))]
         extension: Option<PathBuf>,
     },
-    /// Prints the JSON schema of the file that `--with` names.
+    /// Prints the JSON schema of the extension file (`--with`).
     #[bpaf(command)]
     Schema,
-    /// Makes and shows the keys of links between sites.
+    /// Creates and shows keys and certificates for connections between sites.
     #[bpaf(command)]
     Keys(#[bpaf(external(keys_command))] KeysCommand),
-    /// Prints files of exported flows by release, stage and request class, and draws them.
+    /// Summarizes exported flows by build, rollout stage and request class.
     #[bpaf(command)]
     Flows {
-        /// Where a chart is drawn, as SVG
+        /// Also draws the flows as an SVG chart in this file
         #[bpaf(long("chart"), argument("FILE"))]
         chart: Option<PathBuf>,
-        /// IPFIX files, the oldest first, or a collector's tables (.parquet)
-        #[bpaf(positional("FILE"), some("no file is named"))]
+        /// IPFIX files, oldest first, or tables of a collector (.parquet)
+        #[bpaf(positional("FILE"), some("at least one FILE is required"))]
         files: Vec<PathBuf>,
     },
-    /// Says a word to a running gateway: drain, resume or status. It answers in one line of JSON.
+    /// Sends a command to a running gateway and prints its response, one line of JSON.
     #[bpaf(command)]
     Site {
-        /// The gateway's control socket, as `sites.control` names it
+        /// Control socket of the gateway, as set in `sites.control`
         #[bpaf(long("control"), argument("SOCKET"))]
         control: PathBuf,
-        /// drain: hand this site's requests over and take none; resume: end that; status: how things stand
+        /// drain: forward all requests and accept none; resume: end the drain; status: show the state
         #[bpaf(positional("WORD"))]
         command: SiteCommand,
     },
-    /// Prints the version.
+    /// Prints the version of this program.
     #[bpaf(command)]
     Version,
 }
 
-/// What `keys` does.
+/// Subcommands of `keys`.
 #[derive(Bpaf, Clone, Debug)]
 pub(crate) enum KeysCommand {
-    /// Makes an authority that both sites believe: FOLDER/authority.pem and FOLDER/authority.key.
+    /// Creates a certificate authority for both sites: FOLDER/authority.pem and FOLDER/authority.key.
     #[bpaf(command)]
     Authority {
-        /// Its name
+        /// Name of the authority
         #[bpaf(long("name"), argument("NAME"), fallback("harrierdock authority".into()))]
         name: String,
-        /// How long it counts
+        /// Validity of the certificate in days
         #[bpaf(long("days"), argument("DAYS"), fallback(3650))]
         days: u32,
         #[bpaf(positional("FOLDER"))]
         folder: PathBuf,
     },
-    /// Issues certificates by the folder's authority: FOLDER/SITE-GATEWAY.pem and .key for each gateway.
+    /// Issues a certificate for each gateway, signed by the authority in FOLDER: FOLDER/SITE-GATEWAY.pem and .key.
     #[bpaf(command)]
     Issue {
-        /// How long they count
+        /// Validity of the certificates in days
         #[bpaf(long("days"), argument("DAYS"), fallback(90))]
         days: u32,
         #[bpaf(positional("FOLDER"))]
         folder: PathBuf,
-        /// Whom they are for
-        #[bpaf(positional("SITE/GATEWAY"), some("no gateway is named"))]
+        /// Gateways to issue certificates for
+        #[bpaf(
+            positional("SITE/GATEWAY"),
+            some("at least one SITE/GATEWAY is required")
+        )]
         gateways: Vec<String>,
     },
-    /// Says what the certificates in a PEM file hold.
+    /// Prints the contents of the certificates in a PEM file.
     #[bpaf(command)]
     Show {
         #[bpaf(positional("FILE"))]
@@ -103,26 +106,26 @@
     },
 }
 
-/// What an operator may have a gateway do.
+/// A command that an operator sends to the control socket.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum SiteCommand {
-    /// Forward this site's requests and accept none.
+    /// Forward the requests of this site, and accept none from the other site.
     Drain,
-    /// End that.
+    /// End the manual drain.
     Resume,
-    /// Report how things stand.
+    /// Report the state of forwarding between the sites.
     Status,
 }
 
-/// A command has another name.
+/// The name does not belong to a site command.
 #[derive(Debug, Error)]
-#[error("'{name}' is none of drain, resume, status")]
+#[error("'{name}' is not one of drain, resume, status")]
 pub(crate) struct UnknownSiteCommand {
     name: String,
 }
 
 impl SiteCommand {
-    /// Its name, on the command line and on the control socket.
+    /// Returns the name used on the command line and on the control socket.
     pub(crate) fn as_str(self) -> &'static str {
         match self {
             SiteCommand::Drain => "drain",
--- a/crates/gateway/src/cli/keys.rs
+++ b/crates/gateway/src/cli/keys.rs
@@ -1,4 +1,4 @@
-//! `harrierdock keys`: a private authority and the certificates of gateways, as files.
+//! `harrierdock keys`: files of a private certificate authority and of gateway certificates.
 
 use std::fs::{self, OpenOptions};
 use std::io::{self, Write};
@@ -13,42 +13,42 @@
 };
 use thiserror::Error;
 
-/// Certificates are valid from a little before now, so that sites whose clocks differ accept them at once.
+/// Certificates are valid from this long before their creation, so that a site with a slower clock accepts them at once.
 const CLOCK_TOLERANCE: Duration = Duration::from_secs(3600);
 const SECONDS_PER_DAY: u64 = 86_400;
 const AUTHORITY_NAME: &str = "authority";
 const CERTIFICATE_EXTENSION: &str = "pem";
 const KEY_EXTENSION: &str = "key";
-/// Only its owner may read a key.
+/// Only the owner may read a key file.
 const KEY_MODE: u32 = 0o600;
 const CERTIFICATE_MODE: u32 = 0o644;
 
-/// Why keys cannot be made or shown.
+/// A `keys` command failed.
 #[derive(Debug, Error)]
 pub(crate) enum KeysError {
     /// A file cannot be read or written.
     #[error("{}: {source}", path.display())]
     File {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// A certificate cannot be made.
+    /// A certificate cannot be created.
     #[error(transparent)]
     Authority(#[from] AuthorityError),
-    /// A gateway's name is not of its form.
+    /// A gateway name is not of the form `SITE/GATEWAY`.
     #[error("'{name}' is not SITE/GATEWAY")]
-    NotAGateway {
-        /// The name.
+    InvalidGatewayName {
+        /// Name given on the command line.
         name: String,
     },
-    /// Certificates cannot be read.
+    /// A file holds no readable certificates.
     #[error("{}: {source}", path.display())]
     Certificates {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why.
+        /// Reason reported by the certificate parser.
         source: CertificateError,
     },
 }
@@ -60,7 +60,7 @@
     }
 }
 
-fn valid_for(days: u32) -> Validity {
+fn validity_from_now(days: u32) -> Validity {
     let now = SystemTime::now();
     Validity {
         from: now - CLOCK_TOLERANCE,
@@ -68,8 +68,8 @@
     }
 }
 
-/// Writes a new file. One that exists already stays as it is, and is an error.
-fn write_new(path: &Path, text: &str, mode: u32) -> Result<(), KeysError> {
+/// Creates a file. Fails without changing it if it exists.
+fn write_new_file(path: &Path, text: &str, mode: u32) -> Result<(), KeysError> {
     let mut options = OpenOptions::new();
     options.write(true).create_new(true).mode(mode);
     let mut file = options.open(path).map_err(file_error(path))?;
@@ -83,9 +83,9 @@
 ) -> Result<Vec<PathBuf>, KeysError> {
     let certificate_path = folder.join(format!("{name}.{CERTIFICATE_EXTENSION}"));
     let key_path = folder.join(format!("{name}.{KEY_EXTENSION}"));
-    // The key first: without it the certificate is of no use.
-    write_new(&key_path, &pair.key, KEY_MODE)?;
-    write_new(&certificate_path, &pair.certificate, CERTIFICATE_MODE)?;
+    // The key is written first, as the certificate is of no use without it.
+    write_new_file(&key_path, &pair.key, KEY_MODE)?;
+    write_new_file(&certificate_path, &pair.certificate, CERTIFICATE_MODE)?;
     Ok(vec![certificate_path, key_path])
 }
 
@@ -97,24 +97,28 @@
     lines.join("\n")
 }
 
-/// Makes an authority in a folder. Returns the files written, a line each.
+/// Creates an authority in `folder`. Returns the paths of the new files, one per line.
 ///
 /// # Errors
 ///
 /// A file exists already or cannot be written.
-pub(crate) fn make_authority(folder: &Path, name: &str, days: u32) -> Result<String, KeysError> {
+pub(crate) fn create_authority_files(
+    folder: &Path,
+    name: &str,
+    days: u32,
+) -> Result<String, KeysError> {
     fs::create_dir_all(folder).map_err(file_error(folder))?;
-    let pair = create_authority(name, valid_for(days))?;
+    let pair = create_authority(name, validity_from_now(days))?;
     Ok(path_lines(&write_pair(folder, AUTHORITY_NAME, &pair)?))
 }
 
-/// Issues a certificate to each gateway, named `SITE/GATEWAY`, by the folder's authority. Returns the files written, a line
-/// each.
+/// Issues a certificate for each gateway (`SITE/GATEWAY`), signed by the authority in `folder`. Returns the paths of the new
+/// files, one per line.
 ///
 /// # Errors
 ///
-/// There is no authority, a name is not of its form, or a file exists already or cannot be written.
-pub(crate) fn issue_all(
+/// The authority cannot be read, a gateway name is invalid, or a file exists already or cannot be written.
+pub(crate) fn issue_gateway_certificates(
     folder: &Path,
     gateways: &[String],
     days: u32,
@@ -123,7 +127,7 @@
         certificate: read_authority(folder, CERTIFICATE_EXTENSION)?,
         key: read_authority(folder, KEY_EXTENSION)?,
     };
-    let validity = valid_for(days);
+    let validity = validity_from_now(days);
     let mut written = Vec::new();
     for text in gateways {
         let gateway = parse_gateway(text)?;
@@ -145,16 +149,16 @@
             site: site.into(),
             gateway: gateway.into(),
         }),
-        None => Err(KeysError::NotAGateway { name: text.into() }),
+        None => Err(KeysError::InvalidGatewayName { name: text.into() }),
     }
 }
 
-/// Describes the certificates in a file.
+/// Describes the certificates in a PEM file.
 ///
 /// # Errors
 ///
-/// The file cannot be read, or holds no certificates.
-pub(crate) fn show_file(path: &Path) -> Result<String, KeysError> {
+/// The file cannot be read, or contains no certificates.
+pub(crate) fn describe_file(path: &Path) -> Result<String, KeysError> {
     let pem = fs::read(path).map_err(file_error(path))?;
     let text = describe_certificates(&pem, SystemTime::now()).map_err(|source| {
         KeysError::Certificates {
--- a/crates/gateway/src/cli/mod.rs
+++ b/crates/gateway/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! The command line and `harrierdock keys`.
+//! Command line arguments and the `harrierdock keys` command.
 
 pub(crate) mod arguments;
 pub(crate) mod keys;
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -1,5 +1,5 @@
-//! `harrierdock`: a gateway that routes requests to endpoints and votes on the rollout of their new versions. `runtime` holds
-//! its parts and its event loop; `dispatch` alone speaks with the policy.
+//! `harrierdock`: a gateway that routes requests to endpoints and votes on the rollout of new builds. `runtime` holds the
+//! parts of the gateway and its event loop; only `dispatch` calls the policy.
 
 #![warn(missing_docs, unreachable_pub)]
 
@@ -30,7 +30,7 @@
 use cli::arguments::{command_line, Command, KeysCommand};
 use config::gateway::GatewayConfig;
 
-/// The exit code of every failure.
+/// Exit code of a failed command. Invalid arguments exit with 1, which bpaf chooses.
 const FAILURE: u8 = 2;
 
 fn print(text: &str) -> Result<(), Box<dyn Error>> {
@@ -70,14 +70,16 @@
 fn run_keys(command: KeysCommand) -> Result<(), Box<dyn Error>> {
     match command {
         KeysCommand::Authority { name, days, folder } => {
-            print(&cli::keys::make_authority(&folder, &name, days)?)
+            print(&cli::keys::create_authority_files(&folder, &name, days)?)
         }
         KeysCommand::Issue {
             days,
             folder,
             gateways,
-        } => print(&cli::keys::issue_all(&folder, &gateways, days)?),
-        KeysCommand::Show { file } => print(&cli::keys::show_file(&file)?),
+        } => print(&cli::keys::issue_gateway_certificates(
+            &folder, &gateways, days,
+        )?),
+        KeysCommand::Show { file } => print(&cli::keys::describe_file(&file)?),
     }
 }
 
@@ -98,7 +100,7 @@
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             let message = e.to_string().replace('\n', " ");
-            // If nobody reads standard error, the exit code still says it.
+            // If standard error is closed, the exit code still reports the failure.
             let _ = write_line(io::stderr(), &format!("harrierdock: {message}"));
             ExitCode::from(FAILURE)
         }
