--- a/crates/gateway/src/config/environment.rs
+++ b/crates/gateway/src/config/environment.rs
@@ -1,4 +1,4 @@
-//! The variables of the environment that stand beside the configuration file.
+//! Environment variables that set fields of the configuration.
 
 use std::net::SocketAddr;
 
@@ -6,15 +6,15 @@
 
 use super::error::{ConfigError, FileError};
 
-/// Gives this gateway's name.
+/// Name of this gateway.
 pub(super) const NAME_VARIABLE: &str = "LB_NAME";
-/// Gives the address to listen on.
+/// Address to listen on for clients.
 pub(super) const LISTEN_VARIABLE: &str = "LB_LISTEN";
-/// Gives the address of discovery.
+/// Address of discovery.
 pub(super) const DISCOVERY_VARIABLE: &str = "LB_DISCOVERY";
 const LISTEN_FIELD: &str = "listen";
 
-/// A field that a variable of the environment may give.
+/// A configuration field and the environment variable that sets it.
 struct EnvironmentField {
     variable: &'static str,
     field: &'static str,
@@ -35,18 +35,18 @@
     },
 ];
 
-/// Whether the environment or the file comes first.
+/// Which source wins if both the environment and the file set a field.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum Precedence {
     Environment,
     File,
 }
 
-/// The address to listen on, if the environment names it. It is known before any file is read.
+/// Returns the address to listen on if the environment sets it. It is available before the configuration file is read.
 ///
 /// # Errors
 ///
-/// The variable holds no address.
+/// The variable does not contain a socket address.
 pub(crate) fn listen_address() -> Result<Option<SocketAddr>, ConfigError> {
     let Ok(text) = std::env::var(LISTEN_VARIABLE) else {
         return Ok(None);
@@ -57,25 +57,25 @@
     }
 }
 
-/// Checks that a file names no other address than the one that is listened on.
+/// Checks that `listen`, if the file sets it, equals the address that is already bound.
 pub(super) fn check_listen_address(
     fields: &Map<String, Value>,
     listening_on: SocketAddr,
 ) -> Result<(), FileError> {
-    let Some(named) = fields.get(LISTEN_FIELD).and_then(Value::as_str) else {
+    let Some(in_file) = fields.get(LISTEN_FIELD).and_then(Value::as_str) else {
         return Ok(());
     };
-    if named.parse() == Ok(listening_on) {
+    if in_file.parse() == Ok(listening_on) {
         return Ok(());
     }
     Err(FileError::ListenDiffers {
-        named: named.into(),
+        in_file: in_file.into(),
         listening_on,
     })
 }
 
-/// Sets the fields that the environment gives.
-pub(super) fn apply(fields: &mut Map<String, Value>, precedence: Precedence) {
+/// Sets the fields for which the environment has a value.
+pub(super) fn set_fields(fields: &mut Map<String, Value>, precedence: Precedence) {
     for EnvironmentField { variable, field } in ENVIRONMENT_FIELDS {
         let Ok(value) = std::env::var(variable) else {
             continue;
--- a/crates/gateway/src/config/error.rs
+++ b/crates/gateway/src/config/error.rs
@@ -1,5 +1,4 @@
-//! What is refused in the configuration and in the extension file. Each message is one line that names the file, the field and
-//! the reason.
+//! Errors in the configuration and in the extension file. Each message is one line with the file, the field and the reason.
 
 use std::io;
 use std::net::{AddrParseError, SocketAddr};
@@ -13,45 +12,45 @@
 
 use super::lease::LeaseConfigError;
 
-/// Why the configuration is refused.
+/// The configuration is invalid.
 #[derive(Debug, Error)]
 pub(crate) enum ConfigError {
-    /// No file is named.
+    /// Neither the command line nor the environment names a file.
     #[error("no configuration: LB_CONFIG is not set")]
     NoPath,
-    /// The environment's address to listen on is none.
+    /// `LB_LISTEN` does not contain a socket address.
     #[error("LB_LISTEN {text}: {source}")]
     ListenVariable {
-        /// What it holds.
+        /// Value of the variable.
         text: String,
-        /// Why.
+        /// Parse error.
         source: AddrParseError,
     },
-    /// A file is refused as a whole.
+    /// A file cannot be read or parsed.
     #[error("{}: {source}", path.display())]
     File {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why.
+        /// Read or parse error.
         source: FileError,
     },
-    /// The platform's settings are refused.
+    /// The policy settings are invalid.
     #[error("{}: settings.{source}", path.display())]
     Settings {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why.
+        /// Field and reason.
         source: Box<SettingsError>,
     },
-    /// The extension file does not fit.
+    /// The extension file is invalid.
     #[error("{}: {source}", path.display())]
     ExtensionFile {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why.
+        /// Field and reason.
         source: Box<ExtensionError>,
     },
-    /// The extension does not fit.
+    /// The extension is invalid, and its path is unknown.
     #[error(transparent)]
     Extension(Box<ExtensionError>),
 }
@@ -62,80 +61,80 @@
     }
 }
 
-/// Why a file is refused as a whole.
+/// A file cannot be read or parsed.
 #[derive(Debug, Error)]
 pub(crate) enum FileError {
-    /// It cannot be read.
+    /// The file cannot be read.
     #[error("{0}")]
     Unreadable(#[from] io::Error),
-    /// It is not JSON.
+    /// The file is not valid JSON.
     #[error("{0}")]
     NotJson(#[from] serde_json::Error),
-    /// It is JSON, but not an object.
+    /// The top-level JSON value is not an object.
     #[error("not an object")]
     NotAnObject,
-    /// A field is missing, unknown, or not of its type.
+    /// A field is missing, unknown, or has the wrong type.
     #[error("{0}")]
     Field(#[from] serde_path_to_error::Error<serde_json::Error>),
-    /// It names another address to listen on than the environment.
-    #[error("listen: {named} differs from LB_LISTEN {listening_on}")]
+    /// The file and the environment set different addresses to listen on.
+    #[error("listen: {in_file} differs from LB_LISTEN {listening_on}")]
     ListenDiffers {
-        /// The file's.
-        named: String,
-        /// The environment's.
+        /// Address in the file.
+        in_file: String,
+        /// Address in `LB_LISTEN`, already bound.
         listening_on: SocketAddr,
     },
 }
 
-/// Why the extension is refused beside the configuration.
+/// The extension is invalid or does not match the configuration.
 #[derive(Debug, Error)]
 pub(crate) enum ExtensionError {
-    /// The lease settings do not fit.
+    /// The lease settings are invalid.
     #[error(transparent)]
     Lease(#[from] LeaseConfigError),
-    /// The flow export settings do not fit.
+    /// The flow export settings are invalid.
     #[error(transparent)]
     Flows(#[from] FlowSettingsError),
-    /// Key files cannot be used.
+    /// A key file cannot be read or parsed.
     #[error(transparent)]
     Keys(#[from] KeyFileError),
-    /// The site settings do not fit.
+    /// The site settings are invalid.
     #[error("sites.{field}: {source}")]
     Site {
-        /// The field.
+        /// Path of the field below `sites`.
         field: String,
-        /// Why.
+        /// Reason.
         source: SiteError,
     },
 }
 
-/// Why a field of the site settings is refused.
+/// A field of the site settings is invalid.
 #[derive(Debug, Error)]
 pub(crate) enum SiteError {
-    /// A name is not one that a certificate can hold.
+    /// A name cannot be stored in a certificate.
     #[error("{0}")]
     Label(#[from] LabelError),
-    /// Both sites have one name.
+    /// Both sites have the same name.
     #[error("'{site}' is this site's own name")]
     OwnSite {
-        /// The name.
+        /// Name of both sites.
         site: String,
     },
-    /// No gateway of the other site is named.
-    #[error("names none, and one at least is needed to begin")]
+    /// The list of gateways of the other site is empty.
+    #[error("must contain at least one gateway")]
     NoGateways,
-    /// A request class is not configured.
-    #[error("'{class}' is no product of the configuration")]
+    /// The configuration has no request class of this name.
+    #[error("'{class}' is not a request class of the configuration")]
     UnknownClass {
-        /// Its name.
+        /// Name in the extension file.
         class: String,
     },
-    /// The certificate is another gateway's.
-    #[error("names {named}, not {own}")]
+    /// The certificate was issued to another gateway.
+    #[error("the certificate is for {named}, not for {own}")]
     ForeignCertificate {
-        /// Whom the certificate names.
+        /// Gateway named in the certificate.
         named: GatewayName,
-        /// This gateway.
+        /// Name of this gateway in the settings.
         own: GatewayName,
     },
 }
--- a/crates/gateway/src/config/extension.rs
+++ b/crates/gateway/src/config/extension.rs
@@ -1,4 +1,4 @@
-//! The extension file that `--with` names: what an installation has beyond the platform's configuration.
+//! The extension file (`--with`): settings beyond the platform's configuration.
 
 use std::path::{Path, PathBuf};
 
@@ -10,38 +10,33 @@
 use super::lease::{FleetContext, LeaseConfig, LeaseConfigError};
 use super::sites::SiteSettings;
 
-/// The transport's socket, the control socket and its connections.
+/// Descriptors for the transport's socket, the control socket and its connections.
 const SITE_DESCRIPTORS: usize = 6;
-/// A rollout command, and one before it that is being closed.
+/// Descriptors for the connection of a rollout command and for the previous one, which may still be closing.
 const LEASE_DESCRIPTORS: usize = 2;
 
-/// What an installation has beyond the platform's configuration. All of it is optional.
+/// Settings beyond the platform's configuration. All fields are optional; `{}` has the same effect as no file.
 #[derive(Clone, Debug, Default, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, rename = "With")]
-#[schemars(
-    description = "What an installation has beyond the platform's configuration. Without the file, or with nothing in it, the\ngateway is what it is without."
-)]
 pub(crate) struct ExtensionConfig {
     /// Another site that requests may be forwarded to.
-    #[schemars(description = "Another site that requests may cross to.")]
     pub(crate) sites: Option<SiteSettings>,
-    /// Flow export.
+    /// Export of flow records.
     pub(crate) flows: Option<FlowExportSettings>,
-    /// Leases that one gateway of a fleet holds at a time.
+    /// Leases, each held by one gateway at a time.
     #[serde(rename = "fleet")]
-    #[schemars(description = "Duties that one gateway of a fleet holds at a time.")]
     pub(crate) leases: Option<LeaseConfig>,
-    /// The folder that paths in the file are relative to.
+    /// Folder of the file, the base of relative paths in it.
     #[serde(skip)]
     folder: PathBuf,
 }
 
 impl ExtensionConfig {
-    /// Reads the file, if one is named.
+    /// Reads the file at `path`. Without a path, returns an empty configuration.
     ///
     /// # Errors
     ///
-    /// The file cannot be read, or a field is not of its form.
+    /// The file cannot be read or parsed.
     pub(crate) fn read(path: Option<&Path>) -> Result<ExtensionConfig, ConfigError> {
         let Some(path) = path else {
             return Ok(ExtensionConfig::default());
@@ -57,11 +52,11 @@
         })
     }
 
-    /// Checks the flow export and site settings beside the configuration's name of this gateway and its request classes.
+    /// Checks the flow export and site settings against the name of this gateway and the request classes in the configuration.
     ///
     /// # Errors
     ///
-    /// A field does not fit, or key files cannot be used.
+    /// A field is invalid, or a key file cannot be read or parsed.
     pub(crate) fn check(&self, name: &str, classes: &[&str]) -> Result<(), ExtensionError> {
         if let Some(flows) = &self.flows {
             flows.validate()?;
@@ -73,11 +68,11 @@
         }
     }
 
-    /// Checks the flow export settings alone.
+    /// Checks the flow export settings without their key files.
     ///
     /// # Errors
     ///
-    /// A field does not fit.
+    /// A field is invalid.
     pub(crate) fn check_flows(&self) -> Result<(), ExtensionError> {
         if let Some(flows) = &self.flows {
             flows.validate()?;
@@ -85,11 +80,11 @@
         Ok(())
     }
 
-    /// Checks the lease settings beside the configuration.
+    /// Checks the lease settings against the configuration.
     ///
     /// # Errors
     ///
-    /// A field does not fit.
+    /// A field is invalid or does not match the configuration.
     pub(crate) fn check_leases(&self, fleet: &FleetContext<'_>) -> Result<(), LeaseConfigError> {
         match &self.leases {
             Some(leases) => leases.parameters(fleet).map(|_| ()),
@@ -97,8 +92,8 @@
         }
     }
 
-    /// How many descriptors are to be set aside for what the file configures.
-    pub(crate) fn descriptors(&self) -> usize {
+    /// Counts the descriptors to reserve for the configured features.
+    pub(crate) fn reserved_descriptors(&self) -> usize {
         let sites = self.sites.as_ref().map_or(0, |_| SITE_DESCRIPTORS);
         let flows = self
             .flows
@@ -108,13 +103,13 @@
         sites + flows + leases
     }
 
-    /// The folder that paths in the file are relative to.
+    /// Returns the folder of the file, the base of relative paths in it.
     pub(crate) fn folder(&self) -> &Path {
         &self.folder
     }
 
-    /// A path in the file.
-    pub(crate) fn path(&self, path: &Path) -> PathBuf {
+    /// Resolves a path in the file against the folder of the file.
+    pub(crate) fn resolve_path(&self, path: &Path) -> PathBuf {
         self.folder.join(path)
     }
 }
@@ -127,7 +122,7 @@
     Ok(extension)
 }
 
-/// The file's schema (JSON Schema, draft 2020-12).
+/// Returns the JSON schema of the extension file (draft 2020-12).
 pub(crate) fn schema() -> String {
     serde_json::to_string_pretty(&schemars::schema_for!(ExtensionConfig)).unwrap_or_default()
 }
--- a/crates/gateway/src/config/gateway.rs
+++ b/crates/gateway/src/config/gateway.rs
@@ -1,4 +1,4 @@
-//! The platform's configuration of a gateway, read at its start and again at a reload, and the environment beside it.
+//! The platform's configuration of a gateway, read from its file and from the environment at startup and at a reload.
 
 use std::net::{AddrParseError, SocketAddr};
 use std::path::{Path, PathBuf};
@@ -18,61 +18,61 @@
 const PATH_VARIABLE: &str = "LB_CONFIG";
 const HEXADECIMAL: u32 = 16;
 
-/// The configuration of a gateway.
+/// The configuration of a gateway, as the platform writes it.
 #[derive(Deserialize)]
 #[serde(rename = "Told")]
 pub(crate) struct GatewayConfig {
-    /// The file it was read from.
+    /// Path of the configuration file.
     #[serde(skip)]
     pub(crate) path: PathBuf,
-    /// This gateway's name.
+    /// Name of this gateway, used in log lines and in the extension file.
     #[serde(default)]
     pub(crate) name: String,
-    /// Where clients are served.
+    /// Address to listen on for clients.
     pub(crate) listen: SocketAddr,
-    /// The address of discovery.
+    /// Address of discovery.
     pub(crate) discovery: SocketAddr,
     #[serde(default)]
     seed: String,
-    /// The limits of the process.
+    /// Memory and descriptor limits of the process.
     #[serde(default)]
     pub(crate) limits: ProcessLimits,
-    /// Where peers are heard, if there are any.
+    /// Address of the gossip socket (UDP); `None` disables gossip.
     #[serde(rename = "peer_listen")]
     pub(crate) gossip_listen: Option<SocketAddr>,
-    /// The addresses of all gateways of the fleet, by their `PeerId`.
+    /// Gossip addresses of all gateways, this one included, indexed by `PeerId`.
     #[serde(default)]
     pub(crate) peers: Vec<SocketAddr>,
-    /// Where a datagram reaches all peers.
+    /// Address at which one datagram reaches all peers.
     #[serde(rename = "peers_all")]
     pub(crate) broadcast: Option<SocketAddr>,
-    /// The rollout platform, if there is one.
+    /// Rollout platform; `None` if there is none.
     pub(crate) rollouts: Option<RolloutPlatformConfig>,
-    /// The endpoint list that was kept from an earlier start.
+    /// Cached endpoint list from an earlier run.
     #[serde(default, rename = "known")]
     pub(crate) cached_list: EndpointListMessage,
     settings: Value,
-    /// The policy's parameters.
+    /// Parameters of the policy, parsed from `settings`.
     #[serde(skip)]
     pub(crate) parameters: Parameters,
-    /// The names that the ids of the parameters stand for.
+    /// Names of the ids in `parameters`.
     #[serde(skip)]
     pub(crate) names: Names,
 }
 
-/// The limits of the process.
+/// Memory and descriptor limits of the process.
 #[derive(Clone, Deserialize)]
 #[serde(default, rename = "LimitsTold")]
 pub(crate) struct ProcessLimits {
-    /// Memory in megabytes.
+    /// Memory limit in megabytes.
     pub(crate) memory_mb: usize,
-    /// File descriptors.
+    /// Maximum number of open file descriptors.
     #[serde(rename = "sockets")]
     pub(crate) descriptors: usize,
 }
 
 impl Default for ProcessLimits {
-    /// The least that the platform grants.
+    /// The lowest limits that the platform grants.
     fn default() -> ProcessLimits {
         ProcessLimits {
             memory_mb: 192,
@@ -81,49 +81,49 @@
     }
 }
 
-/// Where the rollout platform is, and what it said last.
+/// Address of the rollout platform and its last known rollout state.
 #[derive(Deserialize)]
 #[serde(rename = "RolloutsTold")]
 pub(crate) struct RolloutPlatformConfig {
-    /// Its address.
+    /// Address of the HTTP interface.
     pub(crate) address: SocketAddr,
-    /// The state of the newest rollout, as far as it is known at the start.
+    /// State of the newest rollout; `None` if it is unknown at startup.
     #[serde(rename = "news")]
     pub(crate) state: Option<RolloutMessage>,
 }
 
 impl GatewayConfig {
-    /// Reads the configuration at `path`, or else at the path that `LB_CONFIG` names. Variables of the environment come before
+    /// Reads the configuration file at `path`, or at the path in `LB_CONFIG` if `path` is `None`. Environment variables override
     /// the file.
     ///
     /// # Errors
     ///
-    /// The file cannot be read, or a field is refused.
+    /// The file cannot be read, or a field is invalid.
     pub(crate) fn read(path: Option<PathBuf>) -> Result<GatewayConfig, ConfigError> {
-        let path = named_path(path)?;
+        let path = configuration_path(path)?;
         GatewayConfig::read_file(&path, Precedence::Environment, None)
     }
 
-    /// Reads the configuration of a gateway that starts, as `read` does. If it listens already, the file may name no other
-    /// address.
+    /// Reads the configuration at startup, as `read` does. If the gateway already listens on an address, the file must not set a
+    /// different one.
     ///
     /// # Errors
     ///
-    /// As in `read`, or the file's address differs.
+    /// As in `read`, or the address in the file differs.
     pub(crate) fn read_at_start(
         path: Option<PathBuf>,
         listening_on: Option<SocketAddr>,
     ) -> Result<GatewayConfig, ConfigError> {
-        let path = named_path(path)?;
+        let path = configuration_path(path)?;
         GatewayConfig::read_file(&path, Precedence::Environment, listening_on)
     }
 
-    /// Reads the file again. The environment cannot have changed since the start, so the file comes before it now.
+    /// Reads the file at a reload. The file overrides the environment, which cannot have changed since startup.
     ///
     /// # Errors
     ///
     /// As in `read`.
-    pub(crate) fn read_again(path: &Path) -> Result<GatewayConfig, ConfigError> {
+    pub(crate) fn read_at_reload(path: &Path) -> Result<GatewayConfig, ConfigError> {
         GatewayConfig::read_file(path, Precedence::File, None)
     }
 
@@ -149,7 +149,7 @@
         })
     }
 
-    /// This configuration with the fields that variables of the environment give.
+    /// Overrides fields with the values of environment variables.
     fn with_environment(self) -> Result<GatewayConfig, AddrParseError> {
         let address = |variable: &str, in_file: SocketAddr| match std::env::var(variable) {
             Ok(text) => text.parse(),
@@ -163,17 +163,17 @@
         })
     }
 
-    /// The seed as a number. One that is not hexadecimal is hashed.
+    /// Returns the seed of the random number generators. A seed that is not a hexadecimal number is hashed.
     pub(crate) fn seed(&self) -> u64 {
         u64::from_str_radix(&self.seed, HEXADECIMAL)
             .unwrap_or_else(|_| harrierdock_config::fnv1a(&self.seed))
     }
 
-    /// What the configuration and the extension file hold, a line each.
+    /// Summarizes the configuration and the extension file, one line for each of their parts.
     ///
     /// # Errors
     ///
-    /// The extension file is refused.
+    /// The extension file is invalid.
     pub(crate) fn describe(&self, extension_path: Option<&Path>) -> Result<String, ConfigError> {
         let extension = ExtensionConfig::read(extension_path)?;
         self.check_extension(extension_path, &extension)?;
@@ -193,11 +193,11 @@
         Ok(lines.join("\n"))
     }
 
-    /// Checks that an extension fits the configuration.
+    /// Checks an extension against the configuration.
     ///
     /// # Errors
     ///
-    /// The field that does not fit, behind the file if it has one.
+    /// A field is invalid. The error includes `path`, if given.
     pub(crate) fn check_extension(
         &self,
         path: Option<&Path>,
@@ -219,7 +219,7 @@
         }
     }
 
-    /// What the lease settings have to agree with.
+    /// Returns the values that the lease settings must agree with.
     pub(crate) fn fleet_context(&self) -> FleetContext<'_> {
         FleetContext {
             name: &self.name,
@@ -229,7 +229,7 @@
         }
     }
 
-    /// What the configuration holds, in one line.
+    /// Summarizes the configuration in one line.
     fn summary(&self) -> String {
         let platform = match &self.rollouts {
             Some(rollouts) => format!("at {}", rollouts.address),
@@ -249,7 +249,7 @@
     }
 }
 
-fn named_path(path: Option<PathBuf>) -> Result<PathBuf, ConfigError> {
+fn configuration_path(path: Option<PathBuf>) -> Result<PathBuf, ConfigError> {
     path.or_else(|| std::env::var_os(PATH_VARIABLE).map(PathBuf::from))
         .ok_or(ConfigError::NoPath)
 }
@@ -268,8 +268,8 @@
     parse_by_field(&text, precedence, listening_on)
 }
 
-/// Parses a configuration straight into its types, as a start has little processor time. `None` if it is refused: the errors
-/// met here do not say which field is at fault, and a variable of the environment may stand in for it.
+/// Parses a configuration directly into its types, which saves processor time at startup. Returns `None` for an invalid
+/// configuration: errors at this stage do not name the field, and an environment variable may still supply its value.
 fn parse_directly(text: &str, listening_on: Option<SocketAddr>) -> Option<GatewayConfig> {
     let config: GatewayConfig = serde_json::from_str(text).ok()?;
     if listening_on.is_some_and(|address| address != config.listen) {
@@ -278,7 +278,7 @@
     config.with_environment().ok()
 }
 
-/// Parses a configuration by way of a JSON value. An error names the field.
+/// Parses a configuration through a JSON value, so that errors name the field.
 fn parse_by_field(
     text: &str,
     precedence: Precedence,
@@ -289,6 +289,6 @@
     if let Some(address) = listening_on {
         environment::check_listen_address(fields, address)?;
     }
-    environment::apply(fields, precedence);
+    environment::set_fields(fields, precedence);
     Ok(serde_path_to_error::deserialize(value)?)
 }
--- a/crates/gateway/src/config/lease.rs
+++ b/crates/gateway/src/config/lease.rs
@@ -1,4 +1,4 @@
-//! The settings of the leases: which gateways there are, which of them are electors, and which leases they hold.
+//! Lease settings: the gateways, the electors among them, and the leases.
 
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
@@ -18,96 +18,71 @@
 const DEFAULT_DECISION_TIMEOUT_MS: u32 = 30_000;
 const NORMAL_CLOCK_RATE: f64 = 1.0;
 
-/// Clock rates that may be injected.
+/// Clock rates that fault injection accepts.
 const CLOCK_RATES: RangeInclusive<f64> = 0.5..=2.0;
 
-/// Leases that one gateway of a fleet holds at a time. All gateways are configured alike.
+/// Leases, each held by one gateway at a time. All gateways must have the same settings.
 #[derive(Clone, Debug, PartialEq, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, rename = "FleetTold")]
-#[schemars(
-    description = "Duties that one gateway of a fleet holds at a time. All gateways are told the same."
-)]
 pub(crate) struct LeaseConfig {
-    /// The names of all gateways, in the order of the configuration's `peers`.
+    /// Names of all gateways, in the order of `peers` in the configuration.
     pub(crate) gateways: Vec<String>,
-    /// The electors, three to seven of them; they alone hold leases.
-    #[schemars(description = "Those who vote, three to seven of them; they alone hold duties.")]
+    /// Names of the three to seven electors. Only electors hold leases.
     pub(crate) electorate: Vec<String>,
-    /// Raised by one with each change of the electorate, which changes by one gateway at a time.
+    /// Number of the electorate. Add one at each change; a change adds or removes one gateway.
     #[serde(default = "first_electorate")]
     pub(crate) electorate_number: u32,
-    /// How long a lease lasts without renewal.
+    /// Duration of a lease without renewal, in milliseconds.
     #[serde(default = "default_lease_ms")]
     #[schemars(description = "")]
     pub(crate) lease_ms: u32,
-    /// How often it is renewed.
+    /// Interval of lease renewals, in milliseconds.
     #[serde(default = "default_heartbeat_ms")]
     #[schemars(description = "")]
     pub(crate) heartbeat_ms: u32,
-    /// The longest lease that running gateways may be configured with; by default it never changed.
-    #[schemars(
-        description = "The longest lease that gateways still running may have been told; by default it never changed."
-    )]
+    /// Longest `lease_ms` that any running gateway may still use. Needed only after a change of `lease_ms`.
     pub(crate) longest_lease_ms: Option<u32>,
-    /// The largest error of a clock's rate, as a ratio.
+    /// Largest error of the clock rate, as a ratio.
     #[serde(default = "default_clock_drift", rename = "drift")]
-    #[schemars(description = "The largest error of a clock's rate, as a part.")]
     pub(crate) clock_drift_ratio: f64,
-    /// The names of the leases.
+    /// Names of the leases: `steward` (rollout controller), `heir` (recovery owner) or `speaker:NUMBER` (aggregator).
     #[serde(rename = "duties")]
-    #[schemars(description = "`steward`, `heir`, `speaker:NUMBER`.")]
     pub(crate) leases: Vec<String>,
-    /// For the lease of the rollout controller.
+    /// Settings of the rollout controller, required for the lease `steward`.
     #[serde(rename = "steward")]
-    #[schemars(description = "For the duty `steward`.")]
     pub(crate) rollout_controller: Option<RolloutControllerConfig>,
-    /// Faults to inject, in tests alone.
+    /// Faults to inject. For tests only.
     #[serde(rename = "rehearsal")]
-    #[schemars(description = "For rehearsals alone.")]
     pub(crate) injected_faults: Option<InjectedFaults>,
 }
 
-/// Rollout stages that are moved on by commands to the deployment controller, where no platform counts votes.
+/// Commands to the deployment controller, which advance rollout stages if no rollout platform counts votes.
 #[derive(Clone, Debug, PartialEq, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, rename = "StewardTold")]
-#[schemars(
-    description = "A release's waves, advanced by calls of the installation in place of the platform's count of votes."
-)]
 pub(crate) struct RolloutControllerConfig {
-    /// The address of the deployment controller (HTTP).
+    /// Address of the deployment controller (HTTP).
     #[serde(rename = "installation")]
-    #[schemars(description = "Where the installation takes calls (HTTP).")]
     pub(crate) deployment_controller: SocketAddr,
-    /// More than this share of all gateways promotes a build.
+    /// A build is promoted when more than this ratio of all gateways votes for it.
     #[serde(default = "default_vote_ratio", rename = "on_votes")]
-    #[schemars(description = "More than this part of all gateways moves a wave on.")]
     pub(crate) promote_ratio: f64,
-    /// More than this share of all gateways rolls a build back.
+    /// A build is rolled back when more than this ratio of all gateways votes to roll it back.
     #[serde(default = "default_vote_ratio", rename = "back_votes")]
-    #[schemars(description = "More than this part of all gateways sends a build back.")]
     pub(crate) roll_back_ratio: f64,
-    /// A stage without a decision for this long is reported in the log.
+    /// A stage without a decision for this many milliseconds is logged.
     #[serde(default = "default_decision_timeout_ms", rename = "bound_ms")]
-    #[schemars(description = "A wave without a decision for so long is told in the log.")]
     pub(crate) decision_timeout_ms: u32,
 }
 
-/// What fault injection changes in one gateway, to show that the others bear it.
+/// Faults injected into one gateway, to test that the others tolerate them.
 #[derive(Clone, Debug, PartialEq, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, rename = "RehearsalTold")]
-#[schemars(
-    description = "What a rehearsal makes odd in one gateway, to see that the others bear it."
-)]
 pub(crate) struct InjectedFaults {
-    /// The version of the messages that this gateway writes and reads.
+    /// Version of the lease messages that this gateway writes and reads.
     #[serde(default = "current_message_version", rename = "form")]
-    #[schemars(description = "The form of messages that this gateway writes and reads.")]
     pub(crate) message_version: u8,
-    /// How fast the clock of the leases runs; 1 is right.
+    /// Rate of the clock used for leases; 1 is the normal rate.
     #[serde(default = "normal_clock_rate")]
-    #[schemars(
-        description = "How fast the clock of this gateway's part in the fleet runs; 1 is right."
-    )]
     pub(crate) clock_rate: f64,
 }
 
@@ -143,81 +118,79 @@
     NORMAL_CLOCK_RATE
 }
 
-/// Why the lease settings are refused: field, reason, what to do.
+/// The lease settings are invalid. Each message has the field, the reason and the remedy.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub(crate) enum LeaseConfigError {
-    /// The settings do not fit by themselves.
+    /// A field is invalid regardless of the configuration.
     #[error("fleet.{field}: {source}")]
     Settings {
-        /// The field.
+        /// Name of the field below `fleet`.
         field: &'static str,
-        /// Why.
+        /// Reason.
         source: ConfigurationError,
     },
-    /// Not every peer has a name.
+    /// The number of names differs from the number of peers.
     #[error(
-        "fleet.gateways: {names} names for {peers} of the configuration's `peers`: name each, in that order"
+        "fleet.gateways: {names} names for {peers} `peers` in the configuration: name each peer, in the same order"
     )]
     PeerCount {
-        /// How many names there are.
+        /// Number of names.
         names: usize,
-        /// How many peers are configured.
+        /// Number of configured peers.
         peers: usize,
     },
-    /// This gateway has two places.
+    /// The position of this gateway differs between `gateways` and the configuration.
     #[error(
-        "fleet.gateways: {own} is at place {place}, the configuration's ordinal is {ordinal}: put them in one order"
+        "fleet.gateways: {own} is at position {position}, but its ordinal in the configuration is {ordinal}: use the same order"
     )]
     OrdinalMismatch {
-        /// This gateway's name.
+        /// Name of this gateway.
         own: String,
-        /// Its position among the names.
-        place: usize,
-        /// Its position in the configuration.
+        /// Index of this gateway in `gateways`.
+        position: usize,
+        /// Ordinal of this gateway in the configuration.
         ordinal: usize,
     },
-    /// Gateways cannot reach each other.
-    #[error(
-        "fleet: the configuration has no `peer_listen`, on which gateways hear each other: add it"
-    )]
+    /// Gossip, which carries the lease messages, is not configured.
+    #[error("fleet: the configuration has no `peer_listen`, which gossip needs: add it")]
     NoGossip,
-    /// The rollout controller's lease has no settings.
+    /// The lease `steward` is configured without settings of the rollout controller.
     #[error(
-        "fleet.steward: is missing, and the duty `steward` needs it: add it, or take the duty away"
+        "fleet.steward: is missing, but `duties` contains `steward`: add it, or remove `steward` from `duties`"
     )]
     NoRolloutController,
-    /// The rollout controller has no lease.
+    /// The rollout controller is configured without the lease `steward`.
     #[error(
-        "fleet.steward: is there without the duty: add `steward` to `duties`, or take it away"
+        "fleet.steward: is set, but `duties` does not contain `steward`: add it there, or remove `fleet.steward`"
     )]
     NoRolloutControllerLease,
-    /// A share of votes is out of its range.
-    #[error("fleet.steward.{field}: {ratio} is no part from 0 to below 1: tell one such as 0.5")]
+    /// A vote ratio is out of range.
+    #[error("fleet.steward.{field}: {ratio} is out of range: set a ratio from 0 to below 1, such as 0.5")]
     VoteRatio {
-        /// The field.
+        /// Name of the field below `fleet.steward`.
         field: &'static str,
-        /// Its value.
+        /// Configured value.
         ratio: f64,
     },
-    /// A decision times out before a lease does.
+    /// The decision timeout is shorter than the lease.
     #[error(
-        "fleet.steward.bound_ms: {timeout_ms} is shorter than the lease of {lease_ms} ms: lengthen it"
+        "fleet.steward.bound_ms: {timeout_ms} is shorter than the lease of {lease_ms} ms: increase it"
     )]
     DecisionTimeoutTooShort {
-        /// The timeout.
+        /// Decision timeout in milliseconds.
         timeout_ms: u32,
-        /// The lease.
+        /// Lease duration in milliseconds.
         lease_ms: u32,
     },
-    /// An injected clock rate is out of its range.
-    #[error("fleet.rehearsal.clock_rate: {rate} is not from 0.5 to 2: leave it out, but for a rehearsal")]
+    /// The injected clock rate is out of range.
+    #[error("fleet.rehearsal.clock_rate: {rate} is out of range: set a rate from 0.5 to 2, or remove it outside of tests")]
     ClockRate {
-        /// The rate.
+        /// Configured clock rate.
         rate: f64,
     },
 }
 
-/// The field that an error is about.
+/// Returns the settings field that an error refers to.
 fn field_of(error: &ConfigurationError) -> &'static str {
     match error {
         ConfigurationError::UnknownOwnName { .. }
@@ -251,15 +224,15 @@
     }
 }
 
-/// What the configuration says of the fleet.
+/// Values of the configuration that the lease settings must agree with.
 pub(crate) struct FleetContext<'a> {
-    /// This gateway's name.
+    /// Name of this gateway.
     pub(crate) name: &'a str,
-    /// Its position among the peers.
+    /// Index of this gateway in `peers`.
     pub(crate) ordinal: usize,
-    /// How many peers there are, itself included.
+    /// Number of peers, this gateway included.
     pub(crate) peer_count: usize,
-    /// Whether it hears its peers.
+    /// Whether gossip with peers is configured.
     pub(crate) has_gossip: bool,
 }
 
@@ -300,11 +273,11 @@
         }
     }
 
-    /// The checked settings in parsed form.
+    /// Checks the settings and converts them to lease parameters.
     ///
     /// # Errors
     ///
-    /// A field does not fit.
+    /// A field is invalid or does not match the configuration.
     pub(crate) fn parameters(
         &self,
         fleet: &FleetContext<'_>,
@@ -343,23 +316,23 @@
         if parameters.own.0 != fleet.ordinal {
             return Err(LeaseConfigError::OrdinalMismatch {
                 own: fleet.name.to_string(),
-                place: parameters.own.0,
+                position: parameters.own.0,
                 ordinal: fleet.ordinal,
             });
         }
         Ok(())
     }
 
-    /// The configured electorate, for a change while the gateway runs.
+    /// Parses the configured electorate, for a change while the gateway runs.
     ///
     /// # Errors
     ///
-    /// A field does not fit.
+    /// A field is invalid.
     pub(crate) fn electorate(&self, own_name: &str) -> Result<Electorate, LeaseConfigError> {
         Ok(self.settings(own_name).electorate()?)
     }
 
-    /// Whether anything differs but the electorate, which alone may change while the gateway runs.
+    /// Whether any setting other than the electorate differs. Only the electorate may change while the gateway runs.
     pub(crate) fn differs_beyond_electorate(&self, other: &LeaseConfig) -> bool {
         let without_electorate = |config: &LeaseConfig| LeaseConfig {
             electorate: Vec::new(),
@@ -369,7 +342,7 @@
         without_electorate(self) != without_electorate(other)
     }
 
-    /// The settings in one line.
+    /// Summarizes the settings in one line.
     pub(crate) fn summary(&self, own_name: &str) -> String {
         format!(
             "{own_name} shares {} with {} gateways, electors {}, lease {} ms, heartbeat {} ms",
--- a/crates/gateway/src/config/mod.rs
+++ b/crates/gateway/src/config/mod.rs
@@ -1,4 +1,4 @@
-//! Configuration: the platform's file, the extension file beside it, and what they may be refused for.
+//! Configuration: the platform's configuration file, the extension file, and their errors.
 
 pub(crate) mod environment;
 pub(crate) mod error;
--- a/crates/gateway/src/config/sites.rs
+++ b/crates/gateway/src/config/sites.rs
@@ -1,4 +1,4 @@
-//! The settings of the connections between two sites.
+//! Settings of the connections between two sites.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -11,64 +11,58 @@
 
 use super::error::{ExtensionError, SiteError};
 
-/// Where this gateway stands between two sites.
+/// Connections of this gateway to the other site.
 #[derive(Clone, Debug, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, rename = "Between")]
-#[schemars(description = "This gateway's place between two sites.")]
 pub(crate) struct SiteSettings {
-    /// This site's name: small letters, digits and inner hyphens.
+    /// Name of this site: lowercase letters, digits and inner hyphens.
     pub(crate) site: String,
-    /// This gateway's name in its site; by default the configuration's name.
+    /// Name of this gateway within its site; by default the name in the configuration.
     pub(crate) gateway: Option<String>,
-    /// Where the transport listens (UDP).
-    #[schemars(description = "Where the link listens (UDP).")]
+    /// Address to listen on for gateways of the other site (UDP).
     pub(crate) listen: SocketAddr,
-    /// Where the other site's gateways reach it, if that is another address.
+    /// Address at which the other site reaches this gateway, if it differs from `listen`.
     pub(crate) reached_at: Option<SocketAddr>,
-    /// The other site.
+    /// Name and gateways of the other site.
     #[schemars(description = "")]
     pub(crate) other: OtherSiteSettings,
-    /// This gateway's keys.
+    /// Certificate and key of this gateway.
     #[schemars(description = "")]
     pub(crate) keys: KeyFiles,
-    /// A Unix socket for `harrierdock site`.
+    /// Unix socket for the command `harrierdock site`.
     #[serde(rename = "control")]
     pub(crate) control_socket: Option<PathBuf>,
-    /// Classes whose idempotency keys the endpoints of both sites recognise together.
+    /// Request classes whose endpoints deduplicate idempotency keys across both sites.
     #[serde(default, rename = "groups_spanning")]
-    #[schemars(
-        description = "Referenced request classes whose repeats one group of endpoints drops across both sites."
-    )]
     pub(crate) classes_deduplicated_across_sites: Vec<String>,
 }
 
-/// The other site.
+/// Name and gateways of the other site.
 #[derive(Clone, Debug, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, rename = "OtherSite")]
 #[schemars(description = "")]
 pub(crate) struct OtherSiteSettings {
-    /// Its name.
+    /// Name of the other site.
     #[schemars(description = "")]
     pub(crate) site: String,
-    /// Some of its gateways, one at least; the rest is learned from them.
+    /// Initial gateways of the other site, at least one; the others are learned from them.
     pub(crate) gateways: Vec<OtherGatewaySettings>,
 }
 
-/// A gateway of the other site.
+/// Name and address of a gateway of the other site.
 #[derive(Clone, Debug, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, rename = "GatewayTold")]
 #[schemars(description = "")]
 pub(crate) struct OtherGatewaySettings {
-    /// Its name.
+    /// Name of the gateway within its site.
     #[schemars(description = "")]
     pub(crate) gateway: String,
-    /// Where its transport listens (UDP).
-    #[schemars(description = "Where its link listens (UDP).")]
+    /// Address at which the gateway is reached (UDP).
     pub(crate) address: SocketAddr,
 }
 
 impl SiteSettings {
-    /// This gateway's full name. `configured_name` is its name in the configuration.
+    /// Returns the site and name of this gateway. `configured_name` is the name in the configuration.
     pub(crate) fn local_name(&self, configured_name: &str) -> GatewayName {
         GatewayName {
             site: self.site.clone(),
@@ -79,7 +73,7 @@
         }
     }
 
-    /// The gateways of the other site that are known from the start, with their addresses.
+    /// Returns the names and addresses of the initial gateways of the other site.
     pub(crate) fn seeds(&self) -> Vec<(GatewayName, SocketAddr)> {
         let seed = |settings: &OtherGatewaySettings| {
             let name = GatewayName {
@@ -91,11 +85,12 @@
         self.other.gateways.iter().map(seed).collect()
     }
 
-    /// Checks the settings beside the configuration's name of this gateway and its request classes.
+    /// Checks the settings against the name of this gateway and the request classes in the configuration. Paths of key files are
+    /// relative to `folder`.
     ///
     /// # Errors
     ///
-    /// A field does not fit, or the key files cannot be used.
+    /// A field is invalid, or a key file cannot be read or parsed.
     pub(crate) fn check(
         &self,
         configured_name: &str,
@@ -107,10 +102,13 @@
         check_name("gateway", &own.gateway)?;
         check_name("other.site", &self.other.site)?;
         if self.other.site == own.site {
-            return Err(refused("other.site", SiteError::OwnSite { site: own.site }));
+            return Err(site_error(
+                "other.site",
+                SiteError::OwnSite { site: own.site },
+            ));
         }
         if self.other.gateways.is_empty() {
-            return Err(refused("other.gateways", SiteError::NoGateways));
+            return Err(site_error("other.gateways", SiteError::NoGateways));
         }
         for (index, settings) in self.other.gateways.iter().enumerate() {
             let field = format!("other.gateways[{index}].gateway");
@@ -122,7 +120,7 @@
             .find(|class| !classes.contains(&class.as_str()));
         if let Some(class) = unknown {
             let class = class.clone();
-            return Err(refused(
+            return Err(site_error(
                 "groups_spanning",
                 SiteError::UnknownClass { class },
             ));
@@ -134,7 +132,7 @@
     ///
     /// # Errors
     ///
-    /// They cannot be used, or are another gateway's.
+    /// A key file cannot be read or parsed, or the certificate is for another gateway.
     pub(crate) fn credentials(
         &self,
         own: &GatewayName,
@@ -146,13 +144,13 @@
                 named: credentials.gateway,
                 own: own.clone(),
             };
-            return Err(refused("keys.certificate", source));
+            return Err(site_error("keys.certificate", source));
         }
         Ok(credentials)
     }
 }
 
-fn refused(field: &str, source: SiteError) -> ExtensionError {
+fn site_error(field: &str, source: SiteError) -> ExtensionError {
     ExtensionError::Site {
         field: field.into(),
         source,
@@ -160,5 +158,5 @@
 }
 
 fn check_name(field: &str, name: &str) -> Result<(), ExtensionError> {
-    check_label(name).map_err(|e| refused(field, e.into()))
+    check_label(name).map_err(|e| site_error(field, e.into()))
 }
--- a/crates/gateway/src/runtime/context.rs
+++ b/crates/gateway/src/runtime/context.rs
@@ -1,5 +1,5 @@
-//! What every part of a gateway shares: sockets, counters, timers, the queue of internal events, and the functions that the
-//! event loop calls when a socket is ready.
+//! State shared by all parts of a gateway: sockets, counters, timers, the queue of internal events, and the socket handlers
+//! that the event loop calls.
 
 use std::collections::VecDeque;
 use std::ops::{Deref, DerefMut, Range};
@@ -15,30 +15,30 @@
 use crate::runtime::socket_handlers::SocketHandlers;
 use crate::runtime::timer::Timer;
 
-/// A request as its client wrote it, to be sent on unchanged.
+/// A client's request, forwarded unchanged.
 pub(crate) struct OutboundRequest<'a> {
-    /// The HTTP method.
+    /// HTTP method, such as `POST`.
     pub(crate) method: &'a str,
-    /// The request target: path and query.
+    /// Request target: path and query.
     pub(crate) target: &'a str,
-    /// The id that its client gave it.
+    /// Request id assigned by the client.
     pub(crate) client_request_id: &'a str,
-    /// The idempotency key, if it has one.
+    /// Value of the `Idempotency-Key` header, if present.
     pub(crate) idempotency_key: Option<&'a str>,
-    /// The body.
+    /// Request body; empty if the request has none.
     pub(crate) body: &'a [u8],
 }
 
-/// The body of a response, in the buffer that it was received in.
+/// A response body, kept in the buffer that received it.
 pub(crate) struct ResponseBody {
-    /// The buffer, which belongs to the buffer pool.
+    /// Receive buffer, to be returned to the buffer pool.
     pub(crate) buffer: Buffer,
-    /// Where the body stands in it.
+    /// Position of the body within `buffer`.
     pub(crate) range: Range<usize>,
 }
 
 impl ResponseBody {
-    /// The bytes of the body.
+    /// Returns the body without the rest of the buffer.
     pub(crate) fn bytes(&self) -> &[u8] {
         &self.buffer[self.range.clone()]
     }
@@ -46,73 +46,73 @@
 
 /// A request that was received from a client or from the other site.
 pub(crate) struct ReceivedRequest {
-    /// Its id.
+    /// Id assigned by this gateway.
     pub(crate) id: RequestId,
-    /// Its class.
+    /// Request class that the client named.
     pub(crate) class: ClassId,
-    /// Its affinity key, if it has one.
+    /// Affinity key, if the request has one.
     pub(crate) key: Option<AffinityKey>,
-    /// Whether its client has sent it before.
+    /// Whether the client marked the request as a retry.
     pub(crate) is_client_retry: bool,
-    /// How long its client still waits.
+    /// Time until the client gives up.
     pub(crate) time_left: TimeDelta,
-    /// Its number at the site boundary, if the other site forwarded it.
+    /// Id of the inbound request; `None` if the request came from a client of this site.
     pub(crate) inbound: Option<InboundId>,
 }
 
-/// An attempt that has ended.
+/// A finished attempt and its outcome.
 pub(crate) struct FinishedAttempt {
-    /// The request.
+    /// Request that the attempt belongs to.
     pub(crate) id: RequestId,
-    /// The attempt, counted from 0.
+    /// Index of the attempt within the request, from 0.
     pub(crate) attempt: usize,
-    /// How it ended.
+    /// Success, rejection or failure.
     pub(crate) outcome: AttemptOutcome,
-    /// The endpoint's answer, if the attempt succeeded.
+    /// Response body from the endpoint, if the attempt succeeded.
     pub(crate) response: Option<ResponseBody>,
 }
 
-/// What the parts report to the dispatcher.
+/// An event that a part of the gateway reports to the dispatcher.
 pub(crate) enum InternalEvent {
-    /// A request was received.
+    /// A request arrived from a client or from the other site.
     RequestReceived(ReceivedRequest),
-    /// The client of a request has disconnected, or the other site has abandoned it.
+    /// The client disconnected, or the other site abandoned its forwarded request.
     ClientDisconnected {
-        /// The request.
+        /// Request that no longer needs a response.
         id: RequestId,
     },
-    /// An attempt has ended.
+    /// An attempt succeeded, was rejected, or failed.
     AttemptFinished(FinishedAttempt),
-    /// An event for the policy, to be delivered as it is.
+    /// An event to pass to the policy unchanged.
     Policy(Event),
-    /// A binary message of a peer, about leases or rollout votes, as it was received.
+    /// A binary message from a peer about leases or rollout votes, not yet decoded.
     PeerMessage {
-        /// The peer.
+        /// Peer that sent the message.
         from: PeerId,
-        /// The message.
+        /// Encoded message.
         bytes: Vec<u8>,
     },
 }
 
-/// An internal event with the time that it is delivered as of.
+/// An internal event with its time of occurrence.
 pub(crate) struct QueuedEvent {
-    /// When it happened.
+    /// Time of occurrence, which may precede the time of processing.
     pub(crate) at: Timestamp,
-    /// What happened.
+    /// Event for the dispatcher.
     pub(crate) event: InternalEvent,
 }
 
-/// What the parts share. The sockets' side of it, `IoContext`, is reached by dereference.
+/// State shared by all parts of the gateway. Dereferences to `IoContext`, which holds the socket-related state.
 pub(crate) struct Context {
-    /// The event loop, clock, buffers and descriptors.
+    /// Event loop handle, clock, buffer pool and descriptor budget.
     pub(crate) io: IoContext<Gateway>,
-    /// The counters.
+    /// Counters since the gateway started.
     pub(crate) counters: Counters,
-    /// The timers.
+    /// Pending timers of all parts.
     pub(crate) timers: TimerQueue<Timer>,
-    /// Events that wait for the dispatcher.
+    /// Events not yet processed by the dispatcher, oldest first.
     pub(crate) events: VecDeque<QueuedEvent>,
-    /// What the event loop calls for each kind of socket.
+    /// Functions that the event loop calls when a socket is ready.
     pub(crate) handlers: SocketHandlers,
     last_request_id: u64,
 }
@@ -132,7 +132,7 @@
 }
 
 impl Context {
-    /// A context without events or timers.
+    /// Creates a context without events or timers.
     pub(crate) fn new(io: IoContext<Gateway>, handlers: SocketHandlers) -> Context {
         Context {
             io,
@@ -144,13 +144,13 @@
         }
     }
 
-    /// Queues an event as of now.
+    /// Queues an event that occurs now.
     pub(crate) fn emit(&mut self, event: InternalEvent) {
         let now = self.now();
         self.emit_at(now, event);
     }
 
-    /// Queues an event as of a time at or before now.
+    /// Queues an event that occurred at `at`, which is not later than now.
     pub(crate) fn emit_at(&mut self, at: Timestamp, event: InternalEvent) {
         self.events.push_back(QueuedEvent { at, event });
     }
@@ -162,7 +162,7 @@
         deadline
     }
 
-    /// Sets a timer in place of an earlier one of its kind, and returns its deadline.
+    /// Cancels the timer set for `earlier`, if any, sets it for `deadline`, and returns `deadline`.
     pub(crate) fn replace_timer(
         &mut self,
         earlier: Option<Timestamp>,
@@ -176,7 +176,7 @@
         deadline
     }
 
-    /// A new request id.
+    /// Returns a request id that was not used before.
     pub(crate) fn next_request_id(&mut self) -> RequestId {
         self.last_request_id += 1;
         RequestId(self.last_request_id)
--- a/crates/gateway/src/runtime/error.rs
+++ b/crates/gateway/src/runtime/error.rs
@@ -1,4 +1,4 @@
-//! Why a gateway cannot start.
+//! Errors that prevent a gateway from starting.
 
 use std::io;
 use std::net::SocketAddr;
@@ -11,34 +11,34 @@
 use crate::multi_site::control_socket::ControlSocketError;
 use crate::multi_site::forwarding::ForwardingError;
 
-/// Why a gateway cannot start. The message is one line for operators.
+/// The gateway cannot start. Each message is a single line for operators.
 #[derive(Debug, Error)]
 pub(crate) enum StartError {
-    /// The configuration is refused.
+    /// The configuration or the extension file is invalid.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The lease settings are refused.
+    /// The lease settings are invalid.
     #[error(transparent)]
     Leases(#[from] LeaseConfigError),
-    /// The event loop cannot be made.
-    #[error("no event loop: {0}")]
+    /// The event loop cannot be created.
+    #[error("cannot create the event loop: {0}")]
     EventLoop(#[source] calloop::Error),
-    /// The listener's address is unknown.
-    #[error("no address: {0}")]
+    /// The listener's local address cannot be read.
+    #[error("cannot read the listener's address: {0}")]
     Address(#[source] io::Error),
-    /// Clients cannot be listened for.
+    /// The listener for clients cannot be bound.
     #[error("cannot listen on {address}: {source}")]
     Listen {
-        /// Where.
+        /// Address to listen on.
         address: SocketAddr,
-        /// Why.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The loop cannot watch a source of events.
+    /// A source of events cannot be added to the event loop.
     #[error("{0}")]
     Watch(WatchError),
     /// The gossip socket cannot be opened.
-    #[error("cannot hear peers: {0}")]
+    #[error("cannot open the gossip socket: {0}")]
     Gossip(#[source] io::Error),
     /// The transport to the other site cannot be opened.
     #[error(transparent)]
@@ -47,17 +47,17 @@
     #[error(transparent)]
     ControlSocket(#[from] ControlSocketError),
     /// Signals cannot be blocked.
-    #[error("no signals: {0}")]
+    #[error("cannot block signals: {0}")]
     Signals(#[source] calloop::Error),
-    /// Signals cannot be watched.
-    #[error("no signals: {0}")]
+    /// The signal source cannot be added to the event loop.
+    #[error("cannot watch signals: {0}")]
     WatchSignals(WatchError),
     /// The flow exporter cannot be opened.
     #[error(transparent)]
     Exporter(#[from] FlowExportError),
 }
 
-/// The loop cannot watch a source of events.
+/// A source of events cannot be added to the event loop.
 #[derive(Debug, Error)]
 #[error("error inserting event source: {0}")]
 pub(crate) struct WatchError(#[source] pub calloop::Error);
--- a/crates/gateway/src/runtime/event_loop.rs
+++ b/crates/gateway/src/runtime/event_loop.rs
@@ -1,4 +1,4 @@
-//! Serving: the event loop's turns, and what each timer does.
+//! The `serve` command: event loop iterations and the dispatch of expired timers.
 
 use std::path::PathBuf;
 use std::time::Instant;
@@ -12,17 +12,17 @@
 use crate::runtime::startup::{block_signals, listen_on, watch_signals};
 use crate::runtime::timer::Timer;
 
-/// Serves until a signal ends the gateway. Listens as early as the address is known: a client that connects during the start
-/// waits in the listener's queue.
+/// Serves requests until SIGTERM or SIGINT shuts the gateway down. The listener is bound as soon as its address is known, so
+/// that clients that connect during startup wait in its backlog.
 ///
 /// # Errors
 ///
-/// The configuration does not fit, or a socket cannot be opened.
+/// The configuration is invalid, or a socket cannot be opened.
 pub(crate) fn serve(
     config_path: Option<PathBuf>,
     extension_path: Option<PathBuf>,
 ) -> Result<(), StartError> {
-    // Before the listener is bound, so that no signal ends the process under a client that has connected.
+    // Signals are blocked before the listener is bound: a signal must not kill the process while a client is connected.
     let signals = block_signals()?;
     let signals_blocked_at = Instant::now();
     let early_address = environment::listen_address()?;
@@ -40,33 +40,34 @@
         .local_address()
         .map_err(StartError::Address)?;
     tracing::info!("{} serves on {address}", config.name);
-    // Those that connected during the start. Later ones have not waited.
+    // Accept the clients that connected during startup; the event loop accepts later ones.
     gateway.accept_connections();
-    gateway.shutdown.signals_wait_since = Some(gateway.context.clock.at(signals_blocked_at));
-    gateway.turn(&mut event_loop);
-    gateway.shutdown.signals_wait_since = None;
+    gateway.shutdown.signals_blocked_at = Some(gateway.context.clock.at(signals_blocked_at));
+    gateway.run_iteration(&mut event_loop);
+    gateway.shutdown.signals_blocked_at = None;
     while !gateway.shutdown.is_complete {
-        gateway.turn(&mut event_loop);
+        gateway.run_iteration(&mut event_loop);
     }
     gateway.report();
     gateway.close_exporter();
-    tracing::info!("{} ends", config.name);
+    tracing::info!("{} has shut down", config.name);
     Ok(())
 }
 
 impl Gateway {
-    /// Handles the sockets that are ready and the timers that have expired. Waits for the first of them.
-    pub(crate) fn turn(&mut self, event_loop: &mut EventLoop<'static, Gateway>) {
+    /// Waits until a socket is ready or a timer expires, then handles all ready sockets and expired timers.
+    pub(crate) fn run_iteration(&mut self, event_loop: &mut EventLoop<'static, Gateway>) {
         let timeout = self
             .context
             .timers
             .next_deadline()
             .map(|deadline| self.context.clock.duration_until(deadline));
-        // A failing turn must not end the requests on all other sockets, so the loop goes on.
+        // The loop continues after an error, as requests on other sockets are unaffected.
         if let Err(e) = event_loop.dispatch(timeout, self) {
-            self.context
-                .counters
-                .check_invariant(false, &format!("the loop goes through: {e}"));
+            self.context.counters.check_invariant(
+                false,
+                &format!("the event loop dispatches without errors: {e}"),
+            );
         }
         self.handle_expired_timers();
         self.downstream.resume_with_descriptor(&self.context);
--- a/crates/gateway/src/runtime/gateway.rs
+++ b/crates/gateway/src/runtime/gateway.rs
@@ -1,4 +1,4 @@
-//! The gateway: its parts, each of which owns its state, and what it keeps for reloading.
+//! The gateway struct: the parts of the gateway, each of which owns its state, and the values needed for a reload.
 
 use std::path::PathBuf;
 
@@ -18,38 +18,39 @@
 use crate::runtime::shutdown::ShutdownState;
 use crate::upstream::Upstream;
 
-/// One gateway.
+/// A running gateway. `None` in an optional part means that it is not configured.
 pub(crate) struct Gateway {
-    /// What the parts share.
+    /// State shared by all parts.
     pub(crate) context: Context,
-    /// The policy and the requests under way.
+    /// Policy and pending requests.
     pub(crate) dispatcher: Dispatcher,
-    /// The clients' side.
+    /// Connections from clients.
     pub(crate) downstream: Downstream,
-    /// The endpoints' side.
+    /// Connections to endpoints.
     pub(crate) upstream: Upstream,
-    /// The endpoint list's source.
+    /// Client of discovery, which provides the endpoint list.
     pub(crate) discovery: Discovery,
-    /// The rollout platform, if one is configured.
+    /// Client of the rollout platform.
     pub(crate) rollout_platform: Option<RolloutPlatform>,
-    /// The socket to the peers, if any are configured.
+    /// Gossip socket shared by all peers.
     pub(crate) gossip: Option<GossipSocket>,
-    /// Forwarding to the other site, if one is configured.
+    /// Forwarding between this site and the other site.
     pub(crate) forwarding: Option<Forwarding>,
-    /// The operators' control socket, if one is configured.
+    /// Control socket for `harrierdock site`.
     pub(crate) control_socket: Option<ControlSocket>,
-    /// The flow exporter, if collectors are configured.
+    /// Exporter of flow records to collectors and to the flow file.
     pub(crate) exporter: Option<Box<FlowExporter>>,
-    /// This gateway's part in the leases, if any are configured.
+    /// This gateway's participation in leases.
     pub(crate) leases: Option<Box<LeaseParticipant>>,
-    /// The commands to the deployment controller, if one is configured.
+    /// Rollout commands to the deployment controller.
     pub(crate) rollout_commands: Option<Box<RolloutCommands>>,
-    /// How far the shutdown has come.
+    /// Progress of the shutdown.
     pub(crate) shutdown: ShutdownState,
+    /// File named by `--with`, read again at a reload.
     pub(super) extension_path: Option<PathBuf>,
     pub(super) config_path: PathBuf,
     pub(super) vote_timeout: TimeDelta,
-    /// How often idle connections and streams are checked: as long as a connection may take to come up, and often enough to
-    /// close the silent ones in time.
+    /// Interval of checks for idle connections and broken streams: the connect timeout, capped so that idle connections are
+    /// closed in time.
     pub(crate) maintenance_interval: TimeDelta,
 }
--- a/crates/gateway/src/runtime/maintenance.rs
+++ b/crates/gateway/src/runtime/maintenance.rs
@@ -1,4 +1,4 @@
-//! Periodic work: idle connections, silent streams, and descriptors for new connections.
+//! Periodic maintenance of connections and streams, and descriptors for new connections.
 
 use harrierdock_event_loop::logging;
 
@@ -7,7 +7,7 @@
 use crate::runtime::timer::Timer;
 
 impl Gateway {
-    /// Closes what has been idle for too long, reopens streams that have ended, and schedules itself again.
+    /// Closes expired connections, reopens closed streams, exports flows, and schedules the next maintenance.
     pub(super) fn run_maintenance(&mut self) {
         if self.downstream.is_accepting_paused() && self.context.descriptors.available() == 0 {
             self.free_descriptor();
@@ -28,7 +28,7 @@
             .set_timer_after(self.maintenance_interval, Timer::Maintenance);
     }
 
-    /// Accepts the connections that wait, and stops accepting while there are no descriptors for them.
+    /// Accepts pending connections. Pauses accepting if no descriptor is available and none can be freed.
     pub(super) fn accept_connections(&mut self) -> AcceptResult {
         let result = self.downstream.accept(&mut self.context);
         if result == AcceptResult::NoDescriptor && !self.free_descriptor() {
@@ -37,8 +37,8 @@
         result
     }
 
-    /// Closes a connection so that another can be opened, and returns whether there was one to close. Clients' connections
-    /// that stall go first, then idle ones to endpoints, and clients' that were used lately go last.
+    /// Closes a connection to free its descriptor. Returns `false` if there is none to close. Closes unused and
+    /// stalled client connections first, then idle connections to endpoints, then recently used client connections.
     pub(crate) fn free_descriptor(&mut self) -> bool {
         let context = &mut self.context;
         self.downstream.evict_stalled(context)
@@ -46,14 +46,14 @@
             || self.downstream.evict_between_requests(context)
     }
 
-    /// Reports the gateway as ready once it has an endpoint list.
+    /// Marks the gateway as ready once it has an endpoint list.
     pub(super) fn update_readiness(&mut self) {
         if self.discovery.has_list() {
             self.downstream.set_ready();
         }
     }
 
-    /// Flow records are sent at the maintenance interval, so that they need no timer of their own.
+    /// Exports flow records if they are due, or if the gateway is shutting down. Runs with maintenance, without its own timer.
     fn export_flows(&mut self) {
         let now = self.context.now();
         let is_shutting_down = self.shutdown.has_started();
--- a/crates/gateway/src/runtime/mod.rs
+++ b/crates/gateway/src/runtime/mod.rs
@@ -1,4 +1,4 @@
-//! The event loop of a gateway: what its parts share, what sockets and timers call, how it starts, reloads and ends.
+//! The event loop of a gateway: shared state, socket and timer handlers, startup, reload and shutdown.
 
 pub(crate) mod context;
 pub(crate) mod error;
--- a/crates/gateway/src/runtime/reload.rs
+++ b/crates/gateway/src/runtime/reload.rs
@@ -1,4 +1,4 @@
-//! Reloading: addresses, keys, the electorate and collectors may change while the gateway runs.
+//! Reload on SIGHUP: addresses, keys, the electorate and collectors may change while the gateway runs.
 
 use std::net::SocketAddr;
 
@@ -18,30 +18,30 @@
 };
 
 impl Gateway {
-    /// Reads the configuration again and switches to the addresses it names. Connections, requests under way and the endpoint
-    /// list stay. A file that cannot be read changes nothing.
+    /// Reads the configuration again and switches to its addresses. Keeps connections, pending requests and the endpoint list.
+    /// Changes nothing if the file is invalid.
     pub(super) fn reload(&mut self) {
-        match GatewayConfig::read_again(&self.config_path) {
+        match GatewayConfig::read_at_reload(&self.config_path) {
             Ok(config) => {
-                tracing::info!("told to reload");
-                self.apply_reloaded(&config);
+                tracing::info!("reloading the configuration");
+                self.apply_configuration(&config);
             }
-            Err(e) => tracing::warn!("told to reload, nothing changes: {e}"),
+            Err(e) => tracing::warn!("reload failed; the configuration is unchanged: {e}"),
         }
     }
 
-    fn apply_reloaded(&mut self, config: &GatewayConfig) {
+    fn apply_configuration(&mut self, config: &GatewayConfig) {
         if self.extension_path.is_some() {
             self.reload_extension(config);
         }
-        self.move_discovery(config.discovery);
+        self.switch_discovery(config.discovery);
         if let Some(RolloutPlatformConfig { address, .. }) = config.rollouts {
-            self.move_rollout_platform(address);
+            self.switch_rollout_platform(address);
         }
     }
 
-    /// Switches to another address of discovery, once what has arrived from the former one is read.
-    fn move_discovery(&mut self, address: SocketAddr) {
+    /// Switches discovery to `address`. Reads pending data of the old connection first.
+    fn switch_discovery(&mut self, address: SocketAddr) {
         if self.discovery.address() == address {
             return;
         }
@@ -49,30 +49,36 @@
         self.discovery.set_address(&mut self.context, address);
     }
 
-    /// Switches to another address of the rollout platform, once what has arrived from the former one is read: it is not
-    /// sent again.
-    fn move_rollout_platform(&mut self, address: SocketAddr) {
+    /// Switches the rollout platform to `address`. Reads pending data of the old connection first, as the platform does not
+    /// resend it.
+    fn switch_rollout_platform(&mut self, address: SocketAddr) {
         match &self.rollout_platform {
             Some(platform) if platform.address() == address => return,
             Some(_) => handle_rollout_platform(self, READABLE),
             None => {}
         }
-        let new_client =
+        let new_platform =
             || RolloutPlatform::new(address, self.vote_timeout, self.maintenance_interval);
         self.rollout_platform
-            .get_or_insert_with(new_client)
+            .get_or_insert_with(new_platform)
             .set_address(&mut self.context, address);
     }
 
     fn reload_extension(&mut self, config: &GatewayConfig) {
         let extension = match ExtensionConfig::read(self.extension_path.as_deref()) {
             Ok(extension) => extension,
-            Err(e) => return tracing::warn!("told to reload, the keys held stay: {e}"),
+            Err(e) => {
+                return tracing::warn!(
+                    "reload: the extension file cannot be read and its settings are unchanged: {e}"
+                )
+            }
         };
         match check_reloaded(config, &extension) {
             Ok(()) => self.apply_extension(&extension),
             Err(e) => {
-                tracing::warn!("told to reload, what is told beside the configuration stays: {e}");
+                tracing::warn!(
+                    "reload: the extension file is invalid and its settings are unchanged: {e}"
+                );
             }
         }
     }
@@ -85,21 +91,21 @@
 
     fn reload_collectors(&mut self, extension: &ExtensionConfig) {
         let now = self.context.now();
-        let renewed = match &mut self.exporter {
+        let result = match &mut self.exporter {
             Some(exporter) => exporter.reload(now, extension.flows.as_ref(), extension.folder()),
             None if extension.flows.is_some() => {
-                return tracing::warn!("flows: export begins with the next start only");
+                return tracing::warn!("flows: starting the export requires a restart");
             }
             None => return,
         };
-        match renewed {
-            Ok(()) => tracing::info!("flows: collectors are read again"),
-            Err(e) => tracing::warn!("flows: the collectors held stay: {e}"),
+        match result {
+            Ok(()) => tracing::info!("flows: collectors reloaded"),
+            Err(e) => tracing::warn!("flows: reload failed; the collectors are unchanged: {e}"),
         }
     }
 }
 
-/// Checks what may change while the gateway runs: collectors and the electorate.
+/// Checks the settings that a reload may change in the extension file: collectors and the electorate.
 fn check_reloaded(config: &GatewayConfig, extension: &ExtensionConfig) -> Result<(), ConfigError> {
     let fleet = config.fleet_context();
     extension.check_flows()?;
--- a/crates/gateway/src/runtime/reporting.rs
+++ b/crates/gateway/src/runtime/reporting.rs
@@ -1,4 +1,4 @@
-//! The counters' log lines, and the exporter's last ones.
+//! Log lines with the counters, and with the exporter's totals at shutdown.
 
 use harrierdock_event_loop::logging;
 use harrierdock_types::TimeDelta;
@@ -7,7 +7,7 @@
 use crate::runtime::gateway::Gateway;
 use crate::runtime::timer::Timer;
 
-/// How often the counters are logged.
+/// Interval at which the counters are logged: 10 s, in microseconds.
 pub(super) const REPORT_INTERVAL: TimeDelta = TimeDelta(10_000_000);
 
 impl Gateway {
@@ -17,7 +17,7 @@
         self.context.set_timer_after(REPORT_INTERVAL, Timer::Report);
     }
 
-    /// Logs the counters.
+    /// Logs all counters and current gauges.
     pub(super) fn report(&mut self) {
         let context = &mut self.context;
         let counters = &mut context.counters;
@@ -40,7 +40,7 @@
         );
     }
 
-    /// Closes the exporter. Its last lines say what was recorded and what became of it.
+    /// Closes the exporter and logs its totals: recorded, dropped and sent, by collector.
     pub(super) fn close_exporter(&mut self) {
         let now = self.context.now();
         let Some(mut exporter) = self.exporter.take() else {
--- a/crates/gateway/src/runtime/shutdown.rs
+++ b/crates/gateway/src/runtime/shutdown.rs
@@ -1,5 +1,5 @@
-//! Graceful shutdown: new requests are accepted for a grace period, then the gateway ends once every request has its answer.
-//! Every answer is written before the process may be killed.
+//! Graceful shutdown: the gateway accepts new requests for a grace period, then exits once every request has its response.
+//! It writes every response before the platform may kill the process.
 
 use harrierdock_attempt_guard::ShutdownSchedule;
 use harrierdock_types::{TimeDelta, Timestamp};
@@ -8,27 +8,27 @@
 use crate::runtime::gateway::Gateway;
 use crate::runtime::timer::Timer;
 
-/// How far a gateway has come in its shutdown.
+/// Progress of the shutdown.
 pub(crate) struct ShutdownState {
-    /// The times of the shutdown, once the first signal has come.
+    /// Deadlines of the shutdown; `None` until the first shutdown signal.
     pub(crate) schedule: Option<ShutdownSchedule>,
-    /// Since when a signal may wait to be handled, before the first turn of the loop.
-    pub(crate) signals_wait_since: Option<Timestamp>,
-    /// Whether the event loop is to end.
+    /// Time at which startup blocked signals. Set for the first iteration of the event loop, which handles pending signals.
+    pub(crate) signals_blocked_at: Option<Timestamp>,
+    /// Whether the event loop must exit.
     pub(crate) is_complete: bool,
-    /// The longest time that a request may take.
+    /// Longest request timeout of all classes.
     pub(crate) longest_timeout: TimeDelta,
-    /// How often it is checked whether the gateway can end.
+    /// Interval at which the gateway checks whether it can exit.
     pub(crate) check_interval: TimeDelta,
 }
 
 impl ShutdownState {
-    /// Whether the first signal has come.
+    /// Whether the first shutdown signal was received.
     pub(crate) fn has_started(&self) -> bool {
         self.schedule.is_some()
     }
 
-    /// How long a request that is received now may take; beyond its own deadline if no shutdown has started.
+    /// Time allowed for a request received at `now`; unlimited if no shutdown has started.
     pub(crate) fn time_left(&self, now: Timestamp, connect_time: TimeDelta) -> TimeDelta {
         self.schedule.map_or(TimeDelta(i64::MAX), |schedule| {
             schedule.time_left(now, connect_time)
@@ -37,19 +37,19 @@
 }
 
 impl Gateway {
-    /// Starts the shutdown at the first signal. Further ones change nothing: requests under way could still be answered before
-    /// the kill, and whoever wants the process to end at once can kill it.
+    /// Starts the shutdown at the first signal and ignores later ones, so that pending requests still get their responses.
+    /// SIGKILL terminates the process at once.
     pub(super) fn shut_down(&mut self) {
         if self.shutdown.has_started() {
-            tracing::info!("told to end again: the shutdown goes on");
+            tracing::info!("shutdown signal ignored: the shutdown is already in progress");
             return;
         }
-        tracing::info!("told to end");
-        // Before connections are closed, so that another gateway holds the leases while they still are.
+        tracing::info!("shutdown started");
+        // Transfer leases before connections are closed, so that another gateway holds them in the meantime.
         self.handle_lease_event(harrierdock_lease::Event::ShutdownStarted);
         let now = self.context.now();
         let schedule = ShutdownSchedule::new(now, self.shutdown.longest_timeout)
-            .with_signal_since(self.shutdown.signals_wait_since.unwrap_or(now));
+            .with_signal_since(self.shutdown.signals_blocked_at.unwrap_or(now));
         self.shutdown.schedule = Some(schedule);
         self.context
             .timers
@@ -58,8 +58,8 @@
         self.handle_multi_site_event(now, harrierdock_multi_site::Event::ShutdownStarted);
     }
 
-    /// Ends the gateway once no client is connected or waits to be, and every request has its answer, or once the process may
-    /// be killed at any moment.
+    /// Completes the shutdown when no client is connected or waiting and every request has its response, or at the latest when
+    /// the platform may kill the process.
     pub(super) fn advance_shutdown(&mut self) {
         let Some(schedule) = self.shutdown.schedule else {
             return;
--- a/crates/gateway/src/runtime/socket_handlers.rs
+++ b/crates/gateway/src/runtime/socket_handlers.rs
@@ -1,6 +1,6 @@
-//! What the event loop calls when a socket is ready. Each function lets the part that owns the socket handle it, and then
-//! has the dispatcher process the events that came of it. The parts reach these functions through [`SocketHandlers`] and so
-//! know nothing of the gateway.
+//! Functions that the event loop calls when a socket is ready. Each one calls the part that owns the socket, then has the
+//! dispatcher process the resulting events. The parts call these functions through [`SocketHandlers`], so that they do not
+//! depend on the gateway.
 
 use std::os::unix::net::UnixStream;
 
@@ -10,34 +10,34 @@
 use crate::multi_site::control_socket::{ControlConnectionId, ControlHandlers};
 use crate::runtime::gateway::Gateway;
 
-/// Handles the readiness of one of many connections.
+/// Handles readiness of the connection with the given id.
 pub(crate) type ConnectionHandler = fn(&mut Gateway, ConnectionId, Readiness);
-/// Handles the readiness of a stream of which there is one.
+/// Handles readiness of a stream that exists once per gateway.
 pub(crate) type StreamHandler = fn(&mut Gateway, Readiness);
 
-/// The functions by the kind of socket.
+/// The handler functions, one for each kind of socket.
 #[derive(Clone, Copy)]
 pub(crate) struct SocketHandlers {
-    /// The listener has connections that wait.
+    /// The listener has pending connections.
     pub(crate) listener: fn(&mut Gateway),
-    /// A client's connection is ready.
+    /// A client connection is ready.
     pub(crate) downstream: ConnectionHandler,
     /// A connection to an endpoint is ready.
     pub(crate) upstream: ConnectionHandler,
-    /// The stream of discovery is ready.
+    /// The stream from discovery is ready.
     pub(crate) discovery: StreamHandler,
-    /// The stream of the rollout platform is ready.
+    /// The stream from the rollout platform is ready.
     pub(crate) rollout_platform: StreamHandler,
-    /// A connection with a vote is ready.
+    /// A connection that carries a vote is ready.
     pub(crate) vote: ConnectionHandler,
     /// The socket to the other site's gateways is ready.
     pub(crate) site_transport: fn(&mut Gateway),
-    /// The connection of a rollout command is ready.
+    /// A connection that carries a rollout command is ready.
     pub(crate) rollout_command: ConnectionHandler,
 }
 
 impl SocketHandlers {
-    /// The handlers of a gateway.
+    /// Returns the handlers that operate on a [`Gateway`].
     pub(crate) fn of_gateway() -> SocketHandlers {
         SocketHandlers {
             listener: handle_listener,
@@ -103,7 +103,7 @@
     gateway.process_events();
 }
 
-/// Handles datagrams of peers.
+/// Receives gossip datagrams from peers.
 pub(super) fn handle_gossip(gateway: &mut Gateway) {
     if let Some(gossip) = &gateway.gossip {
         gossip.receive(&mut gateway.context);
@@ -127,7 +127,7 @@
     gateway.process_events();
 }
 
-/// Handles a connection that the control socket has accepted.
+/// Adds a connection that the control socket accepted.
 pub(super) fn handle_control_connection(gateway: &mut Gateway, stream: UnixStream) {
     let now = gateway.context.now();
     let handlers = ControlHandlers {
--- a/crates/gateway/src/runtime/startup.rs
+++ b/crates/gateway/src/runtime/startup.rs
@@ -1,4 +1,4 @@
-//! Startup: the listener is bound first, so that clients wait while the other parts are opened, and accepts last.
+//! Startup: the listener is bound first, so that clients wait in its backlog, and starts accepting last.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -29,19 +29,19 @@
 use crate::runtime::timer::Timer;
 use crate::upstream::Upstream;
 
-/// The shortest interval of periodic work, whatever is configured.
+/// Lower bound for the intervals of periodic work: 1 ms, in microseconds.
 const MIN_INTERVAL: TimeDelta = TimeDelta(1_000);
-/// Descriptors that are set aside: standard streams (3), the loop's own (3), signals, listener, peers, discovery, the stream
-/// of the rollout platform, as many again for those being replaced, and votes.
+/// Descriptors that are not available for requests: standard streams (3), event loop (3), signals, listener, gossip,
+/// discovery, the stream from the rollout platform, the same number for sockets being replaced, and votes.
 const RESERVED_DESCRIPTORS: usize = 24;
 
 impl Gateway {
-    /// Opens every part behind a listener and applies the state that the configuration gives. Signals have to be blocked: the
-    /// exporter starts a helper thread, which inherits the block. Otherwise they could end the program through that thread.
+    /// Opens every part and applies the initial state from the configuration. The caller must have blocked signals: the exporter
+    /// starts a thread that inherits the block, and an unblocked signal in that thread would terminate the process.
     ///
     /// # Errors
     ///
-    /// The settings do not fit, or a socket cannot be opened.
+    /// The settings are invalid, or a socket cannot be opened.
     pub(crate) fn start(
         config: &GatewayConfig,
         listener: Listener,
@@ -107,7 +107,7 @@
         Ok(gateway)
     }
 
-    /// Applies what the configuration says of endpoints and rollouts, starts the leases, and begins to accept connections.
+    /// Applies the cached endpoint list and the rollout state, starts the leases, and starts accepting connections.
     fn apply_initial_state(
         &mut self,
         config: &GatewayConfig,
@@ -141,7 +141,7 @@
     event_loop: &EventLoop<'static, Gateway>,
 ) -> Context {
     let pool = BufferPool::new(config.limits.memory_mb);
-    let reserved = RESERVED_DESCRIPTORS + extension.descriptors();
+    let reserved = RESERVED_DESCRIPTORS + extension.reserved_descriptors();
     let descriptors = DescriptorBudget::new(config.limits.descriptors, reserved);
     let io = IoContext::new(event_loop.handle(), pool, descriptors);
     Context::new(io, SocketHandlers::of_gateway())
@@ -161,11 +161,11 @@
     }
 }
 
-/// Listens for clients, who wait until the gateway has started.
+/// Binds the listener for clients. Connections wait in its backlog until the gateway has started.
 ///
 /// # Errors
 ///
-/// The address cannot be listened on.
+/// The address cannot be bound.
 pub(crate) fn listen_on(address: SocketAddr) -> Result<Listener, StartError> {
     Listener::bind(address).map_err(|source| StartError::Listen { address, source })
 }
@@ -181,7 +181,7 @@
     path.map(|path| {
         ControlSocket::open(
             &context.handle,
-            extension.path(path),
+            extension.resolve_path(path),
             handle_control_connection,
         )
     })
@@ -212,20 +212,20 @@
     Ok(Some(Box::new(exporter)))
 }
 
-/// Blocks the signals that the event loop handles. A thread that starts later inherits the block.
+/// Blocks the signals that the event loop handles. Threads started later inherit the block.
 ///
 /// # Errors
 ///
-/// The system refuses it.
+/// The operating system reports an error.
 pub(super) fn block_signals() -> Result<Signals, StartError> {
     Signals::new(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP]).map_err(StartError::Signals)
 }
 
-/// Has the event loop handle the signals. Those that came since they were blocked are handled in its first turn.
+/// Adds the signals to the event loop. Its first iteration handles the signals that arrived while they were blocked.
 ///
 /// # Errors
 ///
-/// The loop cannot watch them.
+/// The signal source cannot be added.
 pub(super) fn watch_signals(
     event_loop: &EventLoop<'static, Gateway>,
     signals: Signals,
@@ -265,7 +265,7 @@
     let longest_timeout = parameters.classes.iter().map(|class| class.timeout).max();
     ShutdownState {
         schedule: None,
-        signals_wait_since: None,
+        signals_blocked_at: None,
         is_complete: false,
         longest_timeout: longest_timeout.unwrap_or(TimeDelta(i64::MAX)),
         check_interval: parameters.tick.max(MIN_INTERVAL),
--- a/crates/gateway/src/runtime/timer.rs
+++ b/crates/gateway/src/runtime/timer.rs
@@ -3,31 +3,31 @@
 use harrierdock_event_loop::ConnectionId;
 use harrierdock_types::RequestId;
 
-/// What a timer is for. Timers with one deadline fire in this order.
+/// The purpose of a timer. Timers with the same deadline fire in the order of these variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Timer {
-    /// The policy asked for it.
+    /// Alarm set by the policy.
     Policy,
-    /// An attempt has waited for its connection or its response for as long as it may.
+    /// Timeout of an attempt that waits for its connection or its response.
     Attempt(ConnectionId),
-    /// A vote has waited for its response for as long as it may.
+    /// Timeout of a vote that waits for its response.
     Vote(ConnectionId),
-    /// A request must have been answered.
+    /// Deadline of a request.
     RequestDeadline(RequestId),
-    /// The transport to the other site asked for it.
+    /// Next timer of the transport to the other site.
     SiteTransport,
-    /// Cross-site forwarding asked for it.
+    /// Next timer of forwarding between sites.
     MultiSite,
-    /// The leases asked for it.
+    /// Next timer of the leases.
     Lease,
-    /// The rollout controller asked for it.
+    /// Next timer of the rollout controller.
     RolloutController,
-    /// A rollout command has waited for its response for as long as it may.
+    /// Timeout of a rollout command that waits for its response.
     RolloutCommand(ConnectionId),
-    /// Idle connections, streams and descriptors are checked.
+    /// Next check of idle connections, streams and descriptors.
     Maintenance,
-    /// The counters are logged.
+    /// Next log line with the counters.
     Report,
-    /// A gateway that shuts down checks whether it can end.
+    /// Next check whether a gateway that is shutting down can exit.
     Shutdown,
 }
