--- a/crates/gateway/src/config/gateway.rs
+++ b/crates/gateway/src/config/gateway.rs
@@ -25,7 +25,7 @@
     /// Path of the configuration file.
     #[serde(skip)]
     pub(crate) path: PathBuf,
-    /// Name of this gateway, used in log lines and in the extension file.
+    /// Name of this gateway, for log lines and as its default name in the extension file.
     #[serde(default)]
     pub(crate) name: String,
     /// Address to listen on for clients.
--- a/crates/gateway/src/runtime/event_loop.rs
+++ b/crates/gateway/src/runtime/event_loop.rs
@@ -62,7 +62,7 @@
             .timers
             .next_deadline()
             .map(|deadline| self.context.clock.duration_until(deadline));
-        // The loop continues after an error, as requests on other sockets are unaffected.
+        // The loop continues after an error, so that requests on other sockets are unaffected.
         if let Err(e) = event_loop.dispatch(timeout, self) {
             self.context.counters.check_invariant(
                 false,
--- a/crates/gateway/src/runtime/maintenance.rs
+++ b/crates/gateway/src/runtime/maintenance.rs
@@ -37,8 +37,8 @@
         result
     }
 
-    /// Closes a connection to free its descriptor. Returns `false` if there is none to close. Closes unused and
-    /// stalled client connections first, then idle connections to endpoints, then recently used client connections.
+    /// Closes a connection to free its descriptor. Returns `false` if there is none to close. Unused and stalled client
+    /// connections go first, then idle connections to endpoints, then recently used client connections.
     pub(crate) fn free_descriptor(&mut self) -> bool {
         let context = &mut self.context;
         self.downstream.evict_stalled(context)
