--- a/crates/fault-injection/src/membership.rs
+++ b/crates/fault-injection/src/membership.rs
@@ -113,8 +113,8 @@
                     self.last += 1;
                     let (now, path) = (self.now, PathId(self.last));
                     self.links.insert(self.last, (ix, to));
-                    let mut more = self.all[ix].path_opened(now, path, peer);
-                    more.extend(self.all[to].path_opened(now, path, party(ix)));
+                    let mut more = self.all[ix].handle_path_opened(now, path, peer);
+                    more.extend(self.all[to].handle_path_opened(now, path, party(ix)));
                     // One that holds as many roads as it may hangs up at once.
                     if more
                         .iter()
@@ -135,7 +135,7 @@
         };
         let now = self.now;
         for ix in [a, b] {
-            let asked = self.all[ix].path_closed(now, PathId(link), orderly);
+            let asked = self.all[ix].handle_path_closed(now, PathId(link), orderly);
             self.obey(ix, asked);
         }
     }
@@ -161,7 +161,7 @@
             }
             let to = if a == ix { b } else { a };
             if let SiteMessage::Heartbeat(beat) = &letter {
-                let asked = self.all[to].heartbeat_received(self.now, PathId(link), beat);
+                let asked = self.all[to].handle_heartbeat_received(self.now, PathId(link), beat);
                 self.obey(to, asked);
             }
         }
@@ -204,7 +204,7 @@
             MemberState::Serving
         };
         world.all[ix].set_own_state(standing);
-        let version = world.all[ix].own().version;
+        let version = world.all[ix].own_record().version;
         all_rounds.push(world.known(&[ix], |r| r.version >= version));
         progress();
     }
--- a/crates/multi-site/src/failover.rs
+++ b/crates/multi-site/src/failover.rs
@@ -115,7 +115,7 @@
     }
 
     /// A request at the local site's endpoints has ended.
-    pub(crate) fn request_ended(&mut self, now: Timestamp, end: RequestEnd) {
+    pub(crate) fn record_request_end(&mut self, now: Timestamp, end: RequestEnd) {
         if end == RequestEnd::ClientGone {
             return;
         }
@@ -128,7 +128,7 @@
         }
     }
 
-    pub(crate) fn endpoints_updated(&mut self, now: Timestamp, ready: usize) {
+    pub(crate) fn handle_endpoints_updated(&mut self, now: Timestamp, ready: usize) {
         if ready == 0 && !self.is_failed_over() {
             self.fail_over(now, MoveReason::NoReadyEndpoint);
         }
--- a/crates/multi-site/src/membership/connections.rs
+++ b/crates/multi-site/src/membership/connections.rs
@@ -34,7 +34,7 @@
 
 impl Membership {
     /// A path was opened, by either end. One beyond the bound is closed again, whoever opens it.
-    pub fn path_opened(
+    pub fn handle_path_opened(
         &mut self,
         now: Timestamp,
         id: PathId,
@@ -50,7 +50,7 @@
     }
 
     /// A path was closed. If the other end has announced that (`orderly`), it is no sign of trouble.
-    pub fn path_closed(
+    pub fn handle_path_closed(
         &mut self,
         now: Timestamp,
         id: PathId,
@@ -72,7 +72,11 @@
     }
 
     /// A path could not be opened.
-    pub fn connect_failed(&mut self, now: Timestamp, peer: &GatewayName) -> Vec<MembershipAction> {
+    pub fn handle_connect_failed(
+        &mut self,
+        now: Timestamp,
+        peer: &GatewayName,
+    ) -> Vec<MembershipAction> {
         self.delay_connect(now, peer);
         self.suspect(now, peer);
         self.take_actions()
--- a/crates/multi-site/src/membership/mod.rs
+++ b/crates/multi-site/src/membership/mod.rs
@@ -129,7 +129,7 @@
     }
 
     /// This gateway's record.
-    pub fn own(&self) -> &MemberRecord {
+    pub fn own_record(&self) -> &MemberRecord {
         &self.own
     }
 
@@ -188,8 +188,13 @@
     /// How old a message is at the most that the other end sent after its heartbeat of this number; none if that is unknown.
     ///
     /// The other end's clock is not needed: the time is known at which that heartbeat, or one before it, was received here.
-    pub fn age_at_most(&self, now: Timestamp, path: PathId, sequence: u32) -> Option<TimeDelta> {
-        self.paths.get(&path)?.age_at_most(now, sequence)
+    pub fn max_message_age(
+        &self,
+        now: Timestamp,
+        path: PathId,
+        sequence: u32,
+    ) -> Option<TimeDelta> {
+        self.paths.get(&path)?.max_message_age(now, sequence)
     }
 
     /// Announces another state of this gateway.
@@ -202,7 +207,7 @@
     }
 
     /// Takes in a heartbeat.
-    pub fn heartbeat_received(
+    pub fn handle_heartbeat_received(
         &mut self,
         now: Timestamp,
         id: PathId,
--- a/crates/multi-site/src/membership/path.rs
+++ b/crates/multi-site/src/membership/path.rs
@@ -87,7 +87,7 @@
     }
 
     /// How old a message is at the most that was sent after the heartbeat of this number; none if that is unknown.
-    pub(super) fn age_at_most(&self, now: Timestamp, sequence: u32) -> Option<TimeDelta> {
+    pub(super) fn max_message_age(&self, now: Timestamp, sequence: u32) -> Option<TimeDelta> {
         let before = self
             .received
             .iter()
--- a/crates/multi-site/src/multi_site/inbound.rs
+++ b/crates/multi-site/src/multi_site/inbound.rs
@@ -11,7 +11,7 @@
 
 impl MultiSite {
     /// A request runs at most once, whatever copies of it come. One that is not accepted never runs.
-    pub(super) fn inbound_received(&mut self, path: PathId, request: ForwardedRequest) {
+    pub(super) fn handle_inbound_received(&mut self, path: PathId, request: ForwardedRequest) {
         let Some(sender) = self.peer(path) else {
             return;
         };
@@ -83,14 +83,18 @@
         match self.config.classes[class.0].retry_safety {
             RetrySafety::IdempotencyKey { .. } => self
                 .membership
-                .age_at_most(self.now, path, request.heartbeat_sequence)
+                .max_message_age(self.now, path, request.heartbeat_sequence)
                 .map_or(TimeDelta::ZERO, |age| remaining - age),
             RetrySafety::Idempotent | RetrySafety::NonIdempotent => remaining,
         }
     }
 
     /// Answers a request that ran here.
-    pub(super) fn inbound_completed(&mut self, inbound: InboundId, completion: InboundCompletion) {
+    pub(super) fn handle_inbound_completed(
+        &mut self,
+        inbound: InboundId,
+        completion: InboundCompletion,
+    ) {
         let completed = self
             .inbound
             .complete_running(self.now, inbound, completion.clone());
@@ -103,7 +107,7 @@
     }
 
     /// Answers what became of a request. One that has not come is not accepted any more from now on, however late it comes.
-    pub(super) fn status_queried(
+    pub(super) fn handle_status_queried(
         &mut self,
         path: PathId,
         forwarding_id: u64,
@@ -134,7 +138,7 @@
     }
 
     /// The client of a request at the other site went away.
-    pub(super) fn inbound_cancelled(
+    pub(super) fn handle_inbound_cancelled(
         &mut self,
         path: PathId,
         forwarding_id: u64,
--- a/crates/multi-site/src/multi_site/mod.rs
+++ b/crates/multi-site/src/multi_site/mod.rs
@@ -108,18 +108,18 @@
                 id,
                 class,
                 remaining,
-            } => self.request_received(id, class, remaining),
+            } => self.handle_request_received(id, class, remaining),
             Event::LocallyRejected {
                 id,
                 class,
                 remaining,
-            } => self.locally_rejected(id, class, remaining),
-            Event::ClientGone { id } => self.client_gone(id),
+            } => self.handle_locally_rejected(id, class, remaining),
+            Event::ClientGone { id } => self.handle_client_gone(id),
             Event::RequestEnded {
                 class,
                 end,
                 elapsed,
-            } => self.request_ended(class, end, elapsed),
+            } => self.handle_request_ended(class, end, elapsed),
             Event::InboundCompleted {
                 inbound,
                 outcome,
@@ -131,16 +131,16 @@
                     build,
                     body,
                 };
-                self.inbound_completed(inbound, completion);
+                self.handle_inbound_completed(inbound, completion);
             }
             Event::EndpointsUpdated { ready } => {
                 self.ready_endpoints = ready;
-                self.failover.endpoints_updated(self.now, ready);
+                self.failover.handle_endpoints_updated(self.now, ready);
             }
-            Event::PathOpened { path, peer } => self.path_opened(path, peer),
-            Event::PathClosed { path, orderly } => self.path_closed(path, orderly),
-            Event::ConnectFailed { peer } => self.connect_failed(&peer),
-            Event::MessageReceived { path, message } => self.message_received(path, message),
+            Event::PathOpened { path, peer } => self.handle_path_opened(path, peer),
+            Event::PathClosed { path, orderly } => self.handle_path_closed(path, orderly),
+            Event::ConnectFailed { peer } => self.handle_connect_failed(&peer),
+            Event::MessageReceived { path, message } => self.handle_message_received(path, message),
             Event::OperatorCommand(command) => {
                 self.is_drained = command == OperatorCommand::Drain;
                 self.failover.set_drained(self.now, self.is_drained);
@@ -155,23 +155,23 @@
     }
 
     /// A request at the local endpoints has ended.
-    fn request_ended(&mut self, class: ClassId, end: RequestEnd, elapsed: TimeDelta) {
+    fn handle_request_ended(&mut self, class: ClassId, end: RequestEnd, elapsed: TimeDelta) {
         let class = self.config.classes.get(class.0);
         let is_late = class.is_some_and(|class| elapsed > class.latency_objective);
-        self.offered_capacity.request_ended(end, is_late);
-        self.failover.request_ended(self.now, end);
+        self.offered_capacity.record_request_end(end, is_late);
+        self.failover.record_request_end(self.now, end);
     }
 
-    fn message_received(&mut self, path: PathId, message: SiteMessage) {
+    fn handle_message_received(&mut self, path: PathId, message: SiteMessage) {
         match message {
-            SiteMessage::Heartbeat(heartbeat) => self.heartbeat_received(path, &heartbeat),
-            SiteMessage::Request(request) => self.inbound_received(path, request),
-            SiteMessage::Response(response) => self.response_received(path, response),
+            SiteMessage::Heartbeat(heartbeat) => self.handle_heartbeat_received(path, &heartbeat),
+            SiteMessage::Request(request) => self.handle_inbound_received(path, request),
+            SiteMessage::Response(response) => self.handle_response_received(path, response),
             SiteMessage::StatusQuery {
                 forwarding_id,
                 sender_incarnation,
                 receiver_incarnation,
-            } => self.status_queried(
+            } => self.handle_status_queried(
                 path,
                 forwarding_id,
                 sender_incarnation,
@@ -180,7 +180,7 @@
             SiteMessage::Cancel {
                 forwarding_id,
                 sender_incarnation,
-            } => self.inbound_cancelled(path, forwarding_id, sender_incarnation),
+            } => self.handle_inbound_cancelled(path, forwarding_id, sender_incarnation),
         }
     }
 
@@ -194,7 +194,7 @@
                 was_served: false,
                 elapsed: TimeDelta::ZERO,
             };
-            self.path_selector.request_finished(self.now, &result);
+            self.path_selector.record_result(self.now, &result);
             self.actions.push(Action::Fail { id: request.id });
         }
         self.inbound.forget_old(self.now);
@@ -261,7 +261,7 @@
 
     /// This gateway's incarnation. It can rise above the configured one, if others believe in a later one.
     pub fn incarnation(&self) -> u64 {
-        self.membership.own().incarnation
+        self.membership.own_record().incarnation
     }
 
     /// What was counted so far.
--- a/crates/multi-site/src/multi_site/outbound.rs
+++ b/crates/multi-site/src/multi_site/outbound.rs
@@ -13,7 +13,12 @@
 
 impl MultiSite {
     /// A request is forwarded only while the local endpoints are not to have it. The local policy sees all others.
-    pub(super) fn request_received(&mut self, id: RequestId, class: ClassId, remaining: TimeDelta) {
+    pub(super) fn handle_request_received(
+        &mut self,
+        id: RequestId,
+        class: ClassId,
+        remaining: TimeDelta,
+    ) {
         let is_forwarded = self.config.classes.get(class.0).is_some()
             && self
                 .failover
@@ -33,10 +38,16 @@
     }
 
     /// What the local policy would reject may be forwarded, while there is time.
-    pub(super) fn locally_rejected(&mut self, id: RequestId, class: ClassId, remaining: TimeDelta) {
-        self.failover.request_ended(self.now, RequestEnd::Rejected);
+    pub(super) fn handle_locally_rejected(
+        &mut self,
+        id: RequestId,
+        class: ClassId,
+        remaining: TimeDelta,
+    ) {
+        self.failover
+            .record_request_end(self.now, RequestEnd::Rejected);
         self.offered_capacity
-            .request_ended(RequestEnd::Rejected, false);
+            .record_request_end(RequestEnd::Rejected, false);
         if !self.forward(id, class, remaining, true) {
             self.reject(id);
         }
@@ -81,7 +92,7 @@
             deduplicates_across_sites: parameters.deduplicates_across_sites,
             path: path_id,
         });
-        self.path_selector.request_forwarded(path_id, class);
+        self.path_selector.record_forwarded(path_id, class);
         self.counters.forwarded += 1;
         self.actions.push(Action::Forward {
             id,
@@ -102,7 +113,7 @@
     }
 
     /// Tells the other site that the client of a forwarded request went away.
-    pub(super) fn client_gone(&mut self, id: RequestId) {
+    pub(super) fn handle_client_gone(&mut self, id: RequestId) {
         let Some((forwarding_id, request)) = self.outbound.take_abandoned(id) else {
             return;
         };
@@ -119,7 +130,7 @@
     }
 
     /// Only the first response to a forwarded request counts.
-    pub(super) fn response_received(&mut self, path: PathId, response: ForwardingResponse) {
+    pub(super) fn handle_response_received(&mut self, path: PathId, response: ForwardingResponse) {
         let is_ours = response.sender_incarnation == self.incarnation();
         let peer = self.membership.peer(path).filter(|_| is_ours);
         let request =
@@ -138,7 +149,7 @@
             was_served,
             elapsed: self.now - request.sent,
         };
-        self.path_selector.request_finished(self.now, &result);
+        self.path_selector.record_result(self.now, &result);
         self.counters.refused_there += u64::from(!was_served);
         self.finish(request, response);
     }
--- a/crates/multi-site/src/multi_site/paths.rs
+++ b/crates/multi-site/src/multi_site/paths.rs
@@ -7,26 +7,26 @@
 use crate::{Action, MembershipAction};
 
 impl MultiSite {
-    pub(super) fn path_opened(&mut self, path: PathId, peer: GatewayName) {
-        let actions = self.membership.path_opened(self.now, path, peer);
+    pub(super) fn handle_path_opened(&mut self, path: PathId, peer: GatewayName) {
+        let actions = self.membership.handle_path_opened(self.now, path, peer);
         self.apply_membership_actions(actions);
         self.send_heartbeats();
     }
 
-    pub(super) fn path_closed(&mut self, path: PathId, orderly: bool) {
-        let actions = self.membership.path_closed(self.now, path, orderly);
+    pub(super) fn handle_path_closed(&mut self, path: PathId, orderly: bool) {
+        let actions = self.membership.handle_path_closed(self.now, path, orderly);
         self.apply_membership_actions(actions);
     }
 
-    pub(super) fn connect_failed(&mut self, peer: &GatewayName) {
-        let actions = self.membership.connect_failed(self.now, peer);
+    pub(super) fn handle_connect_failed(&mut self, peer: &GatewayName) {
+        let actions = self.membership.handle_connect_failed(self.now, peer);
         self.apply_membership_actions(actions);
     }
 
-    pub(super) fn heartbeat_received(&mut self, path: PathId, heartbeat: &Heartbeat) {
+    pub(super) fn handle_heartbeat_received(&mut self, path: PathId, heartbeat: &Heartbeat) {
         let actions = self
             .membership
-            .heartbeat_received(self.now, path, heartbeat);
+            .handle_heartbeat_received(self.now, path, heartbeat);
         self.apply_membership_actions(actions);
         let grants = self.known_classes(&heartbeat.grants);
         let demand = self.known_classes(&heartbeat.demand);
@@ -90,10 +90,10 @@
                 MembershipAction::Changed(change) => {
                     self.actions.push(Action::StatusChanged(change));
                 }
-                MembershipAction::PathUsable { path } => self.path_usable(path),
-                MembershipAction::PathLost { path } => self.path_lost(path),
+                MembershipAction::PathUsable { path } => self.handle_path_usable(path),
+                MembershipAction::PathLost { path } => self.handle_path_lost(path),
                 MembershipAction::PeerRestarted { peer, incarnation } => {
-                    self.peer_restarted(&peer, incarnation);
+                    self.handle_peer_restarted(&peer, incarnation);
                 }
             }
         }
@@ -105,7 +105,7 @@
     }
 
     /// Asks for the responses that the other end owes.
-    fn path_usable(&mut self, path: PathId) {
+    fn handle_path_usable(&mut self, path: PathId) {
         let Some(peer) = self.peer(path) else {
             return;
         };
@@ -121,7 +121,7 @@
     }
 
     /// Serves locally what may run again. The rest waits for a late response until its deadline.
-    fn path_lost(&mut self, path: PathId) {
+    fn handle_path_lost(&mut self, path: PathId) {
         self.forget_path(path);
         let retries =
             self.outbound
@@ -132,7 +132,7 @@
     }
 
     /// What an earlier incarnation has received will not be answered, and nobody waits for what it has forwarded.
-    fn peer_restarted(&mut self, peer: &GatewayName, incarnation: u64) {
+    fn handle_peer_restarted(&mut self, peer: &GatewayName, incarnation: u64) {
         for request in self.outbound.take_lost_by_restart(peer, incarnation) {
             self.finish_unknown(request);
         }
--- a/crates/multi-site/src/multi_site/status.rs
+++ b/crates/multi-site/src/multi_site/status.rs
@@ -140,7 +140,7 @@
         let open = self.open_requests();
         Status {
             gateway: self.config.own_name.to_string(),
-            state: state_text(self.membership.own().state).into(),
+            state: state_text(self.membership.own_record().state).into(),
             traffic_location: location_text(traffic.location).into(),
             move_reason: reason_text(traffic.reason).into(),
             ready_endpoints: self.ready_endpoints,
--- a/crates/multi-site/src/offered_capacity.rs
+++ b/crates/multi-site/src/offered_capacity.rs
@@ -86,7 +86,7 @@
     }
 
     /// A request that the local endpoints were to serve has ended, be it a client's or an inbound one.
-    pub(crate) fn request_ended(&mut self, end: RequestEnd, is_late: bool) {
+    pub(crate) fn record_request_end(&mut self, end: RequestEnd, is_late: bool) {
         if end == RequestEnd::ClientGone {
             return;
         }
--- a/crates/multi-site/src/path_selection.rs
+++ b/crates/multi-site/src/path_selection.rs
@@ -127,14 +127,14 @@
         best.map(|(id, _)| *id)
     }
 
-    pub(crate) fn request_forwarded(&mut self, path: PathId, class: ClassId) {
+    pub(crate) fn record_forwarded(&mut self, path: PathId, class: ClassId) {
         if let Some(credit) = self.credit.get_mut(&path) {
             credit.available[class.0] -= 1.0;
             credit.in_flight += 1.0;
         }
     }
 
-    pub(crate) fn request_finished(&mut self, now: Timestamp, result: &ForwardingResult) {
+    pub(crate) fn record_result(&mut self, now: Timestamp, result: &ForwardingResult) {
         let was_served = result.was_served;
         if was_served {
             let mean = &mut self.response_times[result.class.0];
