--- a/crates/multi-site/benches/decisions.rs
+++ b/crates/multi-site/benches/decisions.rs
@@ -1,5 +1,5 @@
-//! What the decisions cost a request that stays local, and one that is forwarded and answered, without sockets; and what the
-//! encoding and decoding of a message cost.
+//! Benchmarks without sockets: the decisions for a local request and for a forwarded request with its response, and the
+//! encoding and decoding of a message.
 
 use std::hint::black_box;
 
@@ -18,7 +18,7 @@
 const START: Timestamp = Timestamp(1_000_000_000);
 const PATH: PathId = PathId(1);
 const OWN_INCARNATION: u64 = 5;
-/// Credit is granted anew before it is used up.
+/// Credit is granted again before it is used up.
 const REQUESTS_PER_GRANT: u64 = 50_000;
 
 fn gateway_name(site: &str, gateway: &str) -> GatewayName {
--- a/crates/multi-site/src/action.rs
+++ b/crates/multi-site/src/action.rs
@@ -1,4 +1,4 @@
-//! What the decisions ask for.
+//! The actions that [`crate::MultiSite::handle`] returns to its caller.
 
 use std::net::SocketAddr;
 
@@ -10,91 +10,91 @@
 /// One action to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Give a client's request to the local policy.
+    /// Pass a client's request to the local policy.
     ServeLocally {
-        /// The request.
+        /// The client's request.
         id: RequestId,
         /// The time until its deadline.
         remaining: TimeDelta,
     },
     /// Forward a client's request.
     Forward {
-        /// The request.
+        /// The client's request.
         id: RequestId,
         /// The path to send it on.
         path: PathId,
-        /// The number under which it is forwarded.
+        /// This gateway's id for the forwarded request.
         forwarding_id: u64,
-        /// The incarnation of the receiver that it is meant for.
+        /// The receiver must refuse the request if it now runs under another incarnation.
         receiver_incarnation: u64,
-        /// The newest heartbeat sent so far.
+        /// The sequence number of the newest heartbeat sent before the request.
         heartbeat_sequence: u32,
-        /// The time that the receiver has for it.
+        /// The time within which the receiver must answer.
         remaining: TimeDelta,
     },
-    /// Answer a client's request with what the other site answered.
+    /// Answer a client's request with the other site's response.
     Succeed {
-        /// The request.
+        /// The client's request.
         id: RequestId,
-        /// The answer's body.
+        /// The body of the response.
         body: Vec<u8>,
-        /// The build that answered it.
+        /// The build of the endpoint that answered, if known.
         build: Option<BuildId>,
     },
     /// Reject a client's request.
     Reject {
-        /// The request.
+        /// The client's request.
         id: RequestId,
-        /// What the client is asked to wait.
+        /// When the client should retry; `None` if it gets no hint.
         retry_after: Option<TimeDelta>,
     },
-    /// Fail a client's request, whose effect is unknown.
+    /// Fail a client's request: whether it took effect is unknown.
     Fail {
-        /// The request.
+        /// The client's request.
         id: RequestId,
     },
-    /// Give an inbound request to the local policy.
+    /// Pass an inbound request to the local policy.
     ServeInbound {
-        /// The inbound request.
+        /// This gateway's id for the inbound request.
         inbound: InboundId,
-        /// Its class.
+        /// Its request class at this gateway.
         class: ClassId,
-        /// Its affinity key.
+        /// Its affinity key, if the client sent one.
         key: Option<AffinityKey>,
         /// The time until its deadline.
         remaining: TimeDelta,
-        /// The request as it was forwarded.
+        /// The message that forwarded it.
         request: ForwardedRequest,
     },
-    /// Treat an inbound request as one whose client went away.
+    /// Abandon an inbound request, as if its client had disconnected.
     AbandonInbound {
-        /// The inbound request.
+        /// The id from [`Action::ServeInbound`].
         inbound: InboundId,
     },
-    /// Open a path.
+    /// Open a path to a gateway of the other site.
     Connect {
-        /// The gateway at its other end.
+        /// The gateway to connect to.
         peer: GatewayName,
-        /// Where it is reached.
+        /// The address to connect to.
         address: SocketAddr,
     },
-    /// Close a path.
+    /// Close a path that is no longer used.
     ClosePath {
-        /// The path.
+        /// The path to close.
         path: PathId,
     },
-    /// Send a message.
+    /// Send a message to the gateway at the other end of a path.
     Send {
         /// The path to send it on.
         path: PathId,
-        /// The message.
+        /// The message to encode and send.
         message: SiteMessage,
     },
-    /// Report a change to operators.
+    /// Log a change for operators.
     StatusChanged(Change),
-    /// Send [`crate::Event::TimerFired`] after this time, in place of any timer asked for before.
+    /// Send [`crate::Event::TimerFired`] after this time. Replaces the timer that is set.
     SetTimer {
-        /// The time from now.
+        /// The time from the handled event to the timer.
         after: TimeDelta,
     },
 }
@@ -102,58 +102,58 @@
 /// A change to report to operators.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
-    /// A gateway was heard of for the first time.
+    /// A membership record named a gateway for the first time.
     Joined {
-        /// The gateway.
+        /// The new gateway.
         gateway: GatewayName,
     },
-    /// A gateway's state has changed.
+    /// A gateway changed its state or restarted.
     Member {
-        /// The gateway.
+        /// The gateway whose record changed.
         gateway: GatewayName,
-        /// Its state now.
+        /// Its new state.
         state: MemberState,
-        /// It was suspected or lost before.
+        /// Its former state was suspected or lost.
         returned: bool,
-        /// It has started anew.
+        /// Its incarnation has changed.
         restarted: bool,
     },
-    /// This gateway's traffic goes elsewhere.
+    /// This gateway's traffic was moved between the sites.
     TrafficMoved {
-        /// Where it goes now.
+        /// Where the traffic goes now.
         location: TrafficLocation,
-        /// Why.
+        /// Why it was moved.
         reason: MoveReason,
     },
-    /// Responses matched no forwarded request.
+    /// Responses arrived that matched no open forwarded request.
     UnmatchedResponses {
-        /// How many since the last such report.
+        /// The number of such responses since the last report.
         count: u64,
     },
 }
 
-/// Where this gateway's traffic goes.
+/// Where this gateway sends its clients' requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TrafficLocation {
     /// To the local site's endpoints.
     Local,
-    /// To the other site.
+    /// To the other site, except for probes of the local one.
     FailedOver,
-    /// Back to the local site, a growing share of it.
+    /// To both sites: the local site's share grows until the slow start is over.
     Returning,
 }
 
 /// Why traffic was moved.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MoveReason {
-    /// An operator has commanded it.
+    /// An operator drained or resumed this site.
     OperatorCommand,
     /// No local endpoint is ready.
     NoReadyEndpoint,
-    /// Local requests ended one after another and none succeeded.
+    /// The latest local requests all failed or were rejected.
     NothingSucceeds,
-    /// Local requests succeed.
+    /// Probes of the local site succeed again.
     RequestsSucceed,
-    /// The return of traffic is complete.
+    /// All traffic has returned to the local site.
     SlowStartOver,
 }
--- a/crates/multi-site/src/config.rs
+++ b/crates/multi-site/src/config.rs
@@ -1,4 +1,4 @@
-//! What a gateway is configured with.
+//! The configuration of one gateway's decisions.
 
 use std::net::SocketAddr;
 
@@ -8,46 +8,46 @@
 /// The time between two heartbeats on a path, and between two evaluations of paths, credit and failover.
 pub const HEARTBEAT_INTERVAL: TimeDelta = TimeDelta(100_000);
 
-/// One request class.
+/// A request class as both sites know it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestClass {
-    /// Its name, the same at both sites.
+    /// The class name, the same at both sites.
     pub name: String,
-    /// Whether a request of it may run twice.
+    /// Whether a request of this class may run twice.
     pub retry_safety: RetrySafety,
-    /// An answer within it counts as in time.
+    /// A response that takes longer counts as late.
     pub latency_objective: TimeDelta,
-    /// The longest time that a client waits.
+    /// The longest time that a client waits for a response.
     pub timeout: TimeDelta,
-    /// What a request answered in time is worth against those of other classes.
+    /// The value of a request answered in time, relative to other classes. Scarce credit goes to the highest first.
     pub priority_weight: f64,
-    /// Its deduplication group has endpoints at both sites.
+    /// Whether a deduplication group of this class has endpoints at both sites.
     pub deduplicates_across_sites: bool,
 }
 
-/// The configuration of one gateway between two sites.
+/// The configuration of one gateway that forwards between two sites.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MultiSiteConfig {
-    /// This gateway.
+    /// This gateway's site and name.
     pub own_name: GatewayName,
-    /// Where the other site's gateways reach it.
+    /// The address at which the other site's gateways reach this gateway.
     pub address: Option<SocketAddr>,
-    /// This start's number, above those of all earlier starts.
+    /// The number of this start, higher than that of every earlier start.
     pub incarnation: u64,
-    /// The other site's name.
+    /// The name of the other site.
     pub other_site: String,
-    /// Gateways of the other site that are known from the start.
+    /// The gateways of the other site that are configured, with their addresses.
     pub seeds: Vec<(GatewayName, SocketAddr)>,
     /// The request classes, in the order of their [`harrierdock_types::ClassId`].
     pub classes: Vec<RequestClass>,
-    /// How long an endpoint warms up.
+    /// How long an endpoint warms up; traffic takes as long to return to this site.
     pub slow_start_window: TimeDelta,
-    /// The tick of the event loop: no timer is more exact.
+    /// The tick of the event loop, which is the resolution of its timers.
     pub tick: TimeDelta,
-    /// What a rejected client is asked to wait.
+    /// When a rejected client should retry; `None` gives it no hint.
     pub retry_after: Option<TimeDelta>,
-    /// The most bytes that stored responses may take.
+    /// The limit on the bytes of all stored response bodies.
     pub stored_response_bytes: usize,
-    /// The seed of all random draws.
+    /// The seed of the random number generators.
     pub seed: u64,
 }
--- a/crates/multi-site/src/event.rs
+++ b/crates/multi-site/src/event.rs
@@ -1,13 +1,13 @@
-//! The events that the decisions handle.
+//! The events that [`crate::MultiSite::handle`] takes.
 
 use harrierdock_site_messages::{ForwardingOutcome, GatewayName, PathId, SiteMessage};
 use harrierdock_types::{BuildId, ClassId, RequestId, TimeDelta};
 
-/// An inbound request, by a number that is never used twice.
+/// This gateway's id for an inbound request, never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct InboundId(pub u64);
 
-/// What an operator commands.
+/// A command from an operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OperatorCommand {
     /// Forward all requests, and accept none from the other site.
@@ -16,100 +16,100 @@
     Resume,
 }
 
-/// How a request ended that the local policy was given.
+/// How a request ended that the local policy handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestEnd {
-    /// It was answered.
+    /// An endpoint answered it.
     Succeeded,
-    /// It was rejected, and nothing of it has run.
+    /// It was rejected without having run.
     Rejected,
     /// It failed, or was rejected although it may have run.
     Failed,
-    /// Its client went away.
+    /// Its client disconnected.
     ClientGone,
 }
 
-/// One event.
+/// An event that may change a decision.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// A client's request was received.
     RequestReceived {
-        /// The request.
+        /// This gateway's id for the request.
         id: RequestId,
-        /// Its class.
+        /// The request class.
         class: ClassId,
         /// The time until its deadline.
         remaining: TimeDelta,
     },
-    /// The local policy would reject a client's request of which nothing has run.
+    /// The local policy is about to reject a client's request that has not run.
     LocallyRejected {
-        /// The request.
+        /// The request from [`Event::RequestReceived`].
         id: RequestId,
-        /// Its class.
+        /// The request class.
         class: ClassId,
         /// The time until its deadline.
         remaining: TimeDelta,
     },
-    /// The client of a request went away.
+    /// The client of a request disconnected.
     ClientGone {
-        /// The request.
+        /// The request from [`Event::RequestReceived`].
         id: RequestId,
     },
-    /// A request that the local policy was given has ended, be it a client's or an inbound one.
+    /// The local policy has finished a client's or an inbound request.
     RequestEnded {
-        /// Its class.
+        /// The request class.
         class: ClassId,
-        /// How it ended.
+        /// How the request ended.
         end: RequestEnd,
-        /// The time it took.
+        /// The time from its receipt to its end.
         elapsed: TimeDelta,
     },
-    /// An inbound request was answered here.
+    /// The local policy has completed an inbound request.
     InboundCompleted {
-        /// The inbound request.
+        /// The id from [`crate::Action::ServeInbound`].
         inbound: InboundId,
-        /// What became of it.
+        /// The outcome to report to the other site.
         outcome: ForwardingOutcome,
-        /// The build that answered it.
+        /// The build of the endpoint that answered, if one did.
         build: Option<BuildId>,
-        /// The answer's body.
+        /// The response body, empty without a response.
         body: Vec<u8>,
     },
     /// The endpoint list has changed.
     EndpointsUpdated {
-        /// How many endpoints are ready.
+        /// The number of ready endpoints at the local site.
         ready: usize,
     },
-    /// A path was opened, by either end.
+    /// Either end opened a path.
     PathOpened {
-        /// The path.
+        /// The id of the new path.
         path: PathId,
-        /// Its other end.
+        /// The gateway at its other end.
         peer: GatewayName,
     },
-    /// A path was closed.
+    /// A path was closed or its connection was lost.
     PathClosed {
-        /// The path.
+        /// The id of the closed path.
         path: PathId,
-        /// The other end has announced that it closes the path.
+        /// Whether the other end announced the close.
         orderly: bool,
     },
-    /// A path could not be opened.
+    /// The connect requested by [`crate::Action::Connect`] failed.
     ConnectFailed {
-        /// The gateway that was to be its other end.
+        /// The gateway that could not be reached.
         peer: GatewayName,
     },
-    /// A message was received.
+    /// A message arrived from the other site.
     MessageReceived {
-        /// The path it came on.
+        /// The path on which it arrived.
         path: PathId,
-        /// The message.
+        /// The decoded message.
         message: SiteMessage,
     },
     /// An operator gave a command.
     OperatorCommand(OperatorCommand),
-    /// The gateway shuts down.
+    /// The gateway has started to shut down.
     ShutdownStarted,
-    /// The timer that [`crate::Action::SetTimer`] asked for has fired.
+    /// The timer set by [`crate::Action::SetTimer`] has fired.
     TimerFired,
 }
--- a/crates/multi-site/src/failover.rs
+++ b/crates/multi-site/src/failover.rs
@@ -7,23 +7,23 @@
 
 use crate::{Change, MoveReason, RequestEnd, TrafficLocation, HEARTBEAT_INTERVAL};
 
-/// So many local requests in a row of which none succeeded, within this many intervals, show that the site fails.
-const FAILURES_TO_FAIL_OVER: usize = 8;
+/// The local site counts as failed when this many requests in a row did not succeed within this many heartbeat intervals.
+const FAILURES_BEFORE_FAILOVER: usize = 8;
 const FAILURE_WINDOW_INTERVALS: f64 = 30.0;
-/// The share of idempotent requests that still goes to the local site during a failover, to see whether any succeeds.
+/// The share of idempotent requests that goes to the local site during a failover, to probe whether it has recovered.
 const PROBE_RATIO: f64 = 0.05;
-/// How many of the latest probes are looked at, and how many of them must have succeeded for traffic to return.
+/// Traffic returns once this many of the latest probes succeeded.
 const PROBES_CONSIDERED: usize = 5;
 const PROBE_SUCCESSES: usize = 4;
-/// The shortest time of a failover. It doubles with each failover that follows another within [`FLAPPING_WINDOW`], so that a site
-/// that keeps failing and recovering doesn't move all traffic each time: at most five failovers begin in a minute.
+/// The minimum duration of a failover. It doubles with each failover within [`FLAPPING_WINDOW`] of the last, so that a
+/// site that keeps failing and recovering starts at most five failovers in a minute.
 const MIN_FAILOVER: TimeDelta = TimeDelta(2_000_000);
 const MAX_MIN_FAILOVER: TimeDelta = TimeDelta(30_000_000);
 const FLAPPING_WINDOW: TimeDelta = TimeDelta(60_000_000);
-/// Distinguishes the draws from those of membership, which have the same seed.
+/// Makes the random draws differ from those of membership, which uses the same seed.
 const SEED_SALT: u64 = 0x5157;
 
-/// How a request at the local site's endpoints ended.
+/// The result of one request at the local site's endpoints.
 struct LocalResult {
     at: Timestamp,
     succeeded: bool,
@@ -40,15 +40,15 @@
 pub(crate) struct Failover {
     rng: WyRand,
     status: TrafficStatus,
-    /// An operator has drained this site.
+    /// Whether an operator has drained this site.
     is_drained: bool,
-    /// The earliest end of the current failover, and how long it lasts at the least.
+    /// When the current failover may end, and its minimum duration.
     earliest_return: Timestamp,
-    min_duration: TimeDelta,
+    min_failover: TimeDelta,
     last_failover: Option<Timestamp>,
     /// The latest results, oldest first.
     results: VecDeque<LocalResult>,
-    /// How long traffic takes to return.
+    /// How long the local site's share takes to grow back to all traffic.
     return_duration: TimeDelta,
     moves: u64,
     changes: Vec<Change>,
@@ -65,7 +65,7 @@
             },
             is_drained: false,
             earliest_return: Timestamp(0),
-            min_duration: MIN_FAILOVER,
+            min_failover: MIN_FAILOVER,
             last_failover: None,
             results: VecDeque::new(),
             return_duration: slow_start_window,
@@ -74,7 +74,7 @@
         }
     }
 
-    /// The share of the traffic that goes to the other site now.
+    /// The share of requests to forward to the other site.
     fn forwarded_ratio(&self, now: Timestamp) -> f64 {
         match self.status.location {
             TrafficLocation::Local => 0.0,
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Whether this request goes to the other site. During a failover a few that `may_probe` go to the local one.
+    /// Whether to forward this request. During a failover, a few requests that `may_probe` go to the local site.
     pub(crate) fn should_forward(&mut self, now: Timestamp, may_probe: bool) -> bool {
         let ratio = self.forwarded_ratio(now);
         if ratio <= 0.0 {
@@ -109,12 +109,12 @@
         self.status
     }
 
-    /// How often traffic has begun to go elsewhere.
+    /// How many failovers and returns have started.
     pub(crate) fn moves(&self) -> u64 {
         self.moves
     }
 
-    /// A request at the local site's endpoints has ended.
+    /// Records the result of a request at the local site's endpoints.
     pub(crate) fn record_request_end(&mut self, now: Timestamp, end: RequestEnd) {
         if end == RequestEnd::ClientGone {
             return;
@@ -123,7 +123,7 @@
             at: now,
             succeeded: end == RequestEnd::Succeeded,
         });
-        if self.results.len() > FAILURES_TO_FAIL_OVER {
+        if self.results.len() > FAILURES_BEFORE_FAILOVER {
             self.results.pop_front();
         }
     }
@@ -147,17 +147,17 @@
         }
     }
 
-    /// Looks whether the local site fails, or has recovered. Returns all changes since the last evaluation.
+    /// Checks whether the local site has failed or recovered. Returns all changes since the last evaluation.
     pub(crate) fn evaluate(&mut self, now: Timestamp, ready: usize) -> Vec<Change> {
         match self.status.location {
             TrafficLocation::FailedOver => {
                 let may_return = !self.is_drained && now >= self.earliest_return && ready > 0;
-                if may_return && self.probes_succeed() {
+                if may_return && self.has_recovered() {
                     let reason = MoveReason::RequestsSucceed;
                     self.move_traffic(now, TrafficLocation::Returning, reason);
                 }
             }
-            TrafficLocation::Local | TrafficLocation::Returning if self.nothing_succeeds(now) => {
+            TrafficLocation::Local | TrafficLocation::Returning if self.has_failed(now) => {
                 self.fail_over(now, MoveReason::NothingSucceeds);
             }
             TrafficLocation::Returning if self.forwarded_ratio(now) <= 0.0 => {
@@ -168,7 +168,7 @@
         std::mem::take(&mut self.changes)
     }
 
-    fn probes_succeed(&self) -> bool {
+    fn has_recovered(&self) -> bool {
         let latest = self.results.iter().rev().take(PROBES_CONSIDERED);
         let successes = latest
             .clone()
@@ -177,9 +177,9 @@
         latest.count() >= PROBES_CONSIDERED && successes >= PROBE_SUCCESSES
     }
 
-    fn nothing_succeeds(&self, now: Timestamp) -> bool {
+    fn has_failed(&self, now: Timestamp) -> bool {
         let window = HEARTBEAT_INTERVAL * FAILURE_WINDOW_INTERVALS;
-        self.results.len() >= FAILURES_TO_FAIL_OVER
+        self.results.len() >= FAILURES_BEFORE_FAILOVER
             && self.results.iter().all(|r| !r.succeeded)
             && self.results.front().is_some_and(|r| now - r.at <= window)
     }
@@ -188,13 +188,13 @@
         let is_flapping = self
             .last_failover
             .is_some_and(|at| now - at < FLAPPING_WINDOW);
-        self.min_duration = if is_flapping {
-            (self.min_duration * 2.0).min(MAX_MIN_FAILOVER)
+        self.min_failover = if is_flapping {
+            (self.min_failover * 2.0).min(MAX_MIN_FAILOVER)
         } else {
             MIN_FAILOVER
         };
         self.last_failover = Some(now);
-        self.earliest_return = now + self.min_duration;
+        self.earliest_return = now + self.min_failover;
         self.move_traffic(now, TrafficLocation::FailedOver, reason);
     }
 
--- a/crates/multi-site/src/lib.rs
+++ b/crates/multi-site/src/lib.rs
@@ -1,8 +1,8 @@
-//! Decisions about a second site, without I/O: which requests are forwarded to it, what becomes of them, which of its requests
-//! are served here, and which of its gateways are there.
+//! Decisions about forwarding between two sites, without I/O: which requests go to the other site, how they end, which of
+//! the other site's requests are served here, and which of its gateways are alive.
 //!
-//! [`MultiSite`] is one gateway's part. [`MultiSite::handle`] takes one event with the time and returns the actions to carry out,
-//! in order. It has no clock; its randomness comes from the configured seed.
+//! [`MultiSite`] makes the decisions of one gateway. [`MultiSite::handle`] takes an event and the current time, and returns
+//! the actions to carry out in order. It reads no clock and draws random numbers only from the configured seed.
 
 #![warn(missing_docs, unreachable_pub)]
 
--- a/crates/multi-site/src/membership/connections.rs
+++ b/crates/multi-site/src/membership/connections.rs
@@ -1,4 +1,4 @@
-//! Which paths are opened and closed.
+//! Opening and closing paths to gateways of the other site.
 
 use harrierdock_site_messages::{GatewayName, MemberState, PathId};
 use harrierdock_types::Timestamp;
@@ -7,33 +7,33 @@
 use super::{Membership, MembershipAction, Path};
 use crate::HEARTBEAT_INTERVAL;
 
-/// How many paths a gateway opens of itself; the others open as many to it on average.
+/// How many paths a gateway opens itself. Other gateways open as many to it on average.
 const OPENED_PATHS: usize = 3;
 /// The most paths, opened by either end.
 const MAX_PATHS: usize = 8 * OPENED_PATHS;
-/// Intervals until a failed connect is tried again, doubled with each failure, and the most.
+/// Heartbeat intervals before the candidates retry of a failed connect, and their maximum. Each further failure doubles the delay.
 const CONNECT_RETRY_INTERVALS: f64 = 2.0;
 const MAX_CONNECT_RETRY_INTERVALS: f64 = 32.0;
-/// The most doublings of that time.
+/// Keeps the power of two in the retry delay small.
 const MAX_CONNECT_RETRY_DOUBLINGS: u32 = 16;
 
-/// A gateway to which a path may be opened; the lowest come first, those that are gone last.
+/// A gateway to which a path may be opened. Sorts by rank, with departed (leaving, suspected or lost) gateways last.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Candidate<'a> {
-    is_gone: bool,
+    has_departed: bool,
     rank: u64,
     gateway: &'a GatewayName,
 }
 
-/// The gateways to which paths are to be open.
+/// The gateways to which this gateway should have a path.
 struct WantedPaths {
     gateways: Vec<GatewayName>,
-    /// None of them is known to be gone.
+    /// There are enough gateways that have not departed.
     is_complete: bool,
 }
 
 impl Membership {
-    /// A path was opened, by either end. One beyond the bound is closed again, whoever opens it.
+    /// Adds a path that either end opened. Closes it again if there are too many.
     pub fn handle_path_opened(
         &mut self,
         now: Timestamp,
@@ -49,7 +49,7 @@
         Vec::new()
     }
 
-    /// A path was closed. If the other end has announced that (`orderly`), it is no sign of trouble.
+    /// Removes a closed path. Suspects the other gateway unless it announced the close (`orderly`).
     pub fn handle_path_closed(
         &mut self,
         now: Timestamp,
@@ -60,7 +60,7 @@
             return Vec::new();
         };
         if path.opened_here {
-            self.delay_connect(now, &path.peer);
+            self.schedule_connect_retry(now, &path.peer);
         }
         if path.is_usable {
             self.actions.push(MembershipAction::PathLost { path: id });
@@ -71,37 +71,37 @@
         self.take_actions()
     }
 
-    /// A path could not be opened.
+    /// Schedules a retry and suspects the gateway that could not be reached.
     pub fn handle_connect_failed(
         &mut self,
         now: Timestamp,
         peer: &GatewayName,
     ) -> Vec<MembershipAction> {
-        self.delay_connect(now, peer);
+        self.schedule_connect_retry(now, peer);
         self.suspect(now, peer);
         self.take_actions()
     }
 
-    /// Exponential backoff with jitter, so that many gateways don't try one that is gone, or full, all at once.
-    fn delay_connect(&mut self, now: Timestamp, peer: &GatewayName) {
+    /// Delays the next connect by exponential backoff with jitter, so that many gateways don't retry the same one at once.
+    fn schedule_connect_retry(&mut self, now: Timestamp, peer: &GatewayName) {
         let Some(member) = self.members.get_mut(peer) else {
             return;
         };
         let doublings = member.failed_connects.min(MAX_CONNECT_RETRY_DOUBLINGS) as i32;
         let intervals =
             (CONNECT_RETRY_INTERVALS * f64::powi(2.0, doublings)).min(MAX_CONNECT_RETRY_INTERVALS);
-        let wait = HEARTBEAT_INTERVAL * intervals;
+        let delay = HEARTBEAT_INTERVAL * intervals;
         let jitter = 0.5 + self.rng.generate::<f64>();
         member.is_connecting = false;
         member.failed_connects += 1;
-        member.next_connect = now + wait * jitter;
+        member.next_connect = now + delay * jitter;
     }
 
-    /// Opens the paths that are wanted and not there, and closes one that is not wanted any more.
+    /// Opens the missing paths. Once all wanted gateways are reachable, closes one surplus path.
     pub(super) fn open_paths(&mut self, now: Timestamp) {
-        let wanted = self.wanted_paths();
+        let wanted = self.select_wanted_paths();
         if wanted.is_complete && wanted.gateways.iter().all(|g| self.is_reachable(g)) {
-            self.close_unwanted_path(&wanted.gateways);
+            self.close_surplus_path(&wanted.gateways);
         }
         for gateway in wanted.gateways {
             if self.paths.values().any(|p| p.peer == gateway) {
@@ -123,35 +123,35 @@
         }
     }
 
-    /// The first gateways of the other site by rendezvous hashing. Where too few are there, those that are gone are tried as
-    /// well, so that a site that was cut off is found again.
-    fn wanted_paths(&self) -> WantedPaths {
-        let mut first: Vec<Candidate> = Vec::new();
+    /// Selects gateways of the other site by rendezvous hashing. If too few are alive, departed ones are tried too, so that
+    /// a site that was cut off is found again.
+    fn select_wanted_paths(&self) -> WantedPaths {
+        let mut candidates: Vec<Candidate> = Vec::new();
         for (gateway, member) in &self.members {
             if gateway.site != self.other_site {
                 continue;
             }
             let candidate = Candidate {
-                is_gone: member.record.state >= MemberState::Leaving,
+                has_departed: member.record.state >= MemberState::Leaving,
                 rank: member.rank,
                 gateway,
             };
-            let is_full = first.len() >= 2 * OPENED_PATHS;
-            if !is_full || first.last().is_some_and(|last| candidate < *last) {
-                let at = first.partition_point(|f| *f < candidate);
-                first.insert(at, candidate);
-                first.truncate(2 * OPENED_PATHS);
+            let is_full = candidates.len() >= 2 * OPENED_PATHS;
+            if !is_full || candidates.last().is_some_and(|last| candidate < *last) {
+                let at = candidates.partition_point(|f| *f < candidate);
+                candidates.insert(at, candidate);
+                candidates.truncate(2 * OPENED_PATHS);
             }
         }
-        let present = first.iter().take_while(|c| !c.is_gone).count();
-        let is_complete = present >= OPENED_PATHS;
+        let alive_count = candidates.iter().take_while(|c| !c.has_departed).count();
+        let is_complete = alive_count >= OPENED_PATHS;
         let count = if is_complete {
             OPENED_PATHS
         } else {
-            first.len()
+            candidates.len()
         };
         WantedPaths {
-            gateways: first
+            gateways: candidates
                 .into_iter()
                 .take(count)
                 .map(|c| c.gateway.clone())
@@ -160,11 +160,11 @@
         }
     }
 
-    /// Closes one path that this end opened before it knew of gateways that rank lower.
-    fn close_unwanted_path(&mut self, wanted: &[GatewayName]) {
-        let is_unwanted = |path: &Path| path.opened_here && !wanted.contains(&path.peer);
-        let unwanted = self.paths.iter().find(|(_, path)| is_unwanted(path));
-        let Some(id) = unwanted.map(|(id, _)| *id) else {
+    /// Closes one path that this end opened before it knew of better-ranked gateways.
+    fn close_surplus_path(&mut self, wanted: &[GatewayName]) {
+        let is_surplus = |path: &Path| path.opened_here && !wanted.contains(&path.peer);
+        let surplus = self.paths.iter().find(|(_, path)| is_surplus(path));
+        let Some(id) = surplus.map(|(id, _)| *id) else {
             return;
         };
         if self.paths.remove(&id).is_some_and(|path| path.is_usable) {
--- a/crates/multi-site/src/membership/failure_detection.rs
+++ b/crates/multi-site/src/membership/failure_detection.rs
@@ -1,4 +1,4 @@
-//! Which paths are usable, and which gateways are suspected and lost.
+//! Failure detection: which paths are usable, and which gateways are suspected or lost.
 
 use harrierdock_site_messages::{GatewayName, MemberState, PathId};
 use harrierdock_types::{TimeDelta, Timestamp};
@@ -6,31 +6,31 @@
 use super::{Membership, MembershipAction};
 use crate::HEARTBEAT_INTERVAL;
 
-/// Intervals without a heartbeat, or without an echo, after which a path is not usable.
+/// Heartbeat intervals without a heartbeat or an echo after which a path is unusable.
 const UNUSABLE_AFTER_INTERVALS: f64 = 7.0;
-/// Intervals without a heartbeat after which the other end is suspected. On a line that loses a third of all heartbeats, seven in
-/// a row are missed every few minutes; twice as many hardly ever.
+/// Heartbeat intervals without a heartbeat after which the other end is suspected. On a link that loses a third of all
+/// heartbeats, seven in a row are missed every few minutes, and fourteen hardly ever.
 const SUSPECT_AFTER_INTERVALS: f64 = 14.0;
-/// Intervals after which a suspicion that was not refuted is a loss, and a silent path is closed.
+/// Heartbeat intervals after which a suspected gateway is lost unless it refutes that, and an unresponsive path is closed.
 const LOST_AFTER_INTERVALS: f64 = 25.0;
-/// Intervals for which a gateway that is gone is remembered.
-const FORGET_AFTER_INTERVALS: f64 = 3000.0;
+/// Heartbeat intervals after which the record of a departed gateway is removed.
+const REMOVE_AFTER_INTERVALS: f64 = 3000.0;
 
-/// A path on which no heartbeat is received.
-struct SilentPath {
+/// A path on which heartbeats have stopped arriving.
+struct UnresponsivePath {
     id: PathId,
     peer: GatewayName,
-    silence: TimeDelta,
+    time_since_heartbeat: TimeDelta,
 }
 
 impl Membership {
-    /// Evaluates all paths and gateways.
+    /// Evaluates the state of all paths and gateways.
     pub(super) fn evaluate(&mut self, now: Timestamp) {
         self.evaluate_paths(now);
-        self.handle_silent_paths(now);
+        self.handle_unresponsive_paths(now);
         self.close_duplicate_path();
         self.declare_lost(now);
-        self.forget_gone_members(now);
+        self.remove_departed_members(now);
     }
 
     fn evaluate_paths(&mut self, now: Timestamp) {
@@ -46,7 +46,7 @@
             if was_usable && !is_usable {
                 self.actions.push(MembershipAction::PathLost { path: *id });
             }
-            let is_proven = now - path.since > HEARTBEAT_INTERVAL * LOST_AFTER_INTERVALS;
+            let is_proven = now - path.opened_at > HEARTBEAT_INTERVAL * LOST_AFTER_INTERVALS;
             if is_usable && is_proven {
                 if let Some(member) = self.members.get_mut(&path.peer) {
                     member.failed_connects = 0;
@@ -55,25 +55,26 @@
         }
     }
 
-    /// A gateway whose heartbeats are received but that does not receive ours is not suspected: it may serve others.
-    fn handle_silent_paths(&mut self, now: Timestamp) {
-        let silent_path = |(id, path): (&PathId, &super::Path)| SilentPath {
+    /// Suspects gateways whose heartbeats have stopped. A gateway that only doesn't receive ours is not suspected, since it
+    /// may serve others.
+    fn handle_unresponsive_paths(&mut self, now: Timestamp) {
+        let unresponsive_path = |(id, path): (&PathId, &super::Path)| UnresponsivePath {
             id: *id,
             peer: path.peer.clone(),
-            silence: now - path.last_received.unwrap_or(path.since),
+            time_since_heartbeat: now - path.last_received.unwrap_or(path.opened_at),
         };
-        let suspicious = HEARTBEAT_INTERVAL * SUSPECT_AFTER_INTERVALS;
-        let silent: Vec<SilentPath> = self
+        let suspect_after = HEARTBEAT_INTERVAL * SUSPECT_AFTER_INTERVALS;
+        let unresponsive: Vec<UnresponsivePath> = self
             .paths
             .iter()
-            .map(silent_path)
-            .filter(|s| s.silence > suspicious)
+            .map(unresponsive_path)
+            .filter(|s| s.time_since_heartbeat > suspect_after)
             .collect();
-        for path in silent {
+        for path in unresponsive {
             if !self.is_reachable(&path.peer) {
                 self.suspect(now, &path.peer);
             }
-            if path.silence > HEARTBEAT_INTERVAL * LOST_AFTER_INTERVALS {
+            if path.time_since_heartbeat > HEARTBEAT_INTERVAL * LOST_AFTER_INTERVALS {
                 self.paths.remove(&path.id);
                 self.actions
                     .push(MembershipAction::ClosePath { path: path.id });
@@ -81,7 +82,7 @@
         }
     }
 
-    /// Both ends may have opened a path to each other at the same time. The end of the lower name closes one of the two.
+    /// Closes one of two paths that both ends opened to each other at the same time. The gateway with the lower name does so.
     fn close_duplicate_path(&mut self) {
         let duplicate = self.paths.iter().find(|(id, path)| {
             let mut earlier = self.paths.range(..*id).map(|(_, other)| other);
@@ -100,24 +101,24 @@
         let time_to_refute = HEARTBEAT_INTERVAL * LOST_AFTER_INTERVALS;
         for member in self.members.values_mut() {
             let is_suspected = member.record.state == MemberState::Suspected;
-            if is_suspected && now - member.since > time_to_refute {
+            if is_suspected && now - member.state_since > time_to_refute {
                 member.set_state(now, MemberState::Lost, &mut self.actions);
             }
         }
     }
 
-    /// Names come and go: without this the table would keep all that ever were.
-    fn forget_gone_members(&mut self, now: Timestamp) {
+    /// Removes old records of departed gateways, since gateway names change over time and the table would grow forever.
+    fn remove_departed_members(&mut self, now: Timestamp) {
         let connected: Vec<&GatewayName> = self.paths.values().map(|p| &p.peer).collect();
         self.members.retain(|gateway, member| {
             member.record.state < MemberState::Leaving
                 || member.record.incarnation == 0
-                || now - member.since < HEARTBEAT_INTERVAL * FORGET_AFTER_INTERVALS
+                || now - member.state_since < HEARTBEAT_INTERVAL * REMOVE_AFTER_INTERVALS
                 || connected.contains(&gateway)
         });
     }
 
-    /// Suspects a gateway, until it refutes that itself.
+    /// Marks a gateway as suspected until it refutes that itself.
     pub(super) fn suspect(&mut self, now: Timestamp, peer: &GatewayName) {
         let Some(member) = self.members.get_mut(peer) else {
             return;
--- a/crates/multi-site/src/membership/mod.rs
+++ b/crates/multi-site/src/membership/mod.rs
@@ -1,7 +1,7 @@
-//! Membership: which gateways there are at both sites, in which state, and which paths are usable.
+//! Membership: the gateways of both sites, their states, and which paths are usable.
 //!
-//! Each gateway keeps a few paths to gateways of the other site. Heartbeats on them carry membership records, which spread from
-//! gateway to gateway. A path is usable while both ends receive each other's heartbeats. Nothing here knows of requests.
+//! Each gateway keeps a few paths to gateways of the other site. Heartbeats on them carry membership records, which spread
+//! from gateway to gateway. A path is usable while both ends receive each other's heartbeats. Requests are handled elsewhere.
 
 mod connections;
 mod failure_detection;
@@ -20,82 +20,82 @@
 use member::{rendezvous_rank, Member};
 pub use path::Path;
 
-/// How many of the latest heartbeats are remembered, sent and received.
+/// How many of the latest heartbeats are remembered in each direction.
 const HEARTBEATS_REMEMBERED: usize = 64;
 
-/// What membership asks for.
+/// An action for the caller of membership to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MembershipAction {
-    /// Open a path.
+    /// Open a path to a gateway of the other site.
     Connect {
-        /// The gateway at its other end.
+        /// The gateway to connect to.
         peer: GatewayName,
-        /// Where it is reached.
+        /// The address to connect to.
         address: SocketAddr,
     },
-    /// Close a path, which membership has dropped.
+    /// Close a path that membership has removed.
     ClosePath {
-        /// The path.
+        /// The removed path.
         path: PathId,
     },
-    /// Report a change to operators.
+    /// Log a change for operators.
     Changed(Change),
-    /// A path has become usable.
+    /// Both ends of a path now receive each other's heartbeats.
     PathUsable {
-        /// The path.
+        /// The path that became usable.
         path: PathId,
     },
-    /// A path is not usable any more.
+    /// A usable path became unusable or was closed.
     PathLost {
-        /// The path.
+        /// The path that was lost.
         path: PathId,
     },
-    /// A gateway has started anew: its former incarnation is gone for good.
+    /// A gateway has restarted, so its former incarnation never responds again.
     PeerRestarted {
-        /// The gateway.
+        /// The restarted gateway.
         peer: GatewayName,
-        /// Its incarnation now.
+        /// Its new incarnation.
         incarnation: u64,
     },
 }
 
-/// A heartbeat to send.
+/// A heartbeat with the path to send it on.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PathHeartbeat {
     /// The path to send it on.
     pub path: PathId,
-    /// The heartbeat, without demand and grants.
+    /// The heartbeat; its demand and grants are still empty.
     pub heartbeat: Heartbeat,
 }
 
-/// What follows from the start of a heartbeat interval.
+/// The result of [`Membership::start_interval`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct IntervalOutput {
-    /// What to do first.
+    /// The actions to carry out before sending the heartbeats.
     pub actions: Vec<MembershipAction>,
-    /// What to send then, one for each path.
+    /// One heartbeat for each path.
     pub heartbeats: Vec<PathHeartbeat>,
 }
 
-/// One gateway's view of all gateways, and its paths.
+/// One gateway's view of all gateways, and its own paths.
 pub struct Membership {
     own: MemberRecord,
-    /// In how many intervals its own record was sent since it last changed.
+    /// In how many heartbeat intervals the own record was sent since it last changed.
     own_times_sent: u32,
     other_site: String,
     rng: WyRand,
     members: BTreeMap<GatewayName, Member>,
     paths: BTreeMap<PathId, Path>,
     heartbeat_sequence: u32,
-    /// When the latest heartbeats were sent, by their number modulo the length.
+    /// When the latest heartbeats were sent, indexed by sequence number modulo the length.
     sent_at: [Timestamp; HEARTBEATS_REMEMBERED],
-    /// Where the repetition of old records continues.
+    /// The gateway at which repeating old records continues.
     next_repeated: Option<GatewayName>,
     actions: Vec<MembershipAction>,
 }
 
 impl Membership {
-    /// `seeds` are gateways of the other site that are known from the start, `seed` is that of the random draws.
+    /// Starts with the configured gateways of the other site (`seeds`). `seed` initializes the random number generator.
     pub fn new(
         own: MemberRecord,
         other_site: String,
@@ -133,17 +133,17 @@
         &self.own
     }
 
-    /// All records of other gateways, each with the time since which its state holds.
+    /// The records of all other gateways, each with the time of its last change of state.
     pub fn records(&self) -> impl Iterator<Item = (&MemberRecord, Timestamp)> {
-        self.members.values().map(|m| (&m.record, m.since))
+        self.members.values().map(|m| (&m.record, m.state_since))
     }
 
-    /// The record of another gateway.
+    /// The record of another gateway, or `None` if it is unknown.
     pub fn record(&self, gateway: &GatewayName) -> Option<&MemberRecord> {
         self.members.get(gateway).map(|m| &m.record)
     }
 
-    /// The state of another gateway.
+    /// The state of another gateway, or `None` if it is unknown.
     pub fn state(&self, gateway: &GatewayName) -> Option<MemberState> {
         self.record(gateway).map(|record| record.state)
     }
@@ -153,12 +153,12 @@
         &self.paths
     }
 
-    /// The gateway at the other end of a path.
+    /// The gateway at the other end of a path, or `None` if the path was removed.
     pub fn peer(&self, path: PathId) -> Option<&GatewayName> {
         self.paths.get(&path).map(|p| &p.peer)
     }
 
-    /// The usable paths.
+    /// The paths whose ends receive each other's heartbeats.
     pub fn usable_paths(&self) -> Vec<PathId> {
         let usable = self.paths.iter().filter(|(_, p)| p.is_usable);
         usable.map(|(id, _)| *id).collect()
@@ -169,7 +169,7 @@
         self.paths.values().any(|p| p.is_usable && p.peer == *peer)
     }
 
-    /// A usable path to this gateway: the preferred one, if it is.
+    /// A usable path to this gateway; the preferred one if that is usable.
     pub fn usable_path_to(&self, peer: &GatewayName, preferred: Option<PathId>) -> Option<PathId> {
         let is_usable = |id: &PathId| {
             let path = self.paths.get(id);
@@ -180,14 +180,14 @@
             .or_else(|| self.paths.keys().copied().find(is_usable))
     }
 
-    /// The number of the newest heartbeat sent.
+    /// The sequence number of the newest heartbeat sent.
     pub fn heartbeat_sequence(&self) -> u32 {
         self.heartbeat_sequence
     }
 
-    /// How old a message is at the most that the other end sent after its heartbeat of this number; none if that is unknown.
+    /// The maximum age of a message that the other end sent after its heartbeat with this sequence number. `None` if unknown.
     ///
-    /// The other end's clock is not needed: the time is known at which that heartbeat, or one before it, was received here.
+    /// Needs no clock of the other end: the age is counted from when that heartbeat, or an earlier one, was received here.
     pub fn max_message_age(
         &self,
         now: Timestamp,
@@ -197,7 +197,7 @@
         self.paths.get(&path)?.max_message_age(now, sequence)
     }
 
-    /// Announces another state of this gateway.
+    /// Sets the state that this gateway announces.
     pub fn set_own_state(&mut self, state: MemberState) {
         if self.own.state != state {
             self.own.state = state;
@@ -206,7 +206,7 @@
         }
     }
 
-    /// Takes in a heartbeat.
+    /// Updates the path and the membership table from a heartbeat. Ignores copies and overtaken heartbeats.
     pub fn handle_heartbeat_received(
         &mut self,
         now: Timestamp,
@@ -216,21 +216,21 @@
         let Some(path) = self.paths.get_mut(&id) else {
             return Vec::new();
         };
-        if !path.note_received(now, heartbeat) {
+        if !path.record_heartbeat(now, heartbeat) {
             return Vec::new();
         }
         let echo_age = self.heartbeat_sequence.wrapping_sub(heartbeat.echo) as usize;
         if heartbeat.echo > 0 && echo_age < HEARTBEATS_REMEMBERED {
             let sent = self.sent_at[heartbeat.echo as usize % HEARTBEATS_REMEMBERED];
-            path.note_echo(now, sent, heartbeat.echo_delay_ms);
+            path.record_echo(now, sent, heartbeat.echo_delay_ms);
         }
         for record in &heartbeat.records {
-            self.learn(now, record);
+            self.merge_record(now, record);
         }
         self.take_actions()
     }
 
-    /// Starts a heartbeat interval: evaluates, opens and closes paths, and writes a heartbeat for each.
+    /// Starts a heartbeat interval: evaluates, opens and closes paths, and builds a heartbeat for each.
     pub fn start_interval(&mut self, now: Timestamp) -> IntervalOutput {
         self.evaluate(now);
         self.open_paths(now);
@@ -241,12 +241,12 @@
         for (id, path) in &mut self.paths {
             let mut records = records.clone();
             path.add_table_records(&self.members, &mut records);
-            let delay = path.last_received.map_or(TimeDelta::ZERO, |at| now - at);
+            let echo_delay = path.last_received.map_or(TimeDelta::ZERO, |at| now - at);
             let heartbeat = Heartbeat {
                 incarnation: self.own.incarnation,
                 sequence: self.heartbeat_sequence,
                 echo: path.newest_sequence,
-                echo_delay_ms: (delay.0 / 1000).min(i64::from(u32::MAX)) as u32,
+                echo_delay_ms: (echo_delay.0 / 1000).min(i64::from(u32::MAX)) as u32,
                 records,
                 ..Heartbeat::default()
             };
--- a/crates/multi-site/src/membership/path.rs
+++ b/crates/multi-site/src/membership/path.rs
@@ -1,4 +1,4 @@
-//! One path: what its heartbeats and their echoes show.
+//! The state of one path, from its heartbeats and their echoes.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -8,45 +8,45 @@
 use super::member::Member;
 use super::HEARTBEATS_REMEMBERED;
 
-/// The most records of the table in one heartbeat on a path that was just opened.
+/// How many table records each heartbeat carries on a new path, until the whole table is sent.
 const TABLE_RECORDS_PER_HEARTBEAT: usize = 32;
 
-/// A heartbeat that was received.
+/// When a heartbeat was received.
 struct ReceivedHeartbeat {
     sequence: u32,
     at: Timestamp,
 }
 
-/// A path to another gateway.
+/// A path to a gateway of the other site.
 pub struct Path {
     /// The gateway at its other end.
     pub peer: GatewayName,
-    /// Since when it is open.
-    pub since: Timestamp,
+    /// When the path was opened.
+    pub opened_at: Timestamp,
     /// When the newest heartbeat was received.
     pub last_received: Option<Timestamp>,
-    /// When the newest heartbeat was sent of which the other end has said that it received it.
+    /// When this end sent the newest heartbeat that the other end has echoed.
     pub last_echoed: Option<Timestamp>,
-    /// The other end's incarnation; 0 before its first heartbeat.
+    /// The other end's incarnation; 0 reference its first heartbeat.
     pub incarnation: u64,
-    /// Both ends receive each other's heartbeats.
+    /// Whether both ends receive each other's heartbeats.
     pub is_usable: bool,
-    /// The time that a heartbeat and its echo take, without the wait at the other end.
+    /// The time that a heartbeat and its echo take on the network.
     pub round_trip: TimeDelta,
-    /// This end has opened it.
+    /// Whether this end opened the path.
     pub(super) opened_here: bool,
     pub(super) newest_sequence: u32,
     /// The latest heartbeats received, oldest first.
     received: VecDeque<ReceivedHeartbeat>,
-    /// Where the sending of all records continues; none once it is complete.
+    /// The gateway at which sending the whole table continues; `None` once all is sent.
     table_position: Option<GatewayName>,
 }
 
 impl Path {
-    pub(super) fn new(peer: GatewayName, since: Timestamp, opened_here: bool) -> Path {
+    pub(super) fn new(peer: GatewayName, opened_at: Timestamp, opened_here: bool) -> Path {
         Path {
             peer,
-            since,
+            opened_at,
             last_received: None,
             last_echoed: None,
             incarnation: 0,
@@ -59,8 +59,8 @@
         }
     }
 
-    /// Notes a heartbeat. False if it is a copy or was overtaken by a newer one: then it has no news.
-    pub(super) fn note_received(&mut self, now: Timestamp, heartbeat: &Heartbeat) -> bool {
+    /// Records a heartbeat. Returns false if it is a copy or was overtaken by a newer one.
+    pub(super) fn record_heartbeat(&mut self, now: Timestamp, heartbeat: &Heartbeat) -> bool {
         if (heartbeat.incarnation, heartbeat.sequence) <= (self.incarnation, self.newest_sequence) {
             return false;
         }
@@ -77,8 +77,8 @@
         true
     }
 
-    /// Notes the echo of a heartbeat that this gateway sent at `sent`.
-    pub(super) fn note_echo(&mut self, now: Timestamp, sent: Timestamp, echo_delay_ms: u32) {
+    /// Records the echo of a heartbeat that this gateway sent at `sent`, and measures the round trip.
+    pub(super) fn record_echo(&mut self, now: Timestamp, sent: Timestamp, echo_delay_ms: u32) {
         if self.last_echoed.is_none_or(|echoed| echoed < sent) {
             self.last_echoed = Some(sent);
             let elapsed = now - sent - TimeDelta(i64::from(echo_delay_ms) * 1000);
@@ -86,17 +86,17 @@
         }
     }
 
-    /// How old a message is at the most that was sent after the heartbeat of this number; none if that is unknown.
+    /// See [`super::Membership::max_message_age`].
     pub(super) fn max_message_age(&self, now: Timestamp, sequence: u32) -> Option<TimeDelta> {
-        let before = self
+        let reference = self
             .received
             .iter()
             .rev()
             .find(|r| r.sequence <= sequence)?;
-        Some(now - before.at + self.round_trip)
+        Some(now - reference.at + self.round_trip)
     }
 
-    /// Adds the next part of the table, so that a gateway that has just started soon knows all others.
+    /// Adds the next part of the membership table, so that a gateway that has just started soon knows all others.
     pub(super) fn add_table_records(
         &mut self,
         members: &BTreeMap<GatewayName, Member>,
@@ -105,14 +105,15 @@
         let Some(position) = self.table_position.take() else {
             return;
         };
-        let mut rest = members
+        let mut unsent = members
             .range(position..)
             .filter(|(_, m)| m.record.incarnation > 0);
         records.extend(
-            rest.by_ref()
+            unsent
+                .by_ref()
                 .take(TABLE_RECORDS_PER_HEARTBEAT)
                 .map(|(_, m)| m.record.clone()),
         );
-        self.table_position = rest.next().map(|(gateway, _)| gateway.clone());
+        self.table_position = unsent.next().map(|(gateway, _)| gateway.clone());
     }
 }
--- a/crates/multi-site/src/membership/records.rs
+++ b/crates/multi-site/src/membership/records.rs
@@ -1,4 +1,4 @@
-//! How membership records spread: which are taken over, and which are sent.
+//! How membership records spread: which received records are kept, and which are sent.
 
 use harrierdock_site_messages::{GatewayName, MemberRecord, MemberState};
 use harrierdock_types::Timestamp;
@@ -7,33 +7,34 @@
 use super::{Membership, MembershipAction};
 use crate::Change;
 
-/// The most records kept; further gateways are passed over.
+/// The maximum number of records; further gateways are ignored.
 const MAX_RECORDS: usize = 4096;
-/// The most recently changed records in one heartbeat, and the old ones repeated beside them, so that none is missed for good.
+/// How many recently changed records one heartbeat carries at most.
 const MAX_FRESH_RECORDS: usize = 16;
+/// How many old records each heartbeat repeats, so that a gateway that missed one gets it later.
 const REPEATED_RECORDS: usize = 2;
-/// In how many intervals a changed record is sent, beyond the logarithm of the number of records.
+/// In how many intervals a changed record is sent, in addition to the logarithm of the number of records.
 const EXTRA_SENDS: u32 = 4;
-/// In every such interval the own record is sent in any case.
+/// The own record is sent at least once in this many intervals.
 const OWN_RECORD_INTERVALS: u32 = 8;
 
 impl Membership {
-    /// Takes over a record that another gateway has sent, if it is newer.
-    pub(super) fn learn(&mut self, now: Timestamp, record: &MemberRecord) {
+    /// Keeps a received record if it is newer than the known one.
+    pub(super) fn merge_record(&mut self, now: Timestamp, record: &MemberRecord) {
         if record.gateway == self.own.gateway {
             return self.refute(record);
         }
         let has_room = self.members.len() < MAX_RECORDS;
         match self.members.get_mut(&record.gateway) {
             Some(member) if record.precedence() > member.record.precedence() => {
-                let before = member.record.incarnation;
-                if before != 0 && record.incarnation > before {
+                let former_incarnation = member.record.incarnation;
+                if former_incarnation != 0 && record.incarnation > former_incarnation {
                     self.actions.push(MembershipAction::PeerRestarted {
                         peer: record.gateway.clone(),
                         incarnation: record.incarnation,
                     });
                 }
-                // A record without an address doesn't take away the known one.
+                // A record without an address keeps the known one.
                 let address = record.address.or(member.record.address);
                 if member.record.address != address {
                     member.failed_connects = 0;
@@ -46,13 +47,13 @@
                 member.update(now, record, &mut self.actions);
             }
             Some(_) => {}
-            None if has_room && record.state < MemberState::Lost => self.add(now, record),
+            None if has_room && record.state < MemberState::Lost => self.add_member(now, record),
             None => {}
         }
     }
 
-    /// What others say about this gateway is refuted by an own record above it: a suspicion, and also a record of an earlier
-    /// start that others still believe in or that was made before the clock was set back.
+    /// Refutes a record that another gateway sent about this one by raising the own record above it. The received record may be
+    /// a suspicion. It may also stem from an earlier start, even with a higher incarnation if the clock was set back.
     fn refute(&mut self, record: &MemberRecord) {
         if record.incarnation > self.own.incarnation {
             self.own.incarnation = record.incarnation + 1;
@@ -63,7 +64,7 @@
         }
     }
 
-    fn add(&mut self, now: Timestamp, record: &MemberRecord) {
+    fn add_member(&mut self, now: Timestamp, record: &MemberRecord) {
         let gateway = record.gateway.clone();
         let rank = rendezvous_rank(&self.own.gateway, &gateway);
         let mut member = Member::new(record.clone(), now, rank);
@@ -73,9 +74,9 @@
             .push(MembershipAction::Changed(Change::Joined { gateway }));
     }
 
-    /// The records that the heartbeats of this interval carry: the own one, those sent least often, and a few old ones.
+    /// The records for all heartbeats of this interval: the own one, those sent least often, and a few old ones.
     pub(super) fn records_to_send(&mut self) -> Vec<MemberRecord> {
-        // Spreading from gateway to gateway reaches all of them in a number of intervals that grows with the logarithm.
+        // The number of intervals until all gateways have a record grows with the logarithm of their number.
         let count = self.members.len() as u32 + 2;
         let enough_sends = count.ilog2() + EXTRA_SENDS;
         let mut records = Vec::new();
@@ -84,8 +85,8 @@
             self.own_times_sent += 1;
             records.push(self.own.clone());
         }
-        let mut gateways = self.fresh_records(enough_sends);
-        let repeated = self.repeated_records(&gateways);
+        let mut gateways = self.select_fresh_records(enough_sends);
+        let repeated = self.select_repeated_records(&gateways);
         gateways.extend(repeated);
         gateways.dedup();
         for gateway in gateways {
@@ -97,8 +98,8 @@
         records
     }
 
-    /// The gateways whose records were sent least often since they changed.
-    fn fresh_records(&self, enough_sends: u32) -> Vec<GatewayName> {
+    /// Selects the gateways whose records were sent least often since they changed.
+    fn select_fresh_records(&self, enough_sends: u32) -> Vec<GatewayName> {
         let is_fresh = |m: &&Member| m.times_sent < enough_sends && m.record.incarnation > 0;
         let fresh = self.members.values().filter(is_fresh);
         let mut fresh: Vec<(u32, &GatewayName)> =
@@ -108,15 +109,15 @@
         fresh.into_iter().map(|f| f.1.clone()).collect()
     }
 
-    /// The next gateways in turn, without those given.
-    fn repeated_records(&mut self, besides: &[GatewayName]) -> Vec<GatewayName> {
+    /// Selects the next gateways whose records to repeat, except the given ones.
+    fn select_repeated_records(&mut self, excluded: &[GatewayName]) -> Vec<GatewayName> {
         let start = self.next_repeated.take().unwrap_or_default();
-        let in_turn = self.members.range(start..).chain(self.members.iter());
-        let is_repeated = |gateway: &GatewayName, m: &Member| {
-            m.record.incarnation > 0 && !besides.contains(gateway)
+        let from_start = self.members.range(start..).chain(self.members.iter());
+        let is_eligible = |gateway: &GatewayName, m: &Member| {
+            m.record.incarnation > 0 && !excluded.contains(gateway)
         };
-        let mut repeated: Vec<GatewayName> = in_turn
-            .filter(|(gateway, m)| is_repeated(gateway, m))
+        let mut repeated: Vec<GatewayName> = from_start
+            .filter(|(gateway, m)| is_eligible(gateway, m))
             .take((REPEATED_RECORDS + 1).min(self.members.len()))
             .map(|(gateway, _)| gateway.clone())
             .collect();
--- a/crates/multi-site/src/multi_site/inbound.rs
+++ b/crates/multi-site/src/multi_site/inbound.rs
@@ -10,7 +10,7 @@
 use crate::{Action, InboundId};
 
 impl MultiSite {
-    /// A request runs at most once, whatever copies of it come. One that is not accepted never runs.
+    /// Accepts or refuses a request. Each request runs at most once, and a refused one never runs, even if copies arrive.
     pub(super) fn handle_inbound_received(&mut self, path: PathId, request: ForwardedRequest) {
         let Some(sender) = self.peer(path) else {
             return;
@@ -27,7 +27,7 @@
             }
             return;
         }
-        match self.admit(path, &request) {
+        match self.try_admit(path, &request) {
             Ok((class, remaining)) => {
                 self.counters.inbound_accepted += 1;
                 let inbound = self.inbound.accept(key, path);
@@ -49,13 +49,13 @@
         }
     }
 
-    /// The class of a request and the time left for it, or what becomes of it if it is not accepted.
-    fn admit(
+    /// Decides whether to accept a request. Returns its class and remaining time, or the outcome of the refusal.
+    fn try_admit(
         &mut self,
         path: PathId,
         request: &ForwardedRequest,
     ) -> Result<(ClassId, TimeDelta), ForwardingOutcome> {
-        // What was meant for an earlier start may have run then.
+        // A request for an earlier incarnation may already have run there.
         if request.receiver_incarnation != self.incarnation() {
             return Err(ForwardingOutcome::Unknown);
         }
@@ -65,7 +65,7 @@
         }
         let class = self.class_ids.get(&request.class).copied();
         let class = class.ok_or(ForwardingOutcome::NotAccepted)?;
-        // The other end may not keep to its credit.
+        // The other end may exceed its credit.
         if !self.offered_capacity.admit(path, class) {
             return Err(ForwardingOutcome::NotAccepted);
         }
@@ -76,8 +76,8 @@
         Ok((class, remaining))
     }
 
-    /// The time left for a request. With an idempotency key, the time that it may have been under way is taken off: it may have run
-    /// at its own site meanwhile, and both runs must lie within the deduplication window.
+    /// The time left for a request. With an idempotency key, its maximum age is subtracted: it may have run at the other site
+    /// meanwhile, and both runs must lie within the deduplication window.
     fn remaining(&self, path: PathId, class: ClassId, request: &ForwardedRequest) -> TimeDelta {
         let remaining = TimeDelta(i64::from(request.remaining_ms) * 1000);
         match self.config.classes[class.0].retry_safety {
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Answers a request that ran here.
+    /// Responds to a completed inbound request if its sender is reachable.
     pub(super) fn handle_inbound_completed(
         &mut self,
         inbound: InboundId,
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Answers what became of a request. One that has not come is not accepted any more from now on, however late it comes.
+    /// Responds with the outcome of a request. A request that has not arrived is marked as not accepted, so that it never runs.
     pub(super) fn handle_status_queried(
         &mut self,
         path: PathId,
@@ -137,7 +137,7 @@
         self.respond(path, &key, completion);
     }
 
-    /// The client of a request at the other site went away.
+    /// Abandons a running inbound request whose client disconnected.
     pub(super) fn handle_inbound_cancelled(
         &mut self,
         path: PathId,
--- a/crates/multi-site/src/multi_site/mod.rs
+++ b/crates/multi-site/src/multi_site/mod.rs
@@ -1,4 +1,4 @@
-//! One gateway's part between the sites: takes events, asks the parts for their decisions, and arms the timer.
+//! The decisions of one gateway: dispatches events to membership, failover, credit and the request tables, and sets the timer.
 
 mod inbound;
 mod outbound;
@@ -18,26 +18,26 @@
 use crate::{Action, Change, Event, Membership, MultiSiteConfig, OperatorCommand, RequestEnd};
 use status::Counters;
 
-/// The least time between two reports of unmatched responses.
+/// The minimum time between two reports of unmatched responses.
 const UNMATCHED_REPORT_INTERVAL: TimeDelta = TimeDelta(10_000_000);
 
-/// How many requests await a response.
+/// The number of open requests between the sites.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OpenRequests {
-    /// Forwarded to the other site.
+    /// Requests forwarded to the other site that await its response.
     pub outbound: usize,
-    /// Received from it.
+    /// Requests from the other site that still run here.
     pub inbound: usize,
 }
 
-/// The last report of unmatched responses.
+/// The last report of unmatched responses to operators.
 struct UnmatchedReport {
-    /// How many there had been.
+    /// The unmatched responses counted up to this report.
     total: u64,
     at: Timestamp,
 }
 
-/// One gateway's part between the sites.
+/// The decisions of one gateway about forwarding between two sites.
 pub struct MultiSite {
     config: MultiSiteConfig,
     class_ids: BTreeMap<String, ClassId>,
@@ -59,7 +59,7 @@
 }
 
 impl MultiSite {
-    /// A gateway that starts now. The first timer is set by the first event.
+    /// Starts without paths or endpoints. The first event sets the first timer.
     pub fn new(now: Timestamp, config: MultiSiteConfig) -> MultiSite {
         let own = MemberRecord {
             gateway: config.own_name.clone(),
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Handles one event, and returns what to do, in order.
+    /// Handles one event and returns the actions to carry out in order.
     pub fn handle(&mut self, now: Timestamp, event: Event) -> Vec<Action> {
         self.now = now;
         self.apply(event);
@@ -154,7 +154,7 @@
         }
     }
 
-    /// A request at the local endpoints has ended.
+    /// Passes the result of a local request on to the credit and failover decisions.
     fn handle_request_ended(&mut self, class: ClassId, end: RequestEnd, elapsed: TimeDelta) {
         let class = self.config.classes.get(class.0);
         let is_late = class.is_some_and(|class| elapsed > class.latency_objective);
@@ -187,7 +187,7 @@
     fn process_deadlines(&mut self) {
         while let Some(request) = self.outbound.take_expired(self.now) {
             self.counters.failed_without_response += 1;
-            // On a path on which nothing comes back, requests count as refused, not as slow.
+            // A missing response counts as a refusal on its path, not as a slow response.
             let result = ForwardingResult {
                 path: request.path,
                 class: request.class,
@@ -197,9 +197,9 @@
             self.path_selector.record_result(self.now, &result);
             self.actions.push(Action::Fail { id: request.id });
         }
-        self.inbound.forget_old(self.now);
+        self.inbound.remove_expired(self.now);
         if self.now >= self.next_interval {
-            // Intervals that were missed are not made up for.
+            // Missed intervals are skipped.
             self.next_interval = self.now + HEARTBEAT_INTERVAL;
             self.start_interval();
         }
@@ -234,9 +234,9 @@
         }
     }
 
-    /// Asks for a timer if none is pending, or if the pending one would fire too late.
+    /// Sets the timer unless a pending one fires early enough.
     fn arm_timer(&mut self) {
-        let deadlines = [self.outbound.next_deadline(), self.inbound.next_forgotten()];
+        let deadlines = [self.outbound.next_deadline(), self.inbound.next_expiry()];
         let next = deadlines
             .into_iter()
             .flatten()
@@ -259,17 +259,17 @@
         self.membership.peer(path).cloned()
     }
 
-    /// This gateway's incarnation. It can rise above the configured one, if others believe in a later one.
+    /// This gateway's incarnation. Exceeds the configured one if another gateway sent a record with a later one.
     pub fn incarnation(&self) -> u64 {
         self.membership.own_record().incarnation
     }
 
-    /// What was counted so far.
+    /// The counts since the start.
     pub fn counters(&self) -> Counters {
         self.counters
     }
 
-    /// How many requests await a response.
+    /// The number of open requests in each direction.
     pub fn open_requests(&self) -> OpenRequests {
         OpenRequests {
             outbound: self.outbound.len(),
--- a/crates/multi-site/src/multi_site/outbound.rs
+++ b/crates/multi-site/src/multi_site/outbound.rs
@@ -1,4 +1,4 @@
-//! Requests of this gateway's clients: which are forwarded, and what follows from their responses.
+//! Requests of this gateway's clients: which are forwarded, and how their responses are handled.
 
 use harrierdock_site_messages::{ForwardingOutcome, ForwardingResponse, PathId, SiteMessage};
 use harrierdock_types::{BuildId, ClassId, RequestId, RetrySafety, TimeDelta};
@@ -8,11 +8,11 @@
 use crate::requests::OutboundRequest;
 use crate::{Action, RequestClass, RequestEnd};
 
-/// The shortest time that the receiver of a forwarded request is given: the wire counts in milliseconds.
+/// The minimum time to answer a forwarded request: one millisecond, the unit on the wire.
 const MIN_REMAINING: TimeDelta = TimeDelta(1000);
 
 impl MultiSite {
-    /// A request is forwarded only while the local endpoints are not to have it. The local policy sees all others.
+    /// Forwards a request if failover sends it to the other site and a path has credit. Otherwise it is served locally.
     pub(super) fn handle_request_received(
         &mut self,
         id: RequestId,
@@ -29,15 +29,15 @@
         }
     }
 
-    /// Idempotent requests probe the local site. If no class is idempotent, all do: otherwise a site that has recovered would
-    /// never be found.
+    /// Whether a request of this class may probe the local site. Only idempotent requests do, unless no class is idempotent:
+    /// then all may, since the recovery of the site would never be noticed.
     fn may_probe(&self, class: ClassId) -> bool {
         let is_idempotent = |class: &RequestClass| class.retry_safety == RetrySafety::Idempotent;
         let classes = &self.config.classes;
         classes.get(class.0).is_some_and(is_idempotent) || !classes.iter().any(is_idempotent)
     }
 
-    /// What the local policy would reject may be forwarded, while there is time.
+    /// Forwards a request that the local policy is about to reject, or rejects it if there is no path or time.
     pub(super) fn handle_locally_rejected(
         &mut self,
         id: RequestId,
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Forwards a request if there is a path for it.
+    /// Forwards a request. Returns false if no path can take it.
     fn forward(
         &mut self,
         id: RequestId,
@@ -61,7 +61,7 @@
         remaining: TimeDelta,
         locally_rejected: bool,
     ) -> bool {
-        let Some(parameters) = self.config.classes.get(class.0) else {
+        let Some(class_config) = self.config.classes.get(class.0) else {
             return false;
         };
         if self.is_shutting_down {
@@ -77,9 +77,10 @@
         };
         let tick = self.config.tick;
         let receiver_incarnation = path.incarnation;
-        // The response must be back before the client's deadline.
+        // The response must arrive before the client's deadline.
         let margin = tick + path.round_trip;
-        let remaining_there = remaining_there(parameters.retry_safety, remaining, margin);
+        let remaining_at_receiver =
+            remaining_at_receiver(class_config.retry_safety, remaining, margin);
         let forwarding_id = self.outbound.insert(OutboundRequest {
             id,
             class,
@@ -88,8 +89,8 @@
             sent: self.now,
             deadline: self.now + remaining - tick,
             locally_rejected,
-            retry_safety: parameters.retry_safety,
-            deduplicates_across_sites: parameters.deduplicates_across_sites,
+            retry_safety: class_config.retry_safety,
+            deduplicates_across_sites: class_config.deduplicates_across_sites,
             path: path_id,
         });
         self.path_selector.record_forwarded(path_id, class);
@@ -100,7 +101,7 @@
             forwarding_id,
             receiver_incarnation,
             heartbeat_sequence: self.membership.heartbeat_sequence(),
-            remaining: remaining_there,
+            remaining: remaining_at_receiver,
         });
         true
     }
@@ -112,7 +113,7 @@
         });
     }
 
-    /// Tells the other site that the client of a forwarded request went away.
+    /// Sends a cancel for a forwarded request whose client disconnected.
     pub(super) fn handle_client_gone(&mut self, id: RequestId) {
         let Some((forwarding_id, request)) = self.outbound.take_abandoned(id) else {
             return;
@@ -129,10 +130,10 @@
         }
     }
 
-    /// Only the first response to a forwarded request counts.
+    /// Handles the first response to a forwarded request, and counts any other as unmatched.
     pub(super) fn handle_response_received(&mut self, path: PathId, response: ForwardingResponse) {
-        let is_ours = response.sender_incarnation == self.incarnation();
-        let peer = self.membership.peer(path).filter(|_| is_ours);
+        let matches_incarnation = response.sender_incarnation == self.incarnation();
+        let peer = self.membership.peer(path).filter(|_| matches_incarnation);
         let request =
             peer.and_then(|peer| self.outbound.take_answered(response.forwarding_id, peer));
         let Some(request) = request else {
@@ -166,14 +167,14 @@
                     build: response.build.map(BuildId),
                 });
             }
-            // It has not run, so the local policy may have it, unless that has rejected it before.
+            // The request has not run, so serve it locally unless the local policy has rejected it before.
             ForwardingOutcome::NotAccepted
                 if !request.locally_rejected && remaining > TimeDelta::ZERO =>
             {
                 self.actions.push(Action::ServeLocally { id, remaining });
             }
             ForwardingOutcome::NotAccepted => self.reject(id),
-            // A rejected client tries again, at endpoints that may not deduplicate what has run.
+            // A rejected client retries, and the endpoints of its retry may not deduplicate the first run.
             ForwardingOutcome::Rejected { may_have_run: true } if !request.is_retry_safe() => {
                 self.actions.push(Action::Fail { id });
             }
@@ -183,7 +184,7 @@
         }
     }
 
-    /// Ends a forwarded request of which nothing more will be known.
+    /// Finishes a forwarded request whose outcome stays unknown.
     pub(super) fn finish_unknown(&mut self, request: OutboundRequest) {
         match request.local_retry_time(self.now, self.config.tick) {
             Some(remaining) => self.serve_after_loss(&request, remaining),
@@ -194,7 +195,7 @@
         }
     }
 
-    /// Serves a request locally that may run again, unless the local policy has rejected it before.
+    /// Serves a retry-safe request locally, unless the local policy has rejected it before.
     pub(super) fn serve_after_loss(&mut self, request: &OutboundRequest, remaining: TimeDelta) {
         let id = request.id;
         if request.locally_rejected {
@@ -205,9 +206,13 @@
     }
 }
 
-/// The time that the receiver has for a request. With an idempotency key, the runs at both sites must lie within one deduplication
-/// window, should the path be lost and the request be served locally after all.
-fn remaining_there(safety: RetrySafety, remaining: TimeDelta, margin: TimeDelta) -> TimeDelta {
+/// The time within which the receiver must answer. With an idempotency key, it is bounded by the deduplication window: if
+/// the path is lost, the request may run locally as well, and both runs must lie within the window.
+fn remaining_at_receiver(
+    safety: RetrySafety,
+    remaining: TimeDelta,
+    margin: TimeDelta,
+) -> TimeDelta {
     let until_deadline = (remaining - margin).max(MIN_REMAINING);
     match safety {
         RetrySafety::IdempotencyKey {
--- a/crates/multi-site/src/multi_site/paths.rs
+++ b/crates/multi-site/src/multi_site/paths.rs
@@ -1,4 +1,4 @@
-//! Paths and heartbeats: what membership asks for, and what follows when a path or a gateway is lost.
+//! Paths and heartbeats: carries out the actions of membership and handles lost paths and restarted gateways.
 
 use harrierdock_site_messages::{GatewayName, Heartbeat, MemberState, PathId, SiteMessage};
 use harrierdock_types::ClassId;
@@ -28,21 +28,22 @@
             .membership
             .handle_heartbeat_received(self.now, path, heartbeat);
         self.apply_membership_actions(actions);
-        let grants = self.known_classes(&heartbeat.grants);
-        let demand = self.known_classes(&heartbeat.demand);
+        let grants = self.to_class_ids(&heartbeat.grants);
+        let demand = self.to_class_ids(&heartbeat.demand);
         self.path_selector.set_grants(self.now, path, &grants);
         self.offered_capacity.set_demand(path, &demand);
     }
 
-    /// The counts of the classes that this gateway knows.
-    fn known_classes(&self, counts: &[(String, u16)]) -> Vec<(ClassId, f64)> {
+    /// Maps class names to ids. Drops classes that this gateway does not have.
+    fn to_class_ids(&self, counts: &[(String, u16)]) -> Vec<(ClassId, f64)> {
         counts
             .iter()
             .filter_map(|(name, count)| Some((*self.class_ids.get(name)?, f64::from(*count))))
             .collect()
     }
 
-    fn named_classes(&self, counts: Vec<(ClassId, u16)>) -> Vec<(String, u16)> {
+    /// Maps class ids to names.
+    fn to_class_names(&self, counts: Vec<(ClassId, u16)>) -> Vec<(String, u16)> {
         let class = |class: ClassId| self.config.classes.get(class.0);
         counts
             .into_iter()
@@ -50,19 +51,19 @@
             .collect()
     }
 
-    /// Lets membership start an interval, and sends its heartbeats with this gateway's grants and demand.
+    /// Starts an interval of membership, and sends its heartbeats with this gateway's grants and demand.
     pub(super) fn send_heartbeats(&mut self) {
         let interval = self.membership.start_interval(self.now);
         self.apply_membership_actions(interval.actions);
         for to_send in interval.heartbeats {
             let mut heartbeat = to_send.heartbeat;
-            heartbeat.grants = self.named_classes(self.offered_capacity.grants(to_send.path));
-            heartbeat.demand = self.named_classes(self.path_selector.demand());
+            heartbeat.grants = self.to_class_names(self.offered_capacity.grants(to_send.path));
+            heartbeat.demand = self.to_class_names(self.path_selector.demand());
             self.send(to_send.path, SiteMessage::Heartbeat(heartbeat));
         }
     }
 
-    /// Announces whether this gateway accepts requests. Credit that was granted before counts no more.
+    /// Announces whether this gateway accepts requests, and withdraws the credit granted so far.
     pub(super) fn announce_own_state(&mut self) {
         let state = if self.is_shutting_down {
             MemberState::Leaving
@@ -104,7 +105,7 @@
         self.offered_capacity.forget_path(path);
     }
 
-    /// Asks for the responses that the other end owes.
+    /// Queries the status of all requests that the other end has not answered.
     fn handle_path_usable(&mut self, path: PathId) {
         let Some(peer) = self.peer(path) else {
             return;
@@ -120,7 +121,7 @@
         }
     }
 
-    /// Serves locally what may run again. The rest waits for a late response until its deadline.
+    /// Serves retry-safe requests of a lost path locally. The others wait for a late response until their deadline.
     fn handle_path_lost(&mut self, path: PathId) {
         self.forget_path(path);
         let retries =
@@ -131,12 +132,16 @@
         }
     }
 
-    /// What an earlier incarnation has received will not be answered, and nobody waits for what it has forwarded.
+    /// Finishes requests forwarded to an earlier incarnation, which will not answer them. Abandons the requests that it
+    /// forwarded here, since their clients are gone.
     fn handle_peer_restarted(&mut self, peer: &GatewayName, incarnation: u64) {
         for request in self.outbound.take_lost_by_restart(peer, incarnation) {
             self.finish_unknown(request);
         }
-        for inbound in self.inbound.running_for_earlier(peer, incarnation) {
+        for inbound in self
+            .inbound
+            .running_for_earlier_incarnation(peer, incarnation)
+        {
             self.actions.push(Action::AbandonInbound { inbound });
         }
     }
--- a/crates/multi-site/src/multi_site/status.rs
+++ b/crates/multi-site/src/multi_site/status.rs
@@ -1,5 +1,5 @@
-//! The status that `harrierdock site status` prints as JSON. The names of its fields and values are part of that interface; this
-//! file alone maps them.
+//! The status that `harrierdock site status` prints as JSON. Its field names and values are a stable interface, which this
+//! file alone maps to the Rust names.
 
 use harrierdock_site_messages::{MemberRecord, MemberState};
 use harrierdock_types::Timestamp;
@@ -8,22 +8,22 @@
 use super::MultiSite;
 use crate::{MoveReason, TrafficLocation};
 
-/// What was counted since the start.
+/// Counters since the start of the gateway.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Counters {
-    /// Requests forwarded.
+    /// Requests forwarded to the other site.
     #[serde(rename = "handed_over")]
     pub forwarded: u64,
-    /// Forwarded requests that were not accepted, or rejected, or of unknown outcome there.
+    /// Forwarded requests that the other site did not accept, rejected, or reported as unknown.
     #[serde(rename = "refused")]
     pub refused_there: u64,
-    /// Forwarded requests that succeeded there.
+    /// Forwarded requests that succeeded at the other site.
     #[serde(rename = "settled_there")]
     pub succeeded_there: u64,
-    /// Forwarded requests that failed because no response came.
+    /// Forwarded requests that failed because no response arrived.
     #[serde(rename = "voided_unanswered")]
     pub failed_without_response: u64,
-    /// Forwarded requests that were served locally after their path, or their receiver, was lost.
+    /// Forwarded requests that were served locally after their path or receiver was lost.
     #[serde(rename = "served_here_after")]
     pub served_locally_after_loss: u64,
     /// Inbound requests accepted.
@@ -32,66 +32,66 @@
     /// Inbound requests not accepted.
     #[serde(rename = "turned_away")]
     pub inbound_refused: u64,
-    /// Copies of inbound requests.
+    /// Repeated copies of inbound requests.
     #[serde(rename = "copies")]
     pub duplicates: u64,
     /// Responses that matched no forwarded request.
     #[serde(rename = "strange")]
     pub unmatched_responses: u64,
-    /// How often traffic has begun to go elsewhere.
+    /// Failovers and returns of traffic that have started.
     pub moves: u64,
 }
 
-/// One gateway of the other site.
+/// The status of a gateway of the other site, as this gateway sees it.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct MemberStatus {
-    /// Its name.
+    /// The site and name, as `SITE/GATEWAY`.
     pub gateway: String,
-    /// Its state.
+    /// The state in words; `unheard` before the first heartbeat or record.
     #[serde(rename = "standing")]
     pub state: String,
-    /// For how many seconds it has had that state.
+    /// Seconds since its state or incarnation last changed.
     pub since_s: f64,
-    /// Whether a usable path leads to it.
+    /// Whether this gateway has a usable path to it.
     #[serde(rename = "road")]
     pub has_usable_path: bool,
-    /// The shortest round trip of the usable paths, in milliseconds.
+    /// The shortest round trip of the usable paths in milliseconds; `None` without one.
     pub round_trip_ms: Option<f64>,
 }
 
-/// The status of one gateway between the sites.
+/// The status of this gateway.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Status {
-    /// Its name.
+    /// The site and name, as `SITE/GATEWAY`.
     pub gateway: String,
-    /// The state that it announces.
+    /// The state that this gateway announces, in words.
     #[serde(rename = "standing")]
     pub state: String,
-    /// Where its traffic goes.
+    /// Where its clients' requests go, in words.
     #[serde(rename = "home")]
     pub traffic_location: String,
-    /// Why.
+    /// Why its traffic was last moved, in words.
     #[serde(rename = "why")]
     pub move_reason: String,
-    /// How many local endpoints are ready.
+    /// The number of ready endpoints at the local site.
     #[serde(rename = "ready_servers")]
     pub ready_endpoints: usize,
-    /// The gateways of the other site.
+    /// All known gateways of the other site.
     pub members: Vec<MemberStatus>,
-    /// By request class, how many requests may be forwarded now.
+    /// How many requests of each class may be forwarded now.
     pub credit: Vec<(String, f64)>,
-    /// Forwarded requests that await a response.
+    /// The number of forwarded requests that await a response.
     #[serde(rename = "owed_by_them")]
     pub open_outbound: usize,
-    /// Inbound requests that await a response.
+    /// The number of inbound requests that still run here.
     #[serde(rename = "owed_to_them")]
     pub open_inbound: usize,
-    /// What was counted since the start.
+    /// The counters since the start.
     #[serde(flatten)]
     pub counters: Counters,
 }
 
-/// The reason of a move of traffic as operators read it.
+/// The text for a reason in the status and in log lines.
 pub fn reason_text(reason: MoveReason) -> &'static str {
     match reason {
         MoveReason::OperatorCommand => "by hand",
@@ -102,7 +102,7 @@
     }
 }
 
-/// Where traffic goes, as operators read it.
+/// The text for a traffic location in the status and in log lines.
 pub fn location_text(location: TrafficLocation) -> &'static str {
     match location {
         TrafficLocation::Local => "here",
@@ -111,7 +111,7 @@
     }
 }
 
-/// The state of a gateway as operators read it.
+/// The text for a member state in the status and in log lines.
 pub fn state_text(state: MemberState) -> &'static str {
     match state {
         MemberState::Serving => "serving",
@@ -122,11 +122,11 @@
     }
 }
 
-/// The state of a gateway that is configured and was not heard of yet.
+/// The state text of a configured gateway from which nothing has been received yet.
 const UNHEARD: &str = "unheard";
 
 impl MultiSite {
-    /// The status after the last event.
+    /// The status as of the last event.
     pub fn status(&self) -> Status {
         let other_site = &self.config.other_site;
         let members = self
@@ -159,10 +159,10 @@
         let paths = self.membership.paths().values();
         let usable = paths.filter(|path| path.is_usable && path.peer == record.gateway);
         let round_trip = usable.map(|path| path.round_trip).min();
-        let is_heard = record.incarnation != 0;
+        let is_known = record.incarnation != 0;
         MemberStatus {
             gateway: record.gateway.to_string(),
-            state: if is_heard {
+            state: if is_known {
                 state_text(record.state)
             } else {
                 UNHEARD
--- a/crates/multi-site/src/offered_capacity.rs
+++ b/crates/multi-site/src/offered_capacity.rs
@@ -1,5 +1,5 @@
-//! The capacity that this gateway offers to the other site: credit, by path and request class, in proportion to what its endpoints
-//! have served in time beside its own traffic. Credit is granted anew in each heartbeat interval.
+//! The capacity that this gateway offers to the other site, as credit by path and request class. The offer follows how many
+//! requests the local endpoints serve in time. Credit is granted in each heartbeat interval.
 
 use std::collections::BTreeMap;
 
@@ -7,63 +7,65 @@
 
 use crate::{PathId, RequestClass, RequestEnd};
 
-/// What is offered before anything was forwarded, as a share of what is served here in an interval.
+/// The initial offer as a share of the requests that the local endpoints serve in an interval.
 const INITIAL_OFFER_RATIO: f64 = 0.5;
-/// The offer grows by this factor in an interval in which it was used and served in time, and shrinks by that one otherwise.
+/// The offer grows by this factor after an interval in which it was used without overload.
 const GROWTH_FACTOR: f64 = 1.2;
+/// The offer shrinks by this factor after an overloaded interval.
 const OVERLOAD_FACTOR: f64 = 0.8;
-/// The share of requests, not succeeded or late, from which an interval counts as overloaded, and the least number of them.
+/// An interval is overloaded if more than this share of its requests, and at least this many, were late or did not succeed.
 const OVERLOAD_RATIO: f64 = 0.08;
 const MIN_OVERLOAD_REQUESTS: f64 = 2.0;
-/// The share of the offer that must have been used for it to grow.
+/// The share of the offer that must be used before the offer grows.
 const USED_RATIO: f64 = 0.5;
-/// Intervals without overload before the offer changes again, so that an overloaded site doesn't offer capacity in the moments in
-/// which nothing happens to fail.
+/// Intervals without overload before the offer may grow. Without them, an overloaded site would offer capacity whenever no
+/// request happens to fail for a moment.
 const RECOVERY_INTERVALS: u32 = 10;
-/// An unused offer above the initial one shrinks by this factor in each interval.
+/// An unused offer shrinks by this factor in each interval, down to the initial offer.
 const UNUSED_FACTOR: f64 = 0.97;
-/// The weight of a new interval in running means.
+/// The weight of a new interval in the moving average.
 const SMOOTHING: f64 = 0.1;
-/// As much as was granted, again, may be on its way.
+/// How many times its grant a path may use: requests of the last grant may still be in flight.
 const IN_FLIGHT_FACTOR: f64 = 2.0;
-/// For how many intervals the receiver of credit may save it up; what then arrives is still admitted.
+/// For how many intervals a gateway may save up its credit. Requests within the saved credit are admitted.
 pub(crate) const CREDIT_SAVED_INTERVALS: f64 = 3.0;
 
-/// What one path may use.
+/// The credit of one path, by request class.
 #[derive(Default)]
 struct PathGrant {
     demand: Vec<f64>,
     granted: Vec<f64>,
-    /// What is still admitted.
+    /// How many more requests are admitted.
     admissible: Vec<f64>,
 }
 
-/// What was counted in the current interval.
+/// The counts of the current interval.
 #[derive(Default)]
 struct IntervalStats {
     /// Inbound requests admitted.
     admitted: f64,
-    /// Requests that the local endpoints were to serve.
-    ended: f64,
-    /// Those of them that did not succeed, or were late.
-    troubled: f64,
+    /// Requests that the local policy has finished.
+    finished: f64,
+    /// Finished requests that were late or did not succeed.
+    failed_or_late: f64,
     succeeded: f64,
 }
 
 impl IntervalStats {
     fn is_overloaded(&self) -> bool {
-        self.troubled > OVERLOAD_RATIO * self.ended && self.troubled >= MIN_OVERLOAD_REQUESTS
+        self.failed_or_late > OVERLOAD_RATIO * self.finished
+            && self.failed_or_late >= MIN_OVERLOAD_REQUESTS
     }
 }
 
 pub(crate) struct OfferedCapacity {
     class_count: usize,
-    /// The classes in the order in which scarce credit is granted: by priority weight.
+    /// The classes by falling priority weight, which is the order in which scarce credit is granted.
     grant_order: Vec<ClassId>,
     grants: BTreeMap<PathId, PathGrant>,
-    /// Requests offered in an interval, on all paths together.
+    /// Requests offered per interval on all paths together.
     offer: f64,
-    /// The mean number of requests served in an interval.
+    /// The moving average of requests served per interval.
     served_mean: f64,
     current: IntervalStats,
     intervals_since_overload: u32,
@@ -85,18 +87,18 @@
         }
     }
 
-    /// A request that the local endpoints were to serve has ended, be it a client's or an inbound one.
+    /// Records the end of a client's or an inbound request that the local policy handled.
     pub(crate) fn record_request_end(&mut self, end: RequestEnd, is_late: bool) {
         if end == RequestEnd::ClientGone {
             return;
         }
         let succeeded = end == RequestEnd::Succeeded;
-        self.current.ended += 1.0;
+        self.current.finished += 1.0;
         self.current.succeeded += f64::from(succeeded);
-        self.current.troubled += f64::from(!succeeded || is_late);
+        self.current.failed_or_late += f64::from(!succeeded || is_late);
     }
 
-    /// The other end of a path reports how much it would forward in an interval.
+    /// Sets how many requests the other end of a path would forward in an interval.
     pub(crate) fn set_demand(&mut self, path: PathId, demand: &[(ClassId, f64)]) {
         let grant = self.grants.entry(path).or_default();
         grant.demand = vec![0.0; self.class_count];
@@ -105,7 +107,7 @@
         }
     }
 
-    /// Admits one request of this class on this path if the credit granted covers it.
+    /// Uses up credit for one request. Returns false if the path has none left for this class.
     pub(crate) fn admit(&mut self, path: PathId, class: ClassId) -> bool {
         let admissible = self
             .grants
@@ -119,14 +121,14 @@
         true
     }
 
-    /// Starts an interval: decides how much is offered, and shares it among the paths. Nothing is offered unless `is_open`.
+    /// Starts an interval: adjusts the offer and divides it among the paths. Offers nothing unless `is_open`.
     pub(crate) fn start_interval(&mut self, paths: &[PathId], is_open: bool) {
         self.adjust_offer();
         self.current = IntervalStats::default();
         if !is_open {
             self.offer = 0.0;
         }
-        self.share(paths, is_open && self.has_recovered());
+        self.distribute(paths, is_open && self.has_recovered());
     }
 
     fn has_recovered(&self) -> bool {
@@ -147,7 +149,7 @@
             // The local site's own clients come first.
             self.offer *= OVERLOAD_FACTOR;
         } else if !self.has_recovered() {
-            // It is not known yet how much the endpoints carry.
+            // The endpoints' capacity is unknown until they have recovered.
         } else if current.admitted >= USED_RATIO * self.offer.floor().max(1.0) {
             self.offer = self.offer * GROWTH_FACTOR + 1.0;
         } else if self.offer < initial_offer {
@@ -157,11 +159,12 @@
         }
     }
 
-    /// Demand is met first, by priority weight. The rest is spread, so that no gateway waits an interval to begin.
-    fn share(&mut self, paths: &[PathId], grants_minimum: bool) {
-        let rest = self.meet_demand(paths);
+    /// Meets the demand first, by priority weight. Spreads the remaining offer evenly, so that a gateway can forward its first
+    /// requests without waiting an interval for credit.
+    fn distribute(&mut self, paths: &[PathId], grants_minimum: bool) {
+        let remaining_offer = self.meet_demand(paths);
         let share_count = (paths.len() * self.class_count).max(1) as f64;
-        let extra = rest / share_count;
+        let extra = remaining_offer / share_count;
         for path in paths {
             if let Some(grant) = self.grants.get_mut(path) {
                 grant.admissible.resize(self.class_count, 0.0);
@@ -173,9 +176,9 @@
         self.grants.retain(|path, _| paths.contains(path));
     }
 
-    /// Grants what is in demand, and returns what is left of the offer.
+    /// Grants the demand and returns the remaining offer.
     fn meet_demand(&mut self, paths: &[PathId]) -> f64 {
-        let mut rest = self.offer;
+        let mut remaining_offer = self.offer;
         for path in paths {
             let grant = self.grants.entry(*path).or_default();
             grant.demand.resize(self.class_count, 0.0);
@@ -183,18 +186,22 @@
         }
         for class in &self.grant_order {
             let demand: f64 = paths.iter().map(|p| self.grants[p].demand[class.0]).sum();
-            let ratio = if demand > rest { rest / demand } else { 1.0 };
+            let ratio = if demand > remaining_offer {
+                remaining_offer / demand
+            } else {
+                1.0
+            };
             for path in paths {
                 if let Some(grant) = self.grants.get_mut(path) {
                     grant.granted[class.0] = grant.demand[class.0] * ratio;
                 }
             }
-            rest -= demand * ratio;
+            remaining_offer -= demand * ratio;
         }
-        rest
+        remaining_offer
     }
 
-    /// The number of requests granted on a path in this interval.
+    /// The number of requests of each class granted on a path in this interval.
     pub(crate) fn grants(&self, path: PathId) -> Vec<(ClassId, u16)> {
         let Some(grant) = self.grants.get(&path) else {
             return Vec::new();
@@ -212,16 +219,16 @@
 }
 
 impl PathGrant {
-    /// Adds an equal share of what is not in demand. With a minimum, one request of each class is granted on each path: otherwise
-    /// many paths would get less than one each and so nothing, and so would all where nothing was served yet.
+    /// Adds an equal share of the remaining offer. With `grants_minimum`, each class gets at least one request. Otherwise
+    /// shares below one would round down to nothing: with many paths, and before any request was served.
     fn add_extra(&mut self, class: usize, extra: f64, grants_minimum: bool) {
         let mut granted = self.granted[class] + extra;
         if grants_minimum {
             granted = granted.max(1.0);
         }
         self.granted[class] = granted.floor();
-        let most = granted * CREDIT_SAVED_INTERVALS * IN_FLIGHT_FACTOR;
+        let max_admissible = granted * CREDIT_SAVED_INTERVALS * IN_FLIGHT_FACTOR;
         self.admissible[class] = (self.admissible[class] + granted * IN_FLIGHT_FACTOR)
-            .min(most.max(self.admissible[class] / 2.0));
+            .min(max_admissible.max(self.admissible[class] / 2.0));
     }
 }
--- a/crates/multi-site/src/path_selection.rs
+++ b/crates/multi-site/src/path_selection.rs
@@ -1,4 +1,4 @@
-//! Which path a request is forwarded on: the credit granted on each path, and what came of its use.
+//! Selects the path of a forwarded request from the credit, the in-flight window and the refusals of each path.
 
 use std::collections::BTreeMap;
 
@@ -8,26 +8,26 @@
 use crate::offered_capacity::CREDIT_SAVED_INTERVALS;
 use crate::{Membership, PathId, RequestClass, HEARTBEAT_INTERVAL};
 
-/// Intervals after which credit expires.
+/// Heartbeat intervals after which credit expires.
 const CREDIT_VALID_INTERVALS: f64 = 5.0;
-/// The weight of a new response in running means.
+/// The weight of a new response in moving averages.
 const SMOOTHING: f64 = 0.1;
-/// The share of the requests forwarded on a path that may be refused before the path is paused, and for how long.
+/// A path is paused for [`PAUSE`] once more than this share of its requests is refused.
 const REFUSED_RATIO: f64 = 0.08;
 const PAUSE: TimeDelta = TimeDelta(1_000_000);
-/// Requests in flight on a path: at first, and the bounds within which the window follows the responses.
+/// The window of requests in flight on a path: its initial size, and its bounds as it adapts to the responses.
 const INITIAL_WINDOW: f64 = 16.0;
 const MIN_WINDOW: f64 = 4.0;
 const MAX_WINDOW: f64 = 512.0;
-/// The time that a request must have left to be forwarded, in mean response times.
+/// A request is forwarded only if its remaining time is at least this many mean response times.
 const RESPONSE_TIMES_LEFT: f64 = 2.0;
-/// The mean response time before any response, as a share of the latency objective.
+/// The assumed mean response time before the first response, as a share of the latency objective.
 const INITIAL_RESPONSE_TIME_RATIO: f64 = 0.25;
 
-/// What may be sent on a path.
+/// The credit and in-flight window of one path.
 #[derive(Default)]
 struct PathCredit {
-    /// By class, how many requests may still be forwarded.
+    /// How many more requests of each class may be forwarded.
     available: Vec<f64>,
     granted_at: Timestamp,
     in_flight: f64,
@@ -50,22 +50,23 @@
     }
 }
 
-/// How a forwarded request came back.
+/// The result of a forwarded request.
 pub(crate) struct ForwardingResult {
     pub(crate) path: PathId,
     pub(crate) class: ClassId,
-    /// The other site has served it; otherwise it was refused there, or no response came.
+    /// Whether the other site served it. Otherwise it was refused, or no response arrived.
     pub(crate) was_served: bool,
     pub(crate) elapsed: TimeDelta,
 }
 
 pub(crate) struct PathSelector {
     class_count: usize,
-    /// By class, the mean time until a request that was served there came back.
+    /// The mean response time of served requests of each class.
     response_times: Vec<TimeDelta>,
     credit: BTreeMap<PathId, PathCredit>,
-    /// By class, how many requests of this interval were to be forwarded, and the running maximum of that.
+    /// How many requests of each class were meant to be forwarded in this interval.
     requested: Vec<f64>,
+    /// The slowly decaying maximum of `requested`.
     demand: Vec<f64>,
     path_count: usize,
 }
@@ -85,7 +86,7 @@
         }
     }
 
-    /// Takes over the credit granted on a path, beside a bounded part of what was not used of the last.
+    /// Adds newly granted credit to the unused credit of a path, up to a bound.
     pub(crate) fn set_grants(&mut self, now: Timestamp, path: PathId, grants: &[(ClassId, f64)]) {
         let credit = self.credit.entry(path).or_insert_with(|| PathCredit {
             window: INITIAL_WINDOW,
@@ -102,7 +103,7 @@
         }
     }
 
-    /// Selects the path for one more request of this class: usable, to a serving gateway, and with the most credit.
+    /// Selects the usable path to a serving gateway with the max_count credit. `None` without one or if time is short.
     pub(crate) fn select(
         &mut self,
         now: Timestamp,
@@ -151,7 +152,7 @@
             credit.window * (1.0 - SMOOTHING)
         };
         credit.window = credit.window.clamp(MIN_WINDOW, MAX_WINDOW);
-        // Whatever the other end has granted, requests must not travel only to be refused.
+        // Pauses the path even if it has credit, so that requests don't travel only to be refused.
         if credit.refused_ratio > REFUSED_RATIO {
             credit.paused_until = now + PAUSE;
             credit.refused_ratio = REFUSED_RATIO / 2.0;
@@ -160,25 +161,30 @@
 
     pub(crate) fn start_interval(&mut self, path_count: usize) {
         for (requested, demand) in self.requested.iter_mut().zip(&mut self.demand) {
-            // Demand follows a rise at once, and a fall slowly.
+            // Demand rises at once and falls slowly.
             *demand = requested.max(*demand * (1.0 - SMOOTHING));
             *requested = 0.0;
         }
         self.path_count = path_count;
     }
 
-    /// The demand that is reported on each path: its part of the total.
+    /// The demand to report on each path, which is an equal path_share of the total.
     pub(crate) fn demand(&self) -> Vec<(ClassId, u16)> {
-        let part = 1.0 / self.path_count.max(1) as f64;
-        let most = f64::from(u16::MAX);
+        let path_share = 1.0 / self.path_count.max(1) as f64;
+        let max_count = f64::from(u16::MAX);
         let classes = self.demand.iter().enumerate();
         classes
-            .map(|(class, demand)| (ClassId(class), (demand * part).ceil().min(most) as u16))
+            .map(|(class, demand)| {
+                (
+                    ClassId(class),
+                    (demand * path_share).ceil().min(max_count) as u16,
+                )
+            })
             .filter(|(_, count)| *count > 0)
             .collect()
     }
 
-    /// By class, the valid credit on all paths together.
+    /// The sum of the valid credit of each class on all paths.
     pub(crate) fn total_credit(&self, now: Timestamp) -> Vec<f64> {
         let mut total = vec![0.0; self.class_count];
         for credit in self.credit.values().filter(|credit| credit.is_valid(now)) {
--- a/crates/multi-site/src/requests/inbound.rs
+++ b/crates/multi-site/src/requests/inbound.rs
@@ -1,4 +1,4 @@
-//! Inbound requests: those that run here for the other site, and the remembered completions of earlier ones, so that no copy runs.
+//! Inbound requests: those that run here for the other site, and the stored completions of earlier ones, so that no copy runs.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -7,14 +7,14 @@
 
 use crate::{InboundId, PathId};
 
-/// For how many of the longest timeouts a completion is remembered, against copies that come late.
-const REMEMBERED_TIMEOUTS: f64 = 2.0;
-/// The most inbound requests that run at once.
+/// How long a completion is stored, in multiples of the longest timeout, so that late copies are recognized.
+const STORED_TIMEOUTS: f64 = 2.0;
+/// The maximum number of inbound requests that run at once.
 const MAX_RUNNING: usize = 4096;
-/// The most completions remembered; beyond, the oldest are forgotten.
+/// The maximum number of stored completions. Beyond it, the oldest are removed.
 const MAX_COMPLETED: usize = 65_536;
 
-/// Identifies an inbound request for the gateway that has forwarded it.
+/// Identifies an inbound request across gateways and their restarts.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct InboundKey {
     pub(crate) sender: GatewayName,
@@ -22,7 +22,7 @@
     pub(crate) forwarding_id: u64,
 }
 
-/// What became of an inbound request.
+/// The outcome of an inbound request, stored for late copies and status queries.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct InboundCompletion {
     pub(crate) outcome: ForwardingOutcome,
@@ -31,7 +31,7 @@
 }
 
 impl InboundCompletion {
-    /// A completion without an answer.
+    /// A completion without a response from an endpoint.
     pub(crate) fn without_answer(outcome: ForwardingOutcome) -> InboundCompletion {
         InboundCompletion {
             outcome,
@@ -41,17 +41,17 @@
     }
 }
 
-/// The state of an inbound request.
+/// The state of a known inbound request.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum InboundState {
     /// It runs here.
     Running {
-        /// Its number.
+        /// This gateway's id for the request.
         inbound: InboundId,
-        /// The path it came on.
+        /// The path on which it arrived.
         path: PathId,
     },
-    /// It has ended, or was never accepted.
+    /// It has ended or was refused.
     Completed(InboundCompletion),
 }
 
@@ -61,10 +61,10 @@
     running: BTreeMap<InboundId, InboundKey>,
     /// When each remembered request was completed.
     completed: BTreeSet<(Timestamp, InboundKey)>,
-    remembered_for: TimeDelta,
+    stored_for: TimeDelta,
     stored_bytes: usize,
     max_stored_bytes: usize,
-    /// Those whose bodies are stored, oldest first.
+    /// The completed requests with a stored body, oldest first.
     with_body: VecDeque<InboundKey>,
 }
 
@@ -75,7 +75,7 @@
             states: BTreeMap::new(),
             running: BTreeMap::new(),
             completed: BTreeSet::new(),
-            remembered_for: longest_timeout * REMEMBERED_TIMEOUTS,
+            stored_for: longest_timeout * STORED_TIMEOUTS,
             stored_bytes: 0,
             max_stored_bytes,
             with_body: VecDeque::new(),
@@ -94,7 +94,7 @@
         self.states.get(key)
     }
 
-    /// Accepts a request that came on this path.
+    /// Enters a request as running, and returns its new id.
     pub(crate) fn accept(&mut self, key: InboundKey, path: PathId) -> InboundId {
         self.last_id += 1;
         let inbound = InboundId(self.last_id);
@@ -104,7 +104,7 @@
         inbound
     }
 
-    /// The number of a request that still runs.
+    /// The id of a request if it still runs.
     pub(crate) fn running(&self, key: &InboundKey) -> Option<InboundId> {
         match self.states.get(key) {
             Some(InboundState::Running { inbound, .. }) => Some(*inbound),
@@ -112,8 +112,8 @@
         }
     }
 
-    /// Those that still run for an earlier incarnation of this gateway.
-    pub(crate) fn running_for_earlier(
+    /// The running requests that an earlier incarnation of the sender forwarded.
+    pub(crate) fn running_for_earlier_incarnation(
         &self,
         sender: &GatewayName,
         incarnation: u64,
@@ -124,7 +124,7 @@
         earlier.map(|(inbound, _)| *inbound).collect()
     }
 
-    /// Completes a request that runs, and returns whose it is and the path it came on.
+    /// Completes a running request, and returns its key and the path on which it arrived.
     pub(crate) fn complete_running(
         &mut self,
         now: Timestamp,
@@ -140,7 +140,7 @@
         Some((key, path))
     }
 
-    /// Remembers a completion, also of a request that was never accepted, so that no copy of it runs.
+    /// Stores the completion of a request that ended or was refused, so that no copy of it runs.
     pub(crate) fn complete(
         &mut self,
         now: Timestamp,
@@ -155,11 +155,11 @@
         self.states.insert(key, InboundState::Completed(completion));
         self.drop_oldest_bodies();
         while self.completed.len() > MAX_COMPLETED {
-            self.forget_oldest();
+            self.remove_oldest();
         }
     }
 
-    /// Keeps the stored bodies within their memory. Of a request without its body it can only be said that it may have run.
+    /// Drops the oldest bodies beyond the memory limit. The outcome of their requests becomes unknown.
     fn drop_oldest_bodies(&mut self) {
         while self.stored_bytes > self.max_stored_bytes {
             let Some(key) = self.with_body.pop_front() else {
@@ -173,7 +173,7 @@
         }
     }
 
-    fn forget_oldest(&mut self) {
+    fn remove_oldest(&mut self) {
         let Some((_, key)) = self.completed.pop_first() else {
             return;
         };
@@ -185,16 +185,16 @@
         }
     }
 
-    /// When the next completion is forgotten.
-    pub(crate) fn next_forgotten(&self) -> Option<Timestamp> {
+    /// When the oldest completion expires.
+    pub(crate) fn next_expiry(&self) -> Option<Timestamp> {
         let oldest = self.completed.first();
-        oldest.map(|(completed, _)| *completed + self.remembered_for)
+        oldest.map(|(completed, _)| *completed + self.stored_for)
     }
 
-    /// Forgets the completions that were remembered for long enough.
-    pub(crate) fn forget_old(&mut self, now: Timestamp) {
-        while self.next_forgotten().is_some_and(|at| at <= now) {
-            self.forget_oldest();
+    /// Removes the completions that were stored for the configured time.
+    pub(crate) fn remove_expired(&mut self, now: Timestamp) {
+        while self.next_expiry().is_some_and(|at| at <= now) {
+            self.remove_oldest();
         }
     }
 }
--- a/crates/multi-site/src/requests/mod.rs
+++ b/crates/multi-site/src/requests/mod.rs
@@ -1,4 +1,4 @@
-//! Ownership of requests between the sites: which forwarded requests await a response, and which inbound requests owe one.
+//! Ownership of requests between the sites: forwarded requests that await a response, and inbound requests that run here.
 
 mod inbound;
 mod outbound;
--- a/crates/multi-site/src/requests/outbound.rs
+++ b/crates/multi-site/src/requests/outbound.rs
@@ -1,4 +1,4 @@
-//! Requests that were forwarded and await a response. The table is bounded by the clients' requests and their timeouts.
+//! Forwarded requests that await a response. Their number is bounded by the clients' open requests and their timeouts.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,18 +7,18 @@
 
 use crate::{Membership, PathId};
 
-/// One forwarded request.
+/// A forwarded request that awaits a response.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct OutboundRequest {
     pub(crate) id: RequestId,
     pub(crate) class: ClassId,
     pub(crate) peer: GatewayName,
-    /// The incarnation of the receiver that it was forwarded to.
+    /// The incarnation of the receiver when the request was forwarded.
     pub(crate) receiver_incarnation: u64,
     pub(crate) sent: Timestamp,
-    /// When it fails if no response has come.
+    /// When the request fails if no response has arrived.
     pub(crate) deadline: Timestamp,
-    /// The local policy had rejected it: it is not offered to it again.
+    /// Whether the local policy has rejected the request, so that it is not served locally any more.
     pub(crate) locally_rejected: bool,
     pub(crate) retry_safety: RetrySafety,
     pub(crate) deduplicates_across_sites: bool,
@@ -26,7 +26,7 @@
 }
 
 impl OutboundRequest {
-    /// Whether a client's retry is harmless although this attempt may have run.
+    /// Whether a client retry is safe even if this attempt has run.
     pub(crate) fn is_retry_safe(&self) -> bool {
         match self.retry_safety {
             RetrySafety::Idempotent => true,
@@ -35,9 +35,9 @@
         }
     }
 
-    /// The time in which it may run again at the local site although it may have run at the other one; none if it may not, or if
-    /// too little time is left. With an idempotency key that needs a deduplication group of both sites, and both runs within the
-    /// deduplication window.
+    /// The time left to run the request at the local site although it may have run at the other one. `None` if it is not
+    /// retry-safe or too little time is left. An idempotency key makes it retry-safe only if a deduplication group spans both
+    /// sites; then both runs must lie within the deduplication window.
     pub(crate) fn local_retry_time(&self, now: Timestamp, tick: TimeDelta) -> Option<TimeDelta> {
         let remaining = match self.retry_safety {
             RetrySafety::Idempotent => self.deadline - now,
@@ -53,19 +53,19 @@
     }
 }
 
-/// A request whose path was lost and that may run again at the local site.
+/// A request of a lost path to run again at the local site.
 pub(crate) struct LocalRetry {
     pub(crate) request: OutboundRequest,
     pub(crate) remaining: TimeDelta,
 }
 
-/// A response that is missing.
+/// A forwarded request whose response has not arrived.
 pub(crate) struct MissingResponse {
     pub(crate) forwarding_id: u64,
     pub(crate) receiver_incarnation: u64,
 }
 
-/// All forwarded requests without a response, by their forwarding id.
+/// All forwarded requests without a response, by forwarding id.
 #[derive(Default)]
 pub(crate) struct OutboundRequests {
     last_id: u64,
@@ -75,7 +75,7 @@
 }
 
 impl OutboundRequests {
-    /// Enters a request, and returns its forwarding id.
+    /// Adds a request and returns its forwarding id.
     pub(crate) fn insert(&mut self, request: OutboundRequest) -> u64 {
         self.last_id += 1;
         let forwarding_id = self.last_id;
@@ -85,7 +85,7 @@
         forwarding_id
     }
 
-    /// Takes out a request on the response of the gateway that has it.
+    /// Removes and returns a request that `peer` has answered. `None` if it was not forwarded to `peer`.
     pub(crate) fn take_answered(
         &mut self,
         forwarding_id: u64,
@@ -98,13 +98,13 @@
         self.remove(forwarding_id)
     }
 
-    /// Takes out a request whose client went away, with its forwarding id.
+    /// Removes and returns a request whose client disconnected, with its forwarding id.
     pub(crate) fn take_abandoned(&mut self, id: RequestId) -> Option<(u64, OutboundRequest)> {
         let forwarding_id = *self.by_request.get(&id)?;
         Some((forwarding_id, self.remove(forwarding_id)?))
     }
 
-    /// Takes out a request whose deadline has passed.
+    /// Removes and returns a request whose deadline has passed.
     pub(crate) fn take_expired(&mut self, now: Timestamp) -> Option<OutboundRequest> {
         let (deadline, forwarding_id) = *self.deadlines.first()?;
         if deadline > now {
@@ -113,8 +113,8 @@
         self.remove(forwarding_id)
     }
 
-    /// Takes out the requests of a lost path that may run again at the local site. Those to a gateway that another usable path
-    /// leads to stay, and those that only a late response can end.
+    /// Removes and returns the requests of a lost path that may run again at the local site. The others wait for a response:
+    /// those whose receiver is reachable on another path, and those that are not retry-safe.
     pub(crate) fn take_local_retries(
         &mut self,
         path: PathId,
@@ -138,7 +138,7 @@
         retries.into_iter().filter_map(take).collect()
     }
 
-    /// Takes out the requests that were forwarded to an earlier incarnation of this gateway.
+    /// Removes and returns the requests that were forwarded to an earlier incarnation of `peer`.
     pub(crate) fn take_lost_by_restart(
         &mut self,
         peer: &GatewayName,
@@ -154,7 +154,7 @@
             .collect()
     }
 
-    /// The responses that this gateway owes.
+    /// The requests that `peer` has not answered.
     pub(crate) fn missing_responses(&self, peer: &GatewayName) -> Vec<MissingResponse> {
         self.requests
             .iter()
@@ -166,7 +166,7 @@
             .collect()
     }
 
-    /// The next deadline.
+    /// The earliest deadline of all requests.
     pub(crate) fn next_deadline(&self) -> Option<Timestamp> {
         self.deadlines.first().map(|(deadline, _)| *deadline)
     }
--- a/crates/multi-site/tests/multi_site/main.rs
+++ b/crates/multi-site/tests/multi_site/main.rs
@@ -1,4 +1,4 @@
-//! One gateway's decisions between two sites, event by event.
+//! Tests of one gateway's decisions between two sites, event by event.
 
 mod failover;
 mod fixture;
