--- a/crates/site-messages/src/codec.rs
+++ b/crates/site-messages/src/codec.rs
@@ -1,78 +1,78 @@
-//! The encoding of messages: one message fills its bytes.
+//! Encoding and decoding of messages. Each encoded message is sent as one unit.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
 use crate::{ForwardedRequest, ForwardingResponse, Heartbeat};
 
-/// The longest message in bytes: the longest head and body of the client protocol, and the fields beside them.
+/// The maximum message length in bytes: the longest head and body of the client protocol plus the other fields.
 pub const MAX_MESSAGE_BYTES: usize = 96 * 1024;
 
 /// A message from one gateway to a gateway of the other site.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SiteMessage {
-    /// A sign of life.
+    /// A periodic heartbeat on a path.
     Heartbeat(Heartbeat),
-    /// A forwarded request.
+    /// A request that the sender forwards.
     Request(ForwardedRequest),
-    /// What became of a forwarded request.
+    /// The outcome of a forwarded request.
     Response(ForwardingResponse),
-    /// Asks what became of a forwarded request whose response is missing.
+    /// A query for the outcome of a forwarded request whose response is missing.
     StatusQuery {
-        /// The number of the forwarded request.
+        /// The sender's id for the forwarded request.
         forwarding_id: u64,
         /// The incarnation that forwarded it.
         sender_incarnation: u64,
         /// The incarnation that it was forwarded to.
         receiver_incarnation: u64,
     },
-    /// The client of a forwarded request has gone away.
+    /// A notice that the client of a forwarded request disconnected.
     Cancel {
-        /// The number of the forwarded request.
+        /// The sender's id for the forwarded request.
         forwarding_id: u64,
         /// The incarnation that forwarded it.
         sender_incarnation: u64,
     },
 }
 
-/// Why a message cannot be encoded.
+/// An error on encoding a message.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum EncodeError {
     /// The message would be longer than [`MAX_MESSAGE_BYTES`].
     #[error("a message of {bytes} bytes is longer than {MAX_MESSAGE_BYTES}")]
     TooLong {
-        /// Its length in bytes.
+        /// The length of the encoded message.
         bytes: usize,
     },
-    /// The serializer refuses it.
+    /// The serializer failed.
     #[error("{0}")]
     Serialize(#[source] postcard::Error),
 }
 
-/// Why bytes are no message.
+/// An error on decoding a message.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum DecodeError {
-    /// There are more than [`MAX_MESSAGE_BYTES`].
-    #[error("{bytes} bytes, more than {MAX_MESSAGE_BYTES}")]
+    /// The input is longer than [`MAX_MESSAGE_BYTES`].
+    #[error("a message of {bytes} bytes is longer than {MAX_MESSAGE_BYTES}")]
     TooLong {
-        /// How many bytes there are.
+        /// The length of the input.
         bytes: usize,
     },
     /// Bytes follow the message.
-    #[error("{bytes} bytes behind a message")]
+    #[error("{bytes} bytes follow the message")]
     TrailingBytes {
-        /// How many bytes follow it.
+        /// The number of trailing bytes.
         bytes: usize,
     },
-    /// They are cut off, or are no message of this version.
+    /// The input is truncated or not a message of this version.
     #[error("{0}")]
     Deserialize(#[source] postcard::Error),
 }
 
-/// Encodes a message.
+/// Encodes a message with postcard.
 ///
 /// # Errors
-/// The message would be longer than [`MAX_MESSAGE_BYTES`].
+/// The encoded message would be longer than [`MAX_MESSAGE_BYTES`].
 pub fn encode(message: &SiteMessage) -> Result<Vec<u8>, EncodeError> {
     let bytes = postcard::to_stdvec(message).map_err(EncodeError::Serialize)?;
     if bytes.len() > MAX_MESSAGE_BYTES {
@@ -81,10 +81,10 @@
     Ok(bytes)
 }
 
-/// Decodes a message that fills its bytes.
+/// Decodes a message from the whole input.
 ///
 /// # Errors
-/// The bytes are too many, are cut off, are no message of this version, or have others behind them.
+/// The input is too long, truncated, not a message of this version, or has trailing bytes.
 pub fn decode(bytes: &[u8]) -> Result<SiteMessage, DecodeError> {
     if bytes.len() > MAX_MESSAGE_BYTES {
         return Err(DecodeError::TooLong { bytes: bytes.len() });
--- a/crates/site-messages/src/forwarding.rs
+++ b/crates/site-messages/src/forwarding.rs
@@ -1,69 +1,69 @@
-//! Forwarded requests and what becomes of them.
+//! Forwarded requests and their responses.
 
 use serde::{Deserialize, Serialize};
 
-/// A request that is forwarded to the other site, as its client wrote it.
+/// A request that is forwarded to the other site, with its HTTP fields as the client sent them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ForwardedRequest {
-    /// The sender's number for it, never used twice in an incarnation.
+    /// The sender's id for the request, never reused within an incarnation.
     pub forwarding_id: u64,
-    /// The incarnation of the sender.
+    /// The incarnation of the gateway that forwards the request.
     pub sender_incarnation: u64,
-    /// The incarnation of the receiver that it is meant for.
+    /// The incarnation for which the request is meant; the receiver doesn't run it under another one.
     pub receiver_incarnation: u64,
-    /// The newest heartbeat that the sender had sent by then.
+    /// The sequence number of the sender's newest heartbeat, from which the receiver bounds the request's age.
     pub heartbeat_sequence: u32,
-    /// The request class.
+    /// The name of the request class, the same at both sites.
     pub class: String,
-    /// How long an answer is of use, in milliseconds.
+    /// The time until a response is too late, in milliseconds.
     pub remaining_ms: u32,
-    /// The client has sent this request before.
+    /// Whether the client has sent this request before.
     pub is_client_retry: bool,
-    /// The affinity key.
+    /// The affinity key, if the client sent one.
     pub affinity_key: Option<u64>,
-    /// No build below this one may answer; 0 for any.
+    /// The oldest build that may answer; 0 for any.
     pub minimum_build: u32,
-    /// The HTTP method.
+    /// The HTTP method, such as `POST`.
     pub method: String,
-    /// The HTTP request target.
+    /// The HTTP request target with its query.
     pub target: String,
     /// The client's identifier of the request.
     pub request_id: String,
-    /// The idempotency key.
+    /// The idempotency key, if the client sent one.
     pub idempotency_key: Option<String>,
-    /// The HTTP body.
+    /// The HTTP request body.
     pub body: Vec<u8>,
 }
 
-/// What became of a forwarded request.
+/// The outcome of a forwarded request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ForwardingOutcome {
-    /// It was answered.
+    /// An endpoint answered it.
     Succeeded,
-    /// It was turned away. A retry is harmless among the endpoints that deduplicate it.
+    /// It was rejected. A retry is safe at endpoints that deduplicate it.
     Rejected {
-        /// It may have had its effect all the same.
+        /// Whether it may have taken effect despite the rejection.
         may_have_run: bool,
     },
-    /// It ended with unknown effect.
+    /// It failed; whether it took effect is unknown.
     Failed,
-    /// The receiver never accepted it: it has not run and will not.
+    /// The receiver did not accept it: it has not run and never will.
     NotAccepted,
-    /// It may have run, and nothing more will be known.
+    /// It may have run, but the receiver no longer has its outcome.
     Unknown,
 }
 
-/// The answer to a forwarded request, or to a query about it.
+/// The response to a forwarded request or to a status query.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ForwardingResponse {
-    /// The number of the forwarded request.
+    /// The id of the forwarded request.
     pub forwarding_id: u64,
     /// The incarnation that forwarded it.
     pub sender_incarnation: u64,
-    /// What became of it.
+    /// The outcome of the request at the receiver.
     pub outcome: ForwardingOutcome,
-    /// The build that answered it.
+    /// The build of the endpoint that answered, if one did.
     pub build: Option<u32>,
-    /// The answer's body.
+    /// The HTTP response body, empty without a response.
     pub body: Vec<u8>,
 }
--- a/crates/site-messages/src/heartbeat.rs
+++ b/crates/site-messages/src/heartbeat.rs
@@ -5,10 +5,10 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A gateway, named by its site and its name there.
+/// The full name of a gateway: its site and its name within the site.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct GatewayName {
-    /// The site's name.
+    /// The name of the site.
     pub site: String,
     /// The gateway's name, unique within its site.
     pub gateway: String,
@@ -20,59 +20,59 @@
     }
 }
 
-/// The state of a gateway. It announces the first three itself; others announce the last two about it.
+/// The state of a gateway. The gateway itself announces the first three; other gateways announce the last two about it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum MemberState {
     /// It accepts forwarded requests.
     Serving,
     /// An operator has drained its site: it accepts none.
     Draining,
-    /// It shuts down.
+    /// It is shutting down.
     Leaving,
-    /// Its heartbeats are missing.
+    /// Its heartbeats have stopped arriving.
     Suspected,
-    /// It was suspected, and has not refuted that in time.
+    /// It was suspected and did not refute that in time.
     Lost,
 }
 
-/// What gateways tell each other about one of them.
+/// A membership record: the state of one gateway, which spreads through heartbeats.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberRecord {
-    /// The gateway that the record is about.
+    /// The gateway that the record describes.
     pub gateway: GatewayName,
-    /// Where the other site's gateways reach it.
+    /// The address at which the other site's gateways reach it, if known.
     pub address: Option<SocketAddr>,
-    /// Its start, above all its earlier ones.
+    /// The number of the gateway's start, higher than that of every earlier start.
     pub incarnation: u64,
-    /// The version of its announcement within the incarnation. Only the gateway itself raises it.
+    /// The version of the record within the incarnation. Only the gateway itself raises it.
     pub version: u32,
-    /// Its state.
+    /// The state of the gateway.
     pub state: MemberState,
 }
 
 impl MemberRecord {
-    /// The key by which records of one gateway supersede each other: the newer announcement is higher, and at the same version
-    /// a suspicion is above what the gateway announced.
+    /// The precedence among records of the same gateway. A newer announcement is higher. At the same version, a suspicion is
+    /// higher than the gateway's own announcement.
     pub fn precedence(&self) -> (u64, u32, MemberState) {
         (self.incarnation, self.version, self.state)
     }
 }
 
-/// A sign of life, sent on each path in each heartbeat interval. It may be lost.
+/// A heartbeat, sent on each path in each heartbeat interval. It may be lost on the way.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The sender's incarnation.
+    /// The incarnation of the sender.
     pub incarnation: u64,
-    /// The heartbeat's number within the incarnation, from 1.
+    /// The sequence number of the heartbeat within the incarnation, starting at 1.
     pub sequence: u32,
-    /// The newest sequence number received from the other end; 0 for none.
+    /// The newest sequence number received from the other end; 0 before its first heartbeat.
     pub echo: u32,
-    /// How long before this heartbeat that one was received, in milliseconds.
+    /// The time from the receipt of the echoed heartbeat to the sending of this one, in milliseconds.
     pub echo_delay_ms: u32,
-    /// Records of gateways.
+    /// Membership records of any gateways.
     pub records: Vec<MemberRecord>,
-    /// By request class, how many requests the sender would have forwarded in one interval.
+    /// How many requests of each class the sender would forward on this path in one interval.
     pub demand: Vec<(String, u16)>,
-    /// By request class, how many requests the receiver may forward until the next heartbeat.
+    /// How many requests of each class the receiver may forward until the next heartbeat.
     pub grants: Vec<(String, u16)>,
 }
--- a/crates/site-messages/src/lib.rs
+++ b/crates/site-messages/src/lib.rs
@@ -1,5 +1,5 @@
-//! The messages that gateways of two sites exchange, and their encoding (postcard, version 1 of its wire format). Plain data:
-//! nothing here opens a socket or decides.
+//! The messages that gateways of two sites exchange, and their encoding (postcard, version 1 of its wire format). This crate
+//! holds only data types: it opens no sockets and makes no decisions.
 
 #![warn(missing_docs, unreachable_pub)]
 
--- a/crates/site-messages/src/path.rs
+++ b/crates/site-messages/src/path.rs
@@ -1,5 +1,5 @@
-//! The identifier that the transport and the decisions share.
+//! The path id that the site transport and the multi-site decisions share.
 
-/// A path: one connection between two gateways, by a number that this gateway never uses twice. It is not part of any message.
+/// This gateway's id for a path (one connection to another gateway), never reused. It is not part of any message.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PathId(pub u64);
