--- a/crates/gateway/src/dispatch/multi_site.rs
+++ b/crates/gateway/src/dispatch/multi_site.rs
@@ -251,7 +251,7 @@
         let id = self
             .forwarding
             .as_ref()
-            .and_then(|forwarding| forwarding.inbound.id_of(inbound));
+            .and_then(|forwarding| forwarding.inbound.request_id(inbound));
         if let Some(id) = id {
             self.context.emit(InternalEvent::ClientDisconnected { id });
         }
@@ -283,7 +283,7 @@
             sender_incarnation: incarnation,
             ..forward.partial_message
         };
-        let write = |request: OutboundRequest<'_>| outbound.message(&request, partial_message);
+        let write = |request: OutboundRequest<'_>| outbound.into_message(&request, partial_message);
         // `None`: the client has disconnected, which a separate event reports.
         let Some(message) = self.downstream.with_outbound_request(id, write) else {
             return;
--- a/crates/gateway/src/dispatch/rollout.rs
+++ b/crates/gateway/src/dispatch/rollout.rs
@@ -30,7 +30,9 @@
             return false;
         }
         self.context.counters.add(Counter::Votes);
-        self.handle_rollout_event(Event::VoteChanged(votes::vote(build, stage, decision)));
+        self.handle_rollout_event(Event::VoteChanged(votes::vote_from_decision(
+            build, stage, decision,
+        )));
         // Answers the policy's vote, so that the policy renews the vote as it does with the rollout platform.
         let update = RolloutUpdate {
             build,
@@ -65,7 +67,7 @@
         if self.rollout_commands.is_none() {
             return;
         }
-        if let Some(event) = votes::stage_event(update) {
+        if let Some(event) = votes::event_from_update(update) {
             self.handle_rollout_event(event);
         }
     }
--- a/crates/gateway/src/multi_site/control_socket.rs
+++ b/crates/gateway/src/multi_site/control_socket.rs
@@ -1,4 +1,4 @@
-//! The operators' control socket: a Unix stream socket that takes one command a connection and responds in one line of JSON.
+//! The operators' control socket: a Unix socket that takes one command per connection and responds with one line of JSON.
 
 use std::io::{self, ErrorKind, Read, Write};
 use std::os::unix::net::{UnixListener, UnixStream};
@@ -10,34 +10,34 @@
 use harrierdock_types::{TimeDelta, Timestamp};
 use thiserror::Error;
 
-/// Connections at once. Others wait in the socket's queue.
+/// The maximum number of open connections. Further ones wait in the socket's accept queue.
 const MAX_CONNECTIONS: usize = 4;
-/// How long a connection may stay without a command.
+/// How long a connection may stay open without a command.
 const COMMAND_TIMEOUT: TimeDelta = TimeDelta(2_000_000);
 const MAX_COMMAND_BYTES: usize = 64;
 /// How long `send_command` waits for the response.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What is wrong with a control socket.
+/// An error of the control socket at a path.
 #[derive(Debug, Error)]
 #[error("control socket {}: {source}", path.display())]
 pub(crate) struct ControlSocketError {
     path: PathBuf,
-    source: ControlSocketFault,
+    source: ControlSocketErrorCause,
 }
 
-/// The fault of a control socket.
+/// The cause of a [`ControlSocketError`].
 #[derive(Debug, Error)]
-pub(crate) enum ControlSocketFault {
-    /// It cannot be opened, read or written.
+pub(crate) enum ControlSocketErrorCause {
+    /// Opening, reading or writing the socket failed.
     #[error("{0}")]
     Io(#[from] io::Error),
-    /// The gateway closed it without a response.
-    #[error("no answer")]
+    /// The gateway closed the connection without a response.
+    #[error("the gateway closed the connection without a response")]
     NoResponse,
 }
 
-/// The number of a connection, counted from the first.
+/// The id of a connection, counted from 1.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ControlConnectionId(u64);
 
@@ -47,15 +47,15 @@
     token: RegistrationToken,
 }
 
-/// What a connection calls.
+/// The callbacks of a connection.
 pub(crate) struct ControlHandlers<D> {
     /// Runs a command and returns the response.
     pub(crate) run_command: fn(&mut D, &str) -> String,
-    /// The response is written, and the connection is closed.
+    /// Called after the response is written, right before the connection is closed.
     pub(crate) answered: fn(&mut D, ControlConnectionId),
 }
 
-/// The control socket. Its file is removed when it is dropped.
+/// The listening socket and its open connections. Dropping it removes the socket file.
 pub(crate) struct ControlSocket {
     path: PathBuf,
     listener: RegistrationToken,
@@ -65,17 +65,17 @@
 }
 
 impl ControlSocket {
-    /// Listens at a path. A socket that an earlier start has left there is replaced.
+    /// Listens at a path. Replaces a socket file that an earlier start left there.
     ///
     /// # Errors
     ///
-    /// Another gateway listens there, or the path cannot be bound.
+    /// Another gateway listens at the path, or binding it fails.
     pub(crate) fn open<D: 'static>(
         handle: &LoopHandle<'static, D>,
         path: PathBuf,
         accepted: fn(&mut D, UnixStream),
     ) -> Result<ControlSocket, ControlSocketError> {
-        let error = |e: io::Error| socket_error(&path, e.into());
+        let error = |e: io::Error| control_socket_error(&path, e.into());
         if UnixStream::connect(&path).is_ok() {
             return Err(error(io::Error::from(ErrorKind::AddrInUse)));
         }
@@ -100,7 +100,7 @@
         })
     }
 
-    /// Waits for the command of a connection. Accepting stops at `MAX_CONNECTIONS`.
+    /// Waits for the command of an accepted connection. Stops accepting at `MAX_CONNECTIONS`.
     pub(crate) fn add_connection<D: 'static>(
         &mut self,
         handle: &LoopHandle<'static, D>,
@@ -121,7 +121,7 @@
             }
             let command = String::from_utf8_lossy(&buffer[..read.unwrap_or(0)]);
             let response = (handlers.run_command)(data, command.trim());
-            // The response fits the socket's buffer. An error means that the caller has gone.
+            // The response fits into the socket's buffer. An error means that the caller has disconnected.
             let _ = (&**stream).write_all(response.as_bytes());
             (handlers.answered)(data, id);
             Ok(PostAction::Remove)
@@ -137,7 +137,7 @@
         self.update_accepting(handle);
     }
 
-    /// A connection has its response and is closed by its own event.
+    /// Removes a connection that has its response. Its event source closes it.
     pub(crate) fn forget_connection<D>(
         &mut self,
         handle: &LoopHandle<'static, D>,
@@ -147,19 +147,19 @@
         self.update_accepting(handle);
     }
 
-    /// Closes connections that have sent no command in time.
+    /// Closes connections that have not sent a command within `COMMAND_TIMEOUT`.
     pub(crate) fn close_expired<D>(&mut self, handle: &LoopHandle<'static, D>, now: Timestamp) {
         self.connections.retain(|connection| {
-            let stays = now - connection.opened_at < COMMAND_TIMEOUT;
-            if !stays {
+            let is_in_time = now - connection.opened_at < COMMAND_TIMEOUT;
+            if !is_in_time {
                 handle.remove(connection.token);
             }
-            stays
+            is_in_time
         });
         self.update_accepting(handle);
     }
 
-    /// Accepts while there is room for another connection.
+    /// Accepts connections only below `MAX_CONNECTIONS`.
     fn update_accepting<D>(&mut self, handle: &LoopHandle<'static, D>) {
         let is_full = self.connections.len() >= MAX_CONNECTIONS;
         if is_full == self.is_paused {
@@ -172,7 +172,7 @@
         };
         match changed {
             Ok(()) => self.is_paused = is_full,
-            Err(e) => tracing::warn!("the control socket cannot be paused or resumed: {e}"),
+            Err(e) => tracing::warn!("sites: failed to pause or resume the control socket: {e}"),
         }
     }
 }
@@ -183,7 +183,7 @@
     }
 }
 
-fn socket_error(path: &Path, source: ControlSocketFault) -> ControlSocketError {
+fn control_socket_error(path: &Path, source: ControlSocketErrorCause) -> ControlSocketError {
     ControlSocketError {
         path: path.into(),
         source,
@@ -194,9 +194,9 @@
 ///
 /// # Errors
 ///
-/// Nobody listens there, or no response comes.
+/// No gateway listens at the path, or no response arrives in time.
 pub(crate) fn send_command(path: &Path, command: &str) -> Result<String, ControlSocketError> {
-    let error = |e: io::Error| socket_error(path, e.into());
+    let error = |e: io::Error| control_socket_error(path, e.into());
     let mut stream = UnixStream::connect(path).map_err(error)?;
     stream
         .set_read_timeout(Some(RESPONSE_TIMEOUT))
@@ -205,7 +205,10 @@
     let mut response = String::new();
     stream.read_to_string(&mut response).map_err(error)?;
     if response.is_empty() {
-        return Err(socket_error(path, ControlSocketFault::NoResponse));
+        return Err(control_socket_error(
+            path,
+            ControlSocketErrorCause::NoResponse,
+        ));
     }
     Ok(response.trim_end().to_string())
 }
--- a/crates/gateway/src/multi_site/forwarding.rs
+++ b/crates/gateway/src/multi_site/forwarding.rs
@@ -1,5 +1,5 @@
-//! The transport to the other site's gateways, on one UDP socket, and the state of cross-site forwarding. What is forwarded is
-//! decided in `harrierdock-multi-site`.
+//! The transport to the other site's gateways on one UDP socket, and the state of cross-site forwarding.
+//! `harrierdock-multi-site` decides which requests are forwarded.
 
 use std::collections::BTreeMap;
 use std::io::{self, ErrorKind};
@@ -29,58 +29,58 @@
 use crate::runtime::context::{Context, OutboundRequest};
 use crate::runtime::timer::Timer;
 
-/// The longest datagram that is read.
+/// The maximum length of a received datagram.
 const MAX_DATAGRAM_BYTES: usize = 2048;
-/// Datagrams read in one turn of the loop, so that a flood of them gives way to requests.
+/// Datagrams read per iteration of the event loop, so that a flood of them doesn't delay requests.
 const MAX_READS_PER_TURN: usize = 64;
-/// What the socket may hold until it is read or sent.
+/// The size of the socket's send and receive buffers.
 const SOCKET_BUFFER_BYTES: usize = 1 << 20;
-/// Answers that are kept for the other site may take one in this many parts of the memory limit.
-const ANSWER_MEMORY_DIVISOR: usize = 32;
+/// Responses stored for the other site may take up this fraction of the memory limit.
+const STORED_RESPONSE_MEMORY_DIVISOR: usize = 32;
 const BYTES_PER_MEGABYTE: usize = 1 << 20;
-/// A transport deadline that moves by less than this keeps its timer.
+/// The timer is not changed if the transport's deadline moves by less than this.
 const TIMER_SLACK_MICROS: i64 = 1000;
 
-/// Why the transport to the other site cannot be opened, or its keys not be replaced.
+/// An error on opening the transport to the other site or on reloading its keys.
 #[derive(Debug, Error)]
 pub(crate) enum ForwardingError {
-    /// The configuration is refused.
+    /// The configuration is invalid.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The key files cannot be used.
+    /// The key files cannot be read or are invalid.
     #[error(transparent)]
     Extension(#[from] ExtensionError),
-    /// The extension file names no other site any more.
-    #[error("no sites")]
+    /// The extension file no longer configures another site.
+    #[error("the extension file has no sites section")]
     NoSites,
-    /// The keys do not fit the transport.
+    /// The transport does not accept the keys.
     #[error("sites.keys: {0}")]
     Keys(#[from] SetupError),
-    /// The socket cannot be opened.
+    /// The UDP socket cannot be bound.
     #[error("sites.listen: {address}: {source}")]
     Listen {
-        /// Where.
+        /// The configured address.
         address: SocketAddr,
-        /// Why.
+        /// The error of the system call.
         source: io::Error,
     },
-    /// The loop cannot watch the socket.
+    /// The event loop cannot watch_socket the socket.
     #[error("sites: {0}")]
     Watch(#[source] calloop::Error),
 }
 
-/// The answer to a request that the other site has forwarded.
+/// The outcome of an inbound request, to send to the other site.
 pub(crate) struct InboundAnswer {
-    /// How it ended.
+    /// How the request ended.
     pub(crate) outcome: ForwardingOutcome,
-    /// The build that answered it.
+    /// The build of the endpoint that answered, if one did.
     pub(crate) build: Option<BuildId>,
-    /// The response's body.
+    /// The response body, empty without a response.
     pub(crate) body: Vec<u8>,
 }
 
 impl InboundAnswer {
-    /// An answer that no endpoint has given.
+    /// An outcome without a response from an endpoint.
     pub(crate) fn without_body(outcome: ForwardingOutcome) -> InboundAnswer {
         InboundAnswer {
             outcome,
@@ -90,23 +90,23 @@
     }
 }
 
-/// What is forwarded of a request besides its bytes.
+/// The attributes of a request that are forwarded besides its HTTP fields.
 pub(crate) struct OutboundAttributes {
-    /// The name of its class.
+    /// The name of its request class.
     pub(crate) class: String,
-    /// Its affinity key, if it has one.
+    /// Its affinity key, if the client sent one.
     pub(crate) key: Option<AffinityKey>,
     /// Whether its client has sent it before.
     pub(crate) is_client_retry: bool,
-    /// The oldest build that may answer its affinity key.
+    /// The oldest build that may answer requests with its affinity key; 0 for any.
     pub(crate) sticky_build: BuildId,
-    /// How long its client still waits.
+    /// The time until its deadline.
     pub(crate) time_left: TimeDelta,
 }
 
 impl OutboundAttributes {
-    /// The message that forwards the request. `blank` holds the rest of its fields.
-    pub(crate) fn message(
+    /// Builds the message that forwards the request. `blank` has the ids, and the other fields are filled in.
+    pub(crate) fn into_message(
         self,
         request: &OutboundRequest<'_>,
         blank: ForwardedRequest,
@@ -128,21 +128,21 @@
     }
 }
 
-/// This gateway's side of the connections between two sites.
+/// This gateway's connections to the other site and its forwarded requests.
 pub(crate) struct Forwarding {
-    /// What is decided between the sites.
+    /// The decisions about forwarding between the sites.
     pub(crate) sites: MultiSite,
-    /// The transport.
+    /// The encrypted connections, without their socket.
     pub(crate) transport: SiteTransport,
-    /// The paths that were opened and have not come up.
+    /// The paths that this gateway opened and whose handshake is not complete.
     pub(crate) connecting: BTreeMap<PathId, GatewayName>,
-    /// The requests that the other site has forwarded.
+    /// The open requests from the other site.
     pub(crate) inbound: InboundRequests,
-    /// The deadline of the forwarding timer.
+    /// When the timer of the forwarding decisions fires, if it is set.
     pub(crate) sites_deadline: Option<Timestamp>,
-    /// Connections refused lately.
+    /// The refused connections that are not logged yet.
     pub(crate) refusals: Refusals,
-    /// The other site's name.
+    /// The name of the other site.
     pub(crate) other_site: String,
     local_name: GatewayName,
     socket: Rc<UdpSocket>,
@@ -150,7 +150,7 @@
 }
 
 impl Forwarding {
-    /// Opens the socket. `None` if no other site is configured.
+    /// Binds the socket and starts without connections. `None` if no other site is configured.
     ///
     /// # Errors
     ///
@@ -184,10 +184,10 @@
             tick: parameters.tick,
             retry_after: parameters.limits.retry_after,
             stored_response_bytes: config.limits.memory_mb * BYTES_PER_MEGABYTE
-                / ANSWER_MEMORY_DIVISOR,
+                / STORED_RESPONSE_MEMORY_DIVISOR,
             seed: config.seed(),
         };
-        watch(context, &socket)?;
+        watch_socket(context, &socket)?;
         tracing::info!(
             "sites: {local_name} listens on {address} for gateways of {}",
             settings.other.site
@@ -206,7 +206,7 @@
         }))
     }
 
-    /// Reads what has arrived and hands it to the transport.
+    /// Reads the received datagrams and passes them to the transport.
     pub(crate) fn receive(&mut self) {
         let mut buffer = [0_u8; MAX_DATAGRAM_BYTES];
         for _ in 0..MAX_READS_PER_TURN {
@@ -216,13 +216,13 @@
                         .handle_datagram(Instant::now(), from, &buffer[..size])
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
-                // The system reports here that an earlier datagram could not be delivered.
+                // The system reports that an earlier datagram could not be delivered.
                 Err(_) => {}
             }
         }
     }
 
-    /// Calls a function with the bytes of an inbound request that has no answer yet.
+    /// Calls a function with the HTTP fields of an inbound request. `None` if it is already answered.
     pub(crate) fn with_inbound_request<T>(
         &self,
         id: RequestId,
@@ -231,7 +231,7 @@
         self.inbound.outbound_request(id).map(function)
     }
 
-    /// Sends a message on a connection. Returns whether the transport has taken it.
+    /// Queues a message on a path. Returns whether the transport accepted it.
     pub(crate) fn send(
         &mut self,
         context: &mut Context,
@@ -255,47 +255,47 @@
         }
     }
 
-    /// Sends what the transport has for the socket, and sets its timer.
+    /// Sends the transport's queued datagrams and sets its timer.
     pub(crate) fn flush(&mut self, context: &mut Context) {
         while let Some((to, bytes)) = self.transport.next_datagram() {
-            // A datagram may be lost, so one that cannot be sent needs no handling of its own.
+            // The transport recovers from lost datagrams, also from one that cannot be sent.
             let _ = self.socket.send_to(&bytes, to);
         }
-        let delay_until = |at: Instant| {
+        let time_until = |at: Instant| {
             TimeDelta(at.saturating_duration_since(Instant::now()).as_micros() as i64)
         };
         let deadline = self
             .transport
             .next_timeout()
-            .map(|at| context.now() + delay_until(at));
+            .map(|at| context.now() + time_until(at));
         let is_unchanged = match (self.transport_deadline, deadline) {
-            (Some(set), Some(wanted)) => (set - wanted).0.abs() < TIMER_SLACK_MICROS,
+            (Some(current), Some(new)) => (current - new).0.abs() < TIMER_SLACK_MICROS,
             (None, None) => true,
             _ => false,
         };
         if is_unchanged {
             return;
         }
-        if let Some(set) = self.transport_deadline {
-            context.timers.cancel(set, Timer::SiteTransport);
+        if let Some(current) = self.transport_deadline {
+            context.timers.cancel(current, Timer::SiteTransport);
         }
-        if let Some(wanted) = deadline {
-            context.timers.set(wanted, Timer::SiteTransport);
+        if let Some(new) = deadline {
+            context.timers.set(new, Timer::SiteTransport);
         }
         self.transport_deadline = deadline;
     }
 
-    /// The transport's timer has fired.
+    /// Runs the transport's timers after its deadline.
     pub(crate) fn handle_transport_timer(&mut self) {
         self.transport_deadline = None;
         self.transport.handle_timeout(Instant::now());
     }
 
-    /// Reads the key files again.
+    /// Reloads the key files. The former keys stay in use on an error.
     ///
     /// # Errors
     ///
-    /// They cannot be read, or do not fit; the former keys stay.
+    /// The files cannot be read, or the transport does not accept the keys.
     pub(crate) fn reload_keys(
         &mut self,
         settings: &SiteSettings,
@@ -310,14 +310,14 @@
 fn bind(address: SocketAddr) -> io::Result<UdpSocket> {
     let kind = Type::DGRAM.nonblocking().cloexec();
     let socket = Socket::new(Domain::for_address(address), kind, Some(Protocol::UDP))?;
-    // The system may grant less; then more is lost and sent again.
+    // The system may grant smaller buffers. Then more datagrams are lost and retransmitted.
     let _ = socket.set_recv_buffer_size(SOCKET_BUFFER_BYTES);
     let _ = socket.set_send_buffer_size(SOCKET_BUFFER_BYTES);
     socket.bind(&address.into())?;
     Ok(socket.into())
 }
 
-fn watch(context: &Context, socket: &Rc<UdpSocket>) -> Result<(), ForwardingError> {
+fn watch_socket(context: &Context, socket: &Rc<UdpSocket>) -> Result<(), ForwardingError> {
     let source = Generic::new(socket.clone(), Interest::READ, Mode::Level);
     let handle_transport = context.handlers.site_transport;
     context
@@ -330,7 +330,7 @@
         .map_err(|e| ForwardingError::Watch(e.error))
 }
 
-/// Unix time in microseconds, which is above that of this gateway's earlier starts.
+/// The number of this start: Unix time in microseconds, which is higher than at earlier starts.
 fn incarnation() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -343,11 +343,11 @@
     parameters: &Parameters,
     names: &Names,
 ) -> Vec<RequestClass> {
-    let spans = |name: &str| {
+    let is_deduplicated_across_sites = |name: &str| {
         settings
             .classes_deduplicated_across_sites
             .iter()
-            .any(|spanning| spanning == name)
+            .any(|configured| configured == name)
     };
     names
         .classes
@@ -359,7 +359,7 @@
             latency_objective: class.latency_objective,
             timeout: class.timeout,
             priority_weight: class.priority_weight,
-            deduplicates_across_sites: spans(name),
+            deduplicates_across_sites: is_deduplicated_across_sites(name),
         })
         .collect()
 }
--- a/crates/gateway/src/multi_site/inbound.rs
+++ b/crates/gateway/src/multi_site/inbound.rs
@@ -1,4 +1,4 @@
-//! The requests that the other site has forwarded, as they were written there.
+//! The open requests from the other site, with the messages that forwarded them.
 
 use std::collections::BTreeMap;
 
@@ -8,38 +8,50 @@
 
 use crate::runtime::context::OutboundRequest;
 
+/// An open request from the other site.
 struct Inbound {
-    number: InboundId,
+    inbound_id: InboundId,
     message: ForwardedRequest,
 }
 
-/// The inbound requests that have no answer yet.
+/// The inbound requests that have not been answered.
 #[derive(Default)]
 pub(crate) struct InboundRequests {
     by_id: BTreeMap<RequestId, Inbound>,
-    by_number: BTreeMap<InboundId, RequestId>,
+    by_inbound_id: BTreeMap<InboundId, RequestId>,
 }
 
 impl InboundRequests {
-    /// Adds a request.
-    pub(crate) fn insert(&mut self, id: RequestId, number: InboundId, message: ForwardedRequest) {
-        self.by_id.insert(id, Inbound { number, message });
-        self.by_number.insert(number, id);
+    /// Adds an inbound request under its id in this gateway's request table.
+    pub(crate) fn insert(
+        &mut self,
+        id: RequestId,
+        inbound_id: InboundId,
+        message: ForwardedRequest,
+    ) {
+        self.by_id.insert(
+            id,
+            Inbound {
+                inbound_id,
+                message,
+            },
+        );
+        self.by_inbound_id.insert(inbound_id, id);
     }
 
-    /// Removes a request and returns its number at the site boundary.
+    /// Removes a request and returns its inbound id.
     pub(crate) fn remove(&mut self, id: RequestId) -> Option<InboundId> {
-        let number = self.by_id.remove(&id)?.number;
-        self.by_number.remove(&number);
-        Some(number)
+        let inbound_id = self.by_id.remove(&id)?.inbound_id;
+        self.by_inbound_id.remove(&inbound_id);
+        Some(inbound_id)
     }
 
-    /// The id of a request with this number.
-    pub(crate) fn id_of(&self, number: InboundId) -> Option<RequestId> {
-        self.by_number.get(&number).copied()
+    /// The id in the request table of an inbound request; `None` once it is answered.
+    pub(crate) fn request_id(&self, inbound_id: InboundId) -> Option<RequestId> {
+        self.by_inbound_id.get(&inbound_id).copied()
     }
 
-    /// A request as its client wrote it.
+    /// The HTTP fields of a request as its client sent them.
     pub(crate) fn outbound_request(&self, id: RequestId) -> Option<OutboundRequest<'_>> {
         let message = &self.by_id.get(&id)?.message;
         Some(OutboundRequest {
--- a/crates/gateway/src/multi_site/log.rs
+++ b/crates/gateway/src/multi_site/log.rs
@@ -1,17 +1,16 @@
-//! Log lines on connections to the other site and on its gateways.
+//! Log lines about connections to the other site and about its gateways.
 
 use std::net::SocketAddr;
 
-use harrierdock_multi_site::{status, Change};
+use harrierdock_multi_site::{status, Change, MoveReason, TrafficLocation};
 use harrierdock_site_messages::GatewayName;
 use harrierdock_site_transport::CloseCause;
 use harrierdock_types::{TimeDelta, Timestamp};
 
-/// How often it is logged that connections were refused.
+/// The minimum time between two log lines about refused connections.
 const REFUSAL_LOG_INTERVAL: TimeDelta = TimeDelta(10_000_000);
 
-/// Refused connections that are not logged yet. A line in a while says how many there were, so that strangers cannot fill the
-/// log.
+/// Counts refused connections and logs the count at intervals, so that unauthenticated senders cannot fill the log.
 #[derive(Default)]
 pub(crate) struct Refusals {
     count: u64,
@@ -19,40 +18,60 @@
 }
 
 impl Refusals {
-    /// Counts a refusal, and logs how many there were if it is time.
+    /// Counts a refusal. Logs the count if the last line is long enough ago.
     pub(crate) fn log(&mut self, now: Timestamp, remote: &SocketAddr, reason: &str) {
         self.count += 1;
-        let is_time = self
+        let is_log_due = self
             .logged_at
             .is_none_or(|at| now - at >= REFUSAL_LOG_INTERVAL);
-        if is_time {
+        if is_log_due {
             let count = std::mem::take(&mut self.count);
             self.logged_at = Some(now);
-            tracing::warn!("sites: {count} refused lately, the last from {remote}: {reason}");
+            tracing::warn!("sites: refused {count} connections, the last from {remote}: {reason}");
         }
     }
 }
 
-/// A connection that was opened has not come up. Operators are warned of refused credentials, which no retry mends.
+/// Logs a failed connect. Refused credentials are a warning, since retries don't help.
 pub(crate) fn connect_failed(peer: &GatewayName, cause: CloseCause, reason: &str) {
     match cause {
-        CloseCause::CredentialsRefused => tracing::warn!("sites: {peer} refused: {reason}"),
+        CloseCause::CredentialsRefused => {
+            tracing::warn!("sites: failed to connect to {peer}: credentials refused: {reason}")
+        }
         CloseCause::Orderly | CloseCause::Lost => {
-            tracing::debug!("sites: {peer} cannot be reached: {reason}");
+            tracing::debug!("sites: failed to connect to {peer}: {reason}");
         }
     }
 }
 
-/// A connection has ended.
+/// Logs the end of a connection. `peer` is `None` if it is unknown.
 pub(crate) fn disconnected(peer: Option<&GatewayName>, reason: &str) {
-    let peer = peer.map_or("a gateway".to_string(), GatewayName::to_string);
-    tracing::info!("sites: link with {peer} is down: {reason}");
+    let peer = peer.map_or("an unknown gateway".to_string(), GatewayName::to_string);
+    tracing::info!("sites: lost the connection to {peer}: {reason}");
+}
+
+fn describe_location(location: TrafficLocation) -> &'static str {
+    match location {
+        TrafficLocation::Local => "all traffic goes to the local site",
+        TrafficLocation::FailedOver => "traffic failed over to the other site",
+        TrafficLocation::Returning => "traffic returns to the local site",
+    }
+}
+
+fn describe_reason(reason: MoveReason) -> &'static str {
+    match reason {
+        MoveReason::OperatorCommand => "operator command",
+        MoveReason::NoReadyEndpoint => "no local endpoint is ready",
+        MoveReason::NothingSucceeds => "no local request succeeds",
+        MoveReason::RequestsSucceed => "local requests succeed",
+        MoveReason::SlowStartOver => "the slow start is over",
+    }
 }
 
-/// A change of what is known of the other site, in words.
+/// The text of the log line for a change of membership or traffic.
 pub(crate) fn describe(change: &Change) -> String {
     match change {
-        Change::Joined { gateway } => format!("{gateway} is known"),
+        Change::Joined { gateway } => format!("discovered {gateway}"),
         Change::Member {
             gateway,
             state,
@@ -61,18 +80,18 @@
         } => {
             let state = status::state_text(*state);
             let detail = match (returned, restarted) {
-                (_, true) => ", started anew",
-                (true, false) => ", returned",
+                (_, true) => " after a restart",
+                (true, false) => " again",
                 (false, false) => "",
             };
             format!("{gateway} is {state}{detail}")
         }
         Change::TrafficMoved { location, reason } => {
-            let location = status::location_text(*location);
-            format!("traffic is {location}: {}", status::reason_text(*reason))
+            let (location, reason) = (describe_location(*location), describe_reason(*reason));
+            format!("{location}: {reason}")
         }
         Change::UnmatchedResponses { count } => {
-            format!("{count} answers matched no forwarded request")
+            format!("{count} responses matched no forwarded request")
         }
     }
 }
--- a/crates/gateway/src/multi_site/mod.rs
+++ b/crates/gateway/src/multi_site/mod.rs
@@ -1,4 +1,4 @@
-//! The other site: the transport to its gateways, the requests forwarded between the sites, and the operators' control socket.
+//! The connection to the other site: the transport, the forwarded requests, and the operators' control socket.
 
 pub(crate) mod control_socket;
 pub(crate) mod forwarding;
--- a/crates/gateway/src/rollout/commands.rs
+++ b/crates/gateway/src/rollout/commands.rs
@@ -1,5 +1,5 @@
-//! Commands to the deployment controller. `harrierdock-rollout-controller` decides which command is next; whether it may go out
-//! is checked right before its bytes do.
+//! Sends commands to the deployment controller. `harrierdock-rollout-controller` decides which command is next. Whether this
+//! gateway still holds the lease is checked right before a command is written.
 
 use std::net::SocketAddr;
 
@@ -15,65 +15,65 @@
 use super::log;
 use crate::config::lease::RolloutControllerConfig;
 
-/// A command that is retried waits for this share of its timeout first.
+/// A retry waits for the command timeout divided by this.
 const RETRY_DELAY_DIVISOR: f64 = 2.0;
 
-/// Times that commands and votes go by, besides the configured ones.
+/// Durations for commands and votes that do not come from the rollout controller's settings.
 pub(crate) struct CommandTimes {
-    /// How long a counted vote stands.
+    /// How long a vote counts after it was cast.
     pub(crate) vote_ttl: TimeDelta,
-    /// How long a command may wait for its response.
+    /// The timeout of a command.
     pub(crate) timeout: TimeDelta,
-    /// How often leases are renewed.
+    /// The interval at which leases are renewed.
     pub(crate) heartbeat: TimeDelta,
 }
 
-/// Who sends commands, and where to.
+/// The sender and destination of commands.
 pub(crate) struct Controller<'a> {
     /// The settings of the rollout controller.
     pub(crate) settings: &'a RolloutControllerConfig,
-    /// This gateway's name.
+    /// The name of this gateway.
     pub(crate) name: &'a str,
-    /// This gateway.
+    /// The peer id of this gateway.
     pub(crate) local_peer: PeerId,
-    /// How many gateways the fleet has.
+    /// The number of gateways in the fleet.
     pub(crate) gateway_count: usize,
 }
 
-/// A command that is to be sent.
+/// A command to send.
 #[derive(Clone, Copy)]
 pub(crate) struct Command {
-    /// What is to be done.
+    /// The stage to change, and the decision to carry out.
     pub(crate) vote: Vote,
     /// Whether it was sent before.
     pub(crate) is_retry: bool,
 }
 
-/// A command under way.
+/// A command that has no result yet.
 struct PendingCommand {
     connection_id: ConnectionId,
     command: Command,
     exchange: RequestExchange,
-    /// The epoch that it was written under, once it is.
+    /// The epoch under which the command was written; `None` before that.
     epoch: Option<Epoch>,
     deadline: Timestamp,
 }
 
-/// A command that has ended.
+/// A command with its outcome.
 pub(crate) struct FinishedCommand {
-    /// What was to be done.
+    /// The stage to change, and the decision to carry out.
     pub(crate) vote: Vote,
-    /// How it ended.
+    /// Whether the command took effect.
     pub(crate) outcome: CallOutcome,
-    /// A later epoch that the deployment controller knows.
+    /// The later epoch with which the deployment controller rejected the command.
     pub(crate) later_epoch: Option<Epoch>,
-    /// Its connection.
+    /// The connection of the command, which is closed.
     pub(crate) connection_id: ConnectionId,
-    /// The deadline of its timer.
+    /// When the command's timer fires, to cancel it.
     pub(crate) deadline: Timestamp,
 }
 
-/// What a response came to.
+/// The result of a command.
 struct CommandResult {
     outcome: CallOutcome,
     later_epoch: Option<Epoch>,
@@ -81,18 +81,18 @@
 
 impl CommandResult {
     fn unknown() -> CommandResult {
-        CommandResult::of(CallOutcome::Unknown)
+        CommandResult::from_outcome(CallOutcome::Unknown)
     }
 
-    fn of(outcome: CallOutcome) -> CommandResult {
+    fn from_outcome(outcome: CallOutcome) -> CommandResult {
         CommandResult {
             outcome,
             later_epoch: None,
         }
     }
 
-    /// What a response says of a command that was written under this epoch.
-    fn of_response(status: u16, body: &[u8], epoch: Option<Epoch>) -> CommandResult {
+    /// Evaluates the response to a command that was written under this epoch.
+    fn from_response(status: u16, body: &[u8], epoch: Option<Epoch>) -> CommandResult {
         let message = serde_json::from_slice::<ResponseMessage>(body).ok();
         let later_epoch = message
             .as_ref()
@@ -100,20 +100,20 @@
             .filter(|seen| Some(*seen) > epoch);
         let is_done = message.is_some_and(|message| message.is_done);
         match status {
-            200 => CommandResult::of(CallOutcome::Done),
+            200 => CommandResult::from_outcome(CallOutcome::Done),
             409 if later_epoch.is_some() => CommandResult {
                 outcome: CallOutcome::StaleEpoch,
                 later_epoch,
             },
-            409 if is_done => CommandResult::of(CallOutcome::Done),
+            409 if is_done => CommandResult::from_outcome(CallOutcome::Done),
             _ => CommandResult::unknown(),
         }
     }
 }
 
-/// The commands of this gateway to the deployment controller.
+/// Runs the rollout controller and its commands to the deployment controller, one at a time.
 pub(crate) struct RolloutCommands {
-    /// The deadline of the rollout controller's timer.
+    /// When the rollout controller's timer fires, if it is set.
     pub(crate) timer_deadline: Option<Timestamp>,
     controller: RolloutController,
     address: SocketAddr,
@@ -124,13 +124,13 @@
 }
 
 impl RolloutCommands {
-    /// Without commands.
+    /// Starts without a pending command.
     pub(crate) fn new(
         now: Timestamp,
         controller: &Controller<'_>,
         times: &CommandTimes,
     ) -> RolloutCommands {
-        // Unix time in milliseconds, because timestamps begin with Unix time.
+        // Unix time in milliseconds, since timestamps are based on Unix time.
         let incarnation = (now.0 / 1000) as u64;
         let settings = controller.settings;
         let parameters = RolloutControllerParameters {
@@ -140,7 +140,7 @@
             roll_back_votes_ratio: settings.roll_back_ratio,
             decision_timeout: TimeDelta::from_millis(i64::from(settings.decision_timeout_ms)),
             vote_ttl: times.vote_ttl,
-            // As often as leases are renewed: a lost vote costs no more than a lost renewal.
+            // As often as leases are renewed, so that a lost vote delays no more than a lost renewal.
             resend_interval: times.heartbeat,
             retry_delay: times.timeout / RETRY_DELAY_DIVISOR,
             incarnation,
@@ -156,12 +156,12 @@
         }
     }
 
-    /// Tells the rollout controller what has happened, logs its reports, and returns its other actions.
+    /// Passes an event to the rollout controller, logs its notices, and returns its other actions.
     pub(crate) fn handle(&mut self, now: Timestamp, event: Event) -> Vec<Action> {
         let mut actions = self.controller.handle(now, event);
         actions.retain(|action| match action {
-            Action::Notify(report) => {
-                log::report(report);
+            Action::Notify(notice) => {
+                log::log_notice(notice);
                 false
             }
             _ => true,
@@ -169,7 +169,7 @@
         actions
     }
 
-    /// Opens the connection of a command. Returns when it times out, or `None` if it could not be opened.
+    /// Opens a connection for a command. Returns when the command times out, or `None` if connecting failed.
     pub(crate) fn start<D>(
         &mut self,
         io: &mut IoContext<D>,
@@ -189,30 +189,30 @@
         Some(deadline)
     }
 
-    /// The connection of a command is ready. `may_act` is asked for the fencing token when the command can be written, and not
-    /// before.
+    /// Handles readiness of a command's connection. Calls `fencing_token` only right before writing the command; it returns
+    /// `None` if this gateway has lost the lease.
     pub(crate) fn handle_readiness<D>(
         &mut self,
         io: &mut IoContext<D>,
         connection_id: ConnectionId,
         readiness: Readiness,
-        may_act: impl FnOnce(Timestamp) -> Option<Epoch>,
+        fencing_token: impl FnOnce(Timestamp) -> Option<Epoch>,
     ) -> Option<FinishedCommand> {
         let pending = self.pending_on(connection_id)?;
         let vote = pending.command.vote;
         let epoch = pending.epoch;
         let result = match pending.exchange.handle_readiness(io, readiness) {
             ExchangeEvent::Pending => return None,
-            ExchangeEvent::Connected => match may_act(io.now()) {
+            ExchangeEvent::Connected => match fencing_token(io.now()) {
                 Some(epoch) if self.write(io, epoch) => return None,
                 Some(_) => CommandResult::unknown(),
                 None => {
                     log::command_dropped(vote);
-                    CommandResult::of(CallOutcome::NotSent)
+                    CommandResult::from_outcome(CallOutcome::NotSent)
                 }
             },
             ExchangeEvent::Responded { status, body } => {
-                CommandResult::of_response(status, &body, epoch)
+                CommandResult::from_response(status, &body, epoch)
             }
             ExchangeEvent::Failed => CommandResult::unknown(),
         };
@@ -225,7 +225,7 @@
             .filter(|pending| pending.connection_id == connection_id)
     }
 
-    /// Writes the pending command under this epoch. Returns whether this could begin.
+    /// Starts writing the pending command under this epoch. Returns whether that succeeded.
     fn write<D>(&mut self, io: &mut IoContext<D>, epoch: Epoch) -> bool {
         let Some(pending) = &mut self.pending else {
             return false;
@@ -240,10 +240,10 @@
         pending.epoch = Some(epoch);
         pending
             .exchange
-            .post(io, COMMANDS_PATH, message.body().as_bytes())
+            .post(io, COMMANDS_PATH, message.to_json().as_bytes())
     }
 
-    /// A command has had no response in time.
+    /// Finishes a command whose timeout has passed.
     pub(crate) fn time_out<D>(
         &mut self,
         io: &mut IoContext<D>,
@@ -260,7 +260,7 @@
     ) -> Option<FinishedCommand> {
         let pending = self.pending.take()?;
         pending.exchange.close(io);
-        // What was never written has certainly not been done.
+        // A command that was never written has not taken effect.
         let outcome = match result.outcome {
             CallOutcome::Unknown if pending.epoch.is_none() => CallOutcome::NotSent,
             outcome => outcome,
--- a/crates/gateway/src/rollout/deployment_messages.rs
+++ b/crates/gateway/src/rollout/deployment_messages.rs
@@ -1,40 +1,40 @@
-//! What the deployment controller reads and writes. The names of its JSON forms and its path stand in this file.
+//! The JSON messages of the deployment controller's API. All its field names and its path are in this file.
 
 use harrierdock_lease::Epoch;
 use harrierdock_rollout_controller::{Decision, Vote};
 use serde::Deserialize;
 use serde_json::json;
 
-/// The path that commands are posted to.
+/// The HTTP path to which commands are posted.
 pub(super) const COMMANDS_PATH: &str = "/waves";
 
-/// What the deployment controller says of a command.
+/// The deployment controller's response to a command.
 #[derive(Deserialize)]
 pub(super) struct ResponseMessage {
-    /// The latest epoch that it has seen.
+    /// The latest epoch that the deployment controller has seen.
     pub(super) epoch: u64,
-    /// Whether what was asked for is done already.
+    /// Whether the command has already been carried out.
     #[serde(rename = "done")]
     pub(super) is_done: bool,
 }
 
-/// A command as it is written.
+/// A command to the deployment controller.
 pub(super) struct CommandMessage<'a> {
-    /// What is to be done.
+    /// The stage to change, and the decision to carry out.
     pub(super) vote: Vote,
-    /// The fencing token.
+    /// The epoch of the lease, as fencing token.
     pub(super) epoch: Epoch,
-    /// This gateway's name.
+    /// The name of this gateway.
     pub(super) gateway: &'a str,
-    /// Its incarnation.
+    /// The incarnation of this gateway: Unix time in milliseconds.
     pub(super) incarnation: u64,
     /// Whether the command was sent before.
     pub(super) is_retry: bool,
 }
 
 impl CommandMessage<'_> {
-    /// The body.
-    pub(super) fn body(&self) -> String {
+    /// Formats the body of the HTTP request.
+    pub(super) fn to_json(&self) -> String {
         let stage = self.vote.stage;
         json!({
             "image": stage.build.0,
@@ -49,8 +49,8 @@
     }
 }
 
-/// A decision as commands and log lines say it.
-pub(super) fn decision_name(decision: Decision) -> &'static str {
+/// The name of a decision in commands.
+fn decision_name(decision: Decision) -> &'static str {
     match decision {
         Decision::Promote => "on",
         Decision::RollBack => "back",
--- a/crates/gateway/src/rollout/elimination_log.rs
+++ b/crates/gateway/src/rollout/elimination_log.rs
@@ -1,4 +1,4 @@
-//! Log lines on this gateway's elimination votes: by which metrics an arm is worse, and whose outcomes were set aside.
+//! Log lines about this gateway's elimination votes: the evidence_texts by which an arm is worse, and the excluded outcomes.
 
 use harrierdock_config::Names;
 use harrierdock_policy::elimination_test::{EliminationEvidence, PayoffSource};
@@ -8,25 +8,25 @@
 /// An elimination vote of this gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct EliminationVote {
-    /// The build that the rollout is of.
+    /// The build that is rolled out.
     pub(crate) build: BuildId,
-    /// Its stage.
+    /// The rollout stage of the build.
     pub(crate) stage: usize,
     /// The arm voted against.
     pub(crate) arm: Arm,
-    /// The weight of the vote.
+    /// The weight of the vote, in factors of η.
     pub(crate) weight: usize,
 }
 
-/// Logs each elimination vote once.
+/// Logs elimination votes, without repeating the last one against each arm.
 #[derive(Default)]
 pub(crate) struct EliminationLog {
-    /// The last vote that was logged, against the canary and against the baseline.
+    /// The last logged votes against the canary and against the baseline.
     logged: [Option<EliminationVote>; 2],
 }
 
 impl EliminationLog {
-    /// Logs a vote with what it rests on, unless it was logged before.
+    /// Logs a vote with its evidence, unless it is the last logged one.
     pub(crate) fn log(
         &mut self,
         vote: EliminationVote,
@@ -37,17 +37,17 @@
         if logged.replace(vote) == Some(vote) {
             return;
         }
-        let metrics: Vec<String> = evidence
+        let evidence_texts: Vec<String> = evidence
             .filter(|evidence| evidence.weight(vote.arm) > 0)
             .map(|evidence| describe(&evidence, vote.arm, names))
             .collect();
         tracing::info!(
-            "eliminates the {} of build {} in stage {} with weight {}: {}",
+            "voted to eliminate the {} of build {} in stage {} with weight {}: {}",
             arm_name(vote.arm),
             vote.build,
             vote.stage,
             vote.weight,
-            metrics.join("; ")
+            evidence_texts.join("; ")
         );
     }
 }
@@ -61,27 +61,27 @@
 
 fn describe(evidence: &EliminationEvidence, arm: Arm, names: &Names) -> String {
     format!(
-        "{:?} {} of {} against {} of {}, weight {}, set aside [{}] and [{}]",
+        "{:?}: canary {} of {} against {} of {}, weight {}, excluded [{}] and [{}]",
         evidence.metric,
-        paid(&evidence.canary),
+        rounded_payoff(&evidence.canary),
         evidence.canary.count.round(),
-        paid(&evidence.baseline),
+        rounded_payoff(&evidence.baseline),
         evidence.baseline.count.round(),
         evidence.weight(arm),
-        sources(&evidence.canary_set_aside, names),
-        sources(&evidence.baseline_set_aside, names)
+        source_names(&evidence.canary_set_aside, names),
+        source_names(&evidence.baseline_set_aside, names)
     )
 }
 
-fn paid(payoff: &Payoff) -> f64 {
+fn rounded_payoff(payoff: &Payoff) -> f64 {
     payoff.sum.round()
 }
 
-fn sources(set_aside: &[PayoffSource], names: &Names) -> String {
+fn source_names(set_aside: &[PayoffSource], names: &Names) -> String {
     let name = |source: &PayoffSource| match source {
         PayoffSource::Endpoint(endpoint) => {
             let name = names.endpoints.name(*endpoint);
-            name.unwrap_or("a former endpoint").to_string()
+            name.unwrap_or("a removed endpoint").to_string()
         }
         PayoffSource::Class(class) => names.classes.name(*class).to_string(),
     };
--- a/crates/gateway/src/rollout/log.rs
+++ b/crates/gateway/src/rollout/log.rs
@@ -1,40 +1,41 @@
-//! Log lines on rollout commands and votes.
+//! Log lines about rollout commands and votes.
 
-use harrierdock_rollout_controller::{Notice, Vote};
+use harrierdock_rollout_controller::{Decision, Notice, Vote};
 
-use super::deployment_messages::decision_name;
-
-/// A command in words.
+/// The text for a command in log lines.
 pub(super) fn describe(vote: Vote) -> String {
     let stage = vote.stage;
     format!(
-        "build {} stage {} {}",
+        "{} build {} in stage {}",
+        match vote.decision {
+            Decision::Promote => "promote",
+            Decision::RollBack => "roll back",
+        },
         stage.build,
-        stage.stage,
-        decision_name(vote.decision)
+        stage.stage
     )
 }
 
-/// This gateway has lost the lease before a command went out.
+/// Logs that a command was not sent because this gateway lost the rollout lease.
 pub(super) fn command_dropped(vote: Vote) {
     tracing::info!(
-        "fleet: steward: {} is left: not steward any more",
+        "fleet: rollout controller: dropped the command to {}: the lease was lost",
         describe(vote)
     );
 }
 
-/// What the rollout controller reports to operators.
-pub(super) fn report(report: &Notice) {
-    match *report {
+/// Logs a notice of the rollout controller.
+pub(super) fn log_notice(notice: &Notice) {
+    match *notice {
         Notice::Done { vote, votes } => {
             tracing::info!(
-                "fleet: steward: {} is done, on {votes} votes",
+                "fleet: rollout controller: completed the command to {} with {votes} votes",
                 describe(vote)
             );
         }
         Notice::EpochRejected { vote, epoch } => {
             tracing::warn!(
-                "fleet: steward: {} refused, epoch {epoch} is over",
+                "fleet: rollout controller: the command to {} was rejected: epoch {epoch} is outdated",
                 describe(vote)
             );
         }
@@ -46,13 +47,13 @@
             holds_lease,
         } => {
             let holder = if holds_lease {
-                "this gateway is steward"
+                "this gateway holds the lease"
             } else {
-                "another is steward, or nobody"
+                "this gateway does not hold the lease"
             };
             tracing::warn!(
-                "fleet: steward: build {} stage {} has no decision in its time: {promote_votes} votes on, {roll_back_votes} back, \
-                 {needed_votes} needed; {holder}",
+                "fleet: rollout controller: no decision in time for build {} in stage {}: {promote_votes} votes to promote, \
+                {roll_back_votes} to roll back, {needed_votes} needed to promote; {holder}",
                 stage.build,
                 stage.stage
             );
--- a/crates/gateway/src/rollout/mod.rs
+++ b/crates/gateway/src/rollout/mod.rs
@@ -1,4 +1,4 @@
-//! The rollout controller's side that this gateway holds under a lease: commands to the deployment controller.
+//! Rollouts: commands to the deployment controller under the rollout lease, and log lines about votes.
 
 pub(crate) mod commands;
 mod deployment_messages;
--- a/crates/gateway/src/rollout/votes.rs
+++ b/crates/gateway/src/rollout/votes.rs
@@ -1,10 +1,14 @@
-//! The policy's votes and the platform's updates, as the rollout controller sees them.
+//! Conversion of the policy's votes and the platform's updates to the types of the rollout controller.
 
 use harrierdock_rollout_controller::{Decision, Event, RolloutStage, StagePhase, Vote};
 use harrierdock_types::{BuildId, PlatformStatus, RolloutDecision, RolloutPhase, RolloutUpdate};
 
-/// The vote that a decision amounts to. A hold, or a vote taken back, moves nothing.
-pub(crate) fn vote(build: BuildId, stage: usize, decision: RolloutDecision) -> Option<Vote> {
+/// Converts a decision of the policy to a vote. `None` for a hold or a withdrawn vote.
+pub(crate) fn vote_from_decision(
+    build: BuildId,
+    stage: usize,
+    decision: RolloutDecision,
+) -> Option<Vote> {
     let decision = match decision {
         RolloutDecision::Promote => Decision::Promote,
         RolloutDecision::RollBack => Decision::RollBack,
@@ -16,8 +20,8 @@
     })
 }
 
-/// What an update says of a stage. `None` if it brings no state.
-pub(crate) fn stage_event(update: &RolloutUpdate) -> Option<Event> {
+/// Converts an update of the platform to an event. `None` if the update carries no state of the stage.
+pub(crate) fn event_from_update(update: &RolloutUpdate) -> Option<Event> {
     if update.status != PlatformStatus::Valid {
         return None;
     }
--- a/crates/multi-site/src/membership/member.rs
+++ b/crates/multi-site/src/membership/member.rs
@@ -9,7 +9,7 @@
 /// A gateway's record and the state of connecting to it.
 pub(super) struct Member {
     pub(super) record: MemberRecord,
-    /// In how many heartbeat intervals the record was sent state_since it last changed.
+    /// In how many heartbeat intervals the record was sent since it last changed.
     pub(super) times_sent: u32,
     /// When the record's state or incarnation last changed.
     pub(super) state_since: Timestamp,
@@ -21,7 +21,7 @@
 }
 
 impl Member {
-    /// Creates an entry whose record is not sent to second gateways until it changes.
+    /// Creates an entry whose record is not sent to other gateways until it changes.
     pub(super) fn new(record: MemberRecord, state_since: Timestamp, rank: u64) -> Member {
         Member {
             record,
--- a/crates/multi-site/src/membership/path.rs
+++ b/crates/multi-site/src/membership/path.rs
@@ -27,7 +27,7 @@
     pub last_received: Option<Timestamp>,
     /// When this end sent the newest heartbeat that the other end has echoed.
     pub last_echoed: Option<Timestamp>,
-    /// The other end's incarnation; 0 reference its first heartbeat.
+    /// The other end's incarnation; 0 before its first heartbeat.
     pub incarnation: u64,
     /// Whether both ends receive each other's heartbeats.
     pub is_usable: bool,
--- a/crates/multi-site/src/multi_site/status.rs
+++ b/crates/multi-site/src/multi_site/status.rs
@@ -91,8 +91,7 @@
     pub counters: Counters,
 }
 
-/// The text for a reason in the status and in log lines.
-pub fn reason_text(reason: MoveReason) -> &'static str {
+fn reason_text(reason: MoveReason) -> &'static str {
     match reason {
         MoveReason::OperatorCommand => "by hand",
         MoveReason::NoReadyEndpoint => "no server is ready",
@@ -102,8 +101,7 @@
     }
 }
 
-/// The text for a traffic location in the status and in log lines.
-pub fn location_text(location: TrafficLocation) -> &'static str {
+fn location_text(location: TrafficLocation) -> &'static str {
     match location {
         TrafficLocation::Local => "here",
         TrafficLocation::FailedOver => "away",
--- a/crates/multi-site/src/path_selection.rs
+++ b/crates/multi-site/src/path_selection.rs
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Selects the usable path to a serving gateway with the max_count credit. `None` without one or if time is short.
+    /// Selects the usable path to a serving gateway with the most credit. `None` without one or if time is short.
     pub(crate) fn select(
         &mut self,
         now: Timestamp,
@@ -168,7 +168,7 @@
         self.path_count = path_count;
     }
 
-    /// The demand to report on each path, which is an equal path_share of the total.
+    /// The demand to report on each path, which is an equal part of the total.
     pub(crate) fn demand(&self) -> Vec<(ClassId, u16)> {
         let path_share = 1.0 / self.path_count.max(1) as f64;
         let max_count = f64::from(u16::MAX);
