--- a/crates/gateway/src/multi_site/forwarding.rs
+++ b/crates/gateway/src/multi_site/forwarding.rs
@@ -64,7 +64,7 @@
         /// The error of the system call.
         source: io::Error,
     },
-    /// The event loop cannot watch_socket the socket.
+    /// The event loop cannot watch the socket.
     #[error("sites: {0}")]
     Watch(#[source] calloop::Error),
 }
--- a/crates/gateway/src/rollout/elimination_log.rs
+++ b/crates/gateway/src/rollout/elimination_log.rs
@@ -1,4 +1,4 @@
-//! Log lines about this gateway's elimination votes: the evidence_texts by which an arm is worse, and the excluded outcomes.
+//! Log lines about this gateway's elimination votes: the metrics by which an arm is worse, and the excluded outcomes.
 
 use harrierdock_config::Names;
 use harrierdock_policy::elimination_test::{EliminationEvidence, PayoffSource};
--- a/crates/multi-site/src/failover.rs
+++ b/crates/multi-site/src/failover.rs
@@ -7,12 +7,12 @@
 
 use crate::{Change, MoveReason, RequestEnd, TrafficLocation, HEARTBEAT_INTERVAL};
 
-/// The local site counts as failed when this many requests in a row did not succeed within this many heartbeat intervals.
+/// The local site has failed if this many requests in a row did not succeed within [`FAILURE_WINDOW_INTERVALS`].
 const FAILURES_BEFORE_FAILOVER: usize = 8;
 const FAILURE_WINDOW_INTERVALS: f64 = 30.0;
 /// The share of idempotent requests that goes to the local site during a failover, to probe whether it has recovered.
 const PROBE_RATIO: f64 = 0.05;
-/// Traffic returns once this many of the latest probes succeeded.
+/// Traffic returns once [`PROBE_SUCCESSES`] of the latest [`PROBES_CONSIDERED`] probes succeeded.
 const PROBES_CONSIDERED: usize = 5;
 const PROBE_SUCCESSES: usize = 4;
 /// The minimum duration of a failover. It doubles with each failover within [`FLAPPING_WINDOW`] of the last, so that a
--- a/crates/multi-site/src/membership/connections.rs
+++ b/crates/multi-site/src/membership/connections.rs
@@ -9,7 +9,7 @@
 
 /// How many paths a gateway opens itself. Other gateways open as many to it on average.
 const OPENED_PATHS: usize = 3;
-/// The most paths, opened by either end.
+/// The maximum number of paths, whichever end opened them.
 const MAX_PATHS: usize = 8 * OPENED_PATHS;
 /// Heartbeat intervals before a failed connect is retried, and their maximum. The delay doubles with each failure.
 const CONNECT_RETRY_INTERVALS: f64 = 2.0;
@@ -17,10 +17,10 @@
 /// Keeps the power of two in the retry delay small.
 const MAX_CONNECT_RETRY_DOUBLINGS: u32 = 16;
 
-/// A gateway to which a path may be opened. Sorts by rank, with departed (leaving, suspected or lost) gateways last.
+/// A gateway to which a path may be opened. Sorts by rank, with unavailable (leaving, suspected or lost) gateways last.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Candidate<'a> {
-    has_departed: bool,
+    is_unavailable: bool,
     rank: u64,
     gateway: &'a GatewayName,
 }
@@ -28,7 +28,7 @@
 /// The gateways to which this gateway should have a path.
 struct WantedPaths {
     gateways: Vec<GatewayName>,
-    /// There are enough gateways that have not departed.
+    /// Whether enough gateways are serving or draining.
     is_complete: bool,
 }
 
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Selects gateways of the other site by rendezvous hashing. If too few are alive, departed ones are tried too, so that
+    /// Selects gateways of the other site by rendezvous hashing. If too few are available, it adds unavailable ones, so that
     /// a site that was cut off is found again.
     fn select_wanted_paths(&self) -> WantedPaths {
         let mut candidates: Vec<Candidate> = Vec::new();
@@ -132,7 +132,7 @@
                 continue;
             }
             let candidate = Candidate {
-                has_departed: member.record.state >= MemberState::Leaving,
+                is_unavailable: member.record.state >= MemberState::Leaving,
                 rank: member.rank,
                 gateway,
             };
@@ -143,8 +143,8 @@
                 candidates.truncate(2 * OPENED_PATHS);
             }
         }
-        let alive_count = candidates.iter().take_while(|c| !c.has_departed).count();
-        let is_complete = alive_count >= OPENED_PATHS;
+        let available_count = candidates.iter().take_while(|c| !c.is_unavailable).count();
+        let is_complete = available_count >= OPENED_PATHS;
         let count = if is_complete {
             OPENED_PATHS
         } else {
--- a/crates/multi-site/src/membership/failure_detection.rs
+++ b/crates/multi-site/src/membership/failure_detection.rs
@@ -13,7 +13,7 @@
 const SUSPECT_AFTER_INTERVALS: f64 = 14.0;
 /// Heartbeat intervals after which a suspected gateway is lost unless it refutes that, and an unresponsive path is closed.
 const LOST_AFTER_INTERVALS: f64 = 25.0;
-/// Heartbeat intervals after which the record of a departed gateway is removed.
+/// Heartbeat intervals after which the record of an unavailable gateway is removed.
 const REMOVE_AFTER_INTERVALS: f64 = 3000.0;
 
 /// A path on which heartbeats have stopped arriving.
@@ -30,7 +30,7 @@
         self.handle_unresponsive_paths(now);
         self.close_duplicate_path();
         self.declare_lost(now);
-        self.remove_departed_members(now);
+        self.remove_unavailable_members(now);
     }
 
     fn evaluate_paths(&mut self, now: Timestamp) {
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Closes one of two paths that both ends opened to each other at the same time. The gateway with the lower name does so.
+    /// Closes one of two paths if both ends opened one at the same time. Only the gateway with the lower name does so.
     fn close_duplicate_path(&mut self) {
         let duplicate = self.paths.iter().find(|(id, path)| {
             let mut earlier = self.paths.range(..*id).map(|(_, other)| other);
@@ -107,8 +107,8 @@
         }
     }
 
-    /// Removes old records of departed gateways, since gateway names change over time and the table would grow forever.
-    fn remove_departed_members(&mut self, now: Timestamp) {
+    /// Removes old records of unavailable gateways, since gateway names change over time and the table would grow forever.
+    fn remove_unavailable_members(&mut self, now: Timestamp) {
         let connected: Vec<&GatewayName> = self.paths.values().map(|p| &p.peer).collect();
         self.members.retain(|gateway, member| {
             member.record.state < MemberState::Leaving
--- a/crates/multi-site/src/membership/member.rs
+++ b/crates/multi-site/src/membership/member.rs
@@ -1,4 +1,4 @@
-//! The entry of first gateway in the membership table.
+//! The entry of one gateway in the membership table.
 
 use harrierdock_site_messages::{GatewayName, MemberRecord, MemberState};
 use harrierdock_types::Timestamp;
--- a/crates/multi-site/src/multi_site/outbound.rs
+++ b/crates/multi-site/src/multi_site/outbound.rs
@@ -30,7 +30,7 @@
     }
 
     /// Whether a request of this class may probe the local site. Only idempotent requests do, unless no class is idempotent:
-    /// then all may, since the recovery of the site would never be noticed.
+    /// then all may, or the recovery of the site would never be noticed.
     fn may_probe(&self, class: ClassId) -> bool {
         let is_idempotent = |class: &RequestClass| class.retry_safety == RetrySafety::Idempotent;
         let classes = &self.config.classes;
--- a/crates/multi-site/src/offered_capacity.rs
+++ b/crates/multi-site/src/offered_capacity.rs
@@ -13,7 +13,8 @@
 const GROWTH_FACTOR: f64 = 1.2;
 /// The offer shrinks by this factor after an overloaded interval.
 const OVERLOAD_FACTOR: f64 = 0.8;
-/// An interval is overloaded if more than this share of its requests, and at least this many, were late or did not succeed.
+/// An interval is overloaded if at least [`MIN_OVERLOAD_REQUESTS`] and more than this share of its requests were late or
+/// did not succeed.
 const OVERLOAD_RATIO: f64 = 0.08;
 const MIN_OVERLOAD_REQUESTS: f64 = 2.0;
 /// The share of the offer that must be used before the offer grows.
--- a/crates/multi-site/src/requests/inbound.rs
+++ b/crates/multi-site/src/requests/inbound.rs
@@ -59,7 +59,7 @@
     last_id: u64,
     states: BTreeMap<InboundKey, InboundState>,
     running: BTreeMap<InboundId, InboundKey>,
-    /// When each remembered request was completed.
+    /// The completed requests by time of completion.
     completed: BTreeSet<(Timestamp, InboundKey)>,
     stored_for: TimeDelta,
     stored_bytes: usize,
@@ -191,7 +191,7 @@
         oldest.map(|(completed, _)| *completed + self.stored_for)
     }
 
-    /// Removes the completions that were stored for the configured time.
+    /// Removes the completions whose storage time has passed.
     pub(crate) fn remove_expired(&mut self, now: Timestamp) {
         while self.next_expiry().is_some_and(|at| at <= now) {
             self.remove_oldest();
