--- a/crates/attempt-guard/src/backoff.rs
+++ b/crates/attempt-guard/src/backoff.rs
@@ -31,7 +31,7 @@
 
     /// The waits between polls of discovery. `None` where lists are pushed: they come from an agent of this gateway's own, which
     /// answers at once and at no cost to others.
-    pub fn of_discovery(parameters: &Parameters, min: TimeDelta, seed: u64) -> Option<Backoff> {
+    pub fn for_discovery(parameters: &Parameters, min: TimeDelta, seed: u64) -> Option<Backoff> {
         match parameters.discovery_mode {
             DiscoveryMode::Push => None,
             DiscoveryMode::Poll => {
@@ -55,7 +55,7 @@
 
     /// A wait for a call that is not urgent, as a list is held that may still be acted on. Spreads the calls of gateways that
     /// start, or see a service return, at the same moment.
-    pub fn spread(&mut self) -> TimeDelta {
+    pub fn draw_spread_wait(&mut self) -> TimeDelta {
         CACHED_LIST_LIFETIME * self.rng.generate::<f64>()
     }
 
--- a/crates/attempt-guard/src/connection_reuse.rs
+++ b/crates/attempt-guard/src/connection_reuse.rs
@@ -10,7 +10,7 @@
 pub enum IdleState {
     /// Not used yet: a duplicate answer that is still on its way would be taken for the next request's. If it arrives while
     /// the connection rests, the connection is closed.
-    Resting,
+    CoolingDown,
     /// May carry the next attempt.
     Reusable,
     /// Not used again: the endpoint may be about to close it.
@@ -39,7 +39,7 @@
         if idle >= self.max_idle {
             IdleState::Expired
         } else if idle < self.rest {
-            IdleState::Resting
+            IdleState::CoolingDown
         } else {
             IdleState::Reusable
         }
--- a/crates/attempt-guard/src/list_freshness.rs
+++ b/crates/attempt-guard/src/list_freshness.rs
@@ -36,7 +36,7 @@
     }
 
     /// Whether a call that was made at `called_at` and has not failed by `now` has succeeded, though it has returned no list.
-    pub fn has_succeeded(called_at: Timestamp, now: Timestamp) -> bool {
+    pub fn has_call_succeeded(called_at: Timestamp, now: Timestamp) -> bool {
         now - called_at > MAX_FAILING_CALL
     }
 
--- a/crates/attempt-guard/src/precondition.rs
+++ b/crates/attempt-guard/src/precondition.rs
@@ -33,9 +33,9 @@
     /// The current time.
     pub now: Timestamp,
     /// Whether the request has its answer, or its client has left.
-    pub request_finished: bool,
+    pub is_request_finished: bool,
     /// Whether the endpoint list may no longer be acted on.
-    pub list_is_stale: bool,
+    pub is_list_stale: bool,
     /// The endpoint, if it is listed at the address that the connection was made to.
     pub endpoint: Option<ListedEndpoint>,
     /// The exposure limit of the attempt's build.
@@ -68,10 +68,10 @@
 impl Precondition {
     /// Why an attempt with this precondition may not be written, if it may not.
     pub fn violation(&self, current: &CurrentState) -> Option<Violation> {
-        if current.request_finished {
+        if current.is_request_finished {
             return Some(Violation::RequestFinished);
         }
-        if current.list_is_stale {
+        if current.is_list_stale {
             return Some(Violation::ListStale);
         }
         if let Some(violation) = self.endpoint_violation(current.endpoint) {
--- a/crates/gateway/src/control_plane/discovery.rs
+++ b/crates/gateway/src/control_plane/discovery.rs
@@ -108,7 +108,7 @@
             stream: LineStream::new("discovery", address, max_silence),
             version: None,
             retry_interval,
-            backoff: Backoff::of_discovery(parameters, retry_interval, seed),
+            backoff: Backoff::for_discovery(parameters, retry_interval, seed),
             freshness: ListFreshness::new(parameters, now),
             was_stale: false,
             reopen_at: now,
@@ -140,7 +140,7 @@
         }
         self.version = Some(list.version);
         // The cached list is usable in the meantime, so the requests of many gateways can be spread over time.
-        let delay = self.backoff.as_mut().map(Backoff::spread);
+        let delay = self.backoff.as_mut().map(Backoff::draw_spread_wait);
         self.reopen_at = self.reopen_at + delay.unwrap_or_default();
         let mut tables = EndpointTables { names, upstream };
         apply_list(context, &mut tables, list, UpdateKind::Cached);
@@ -187,7 +187,7 @@
         let has_succeeded = std::mem::take(&mut self.watch.has_succeeded);
         self.reopen_at = match &mut self.backoff {
             Some(backoff) if !has_succeeded => now + backoff.next_wait(now - self.watch.opened_at),
-            Some(backoff) => now + backoff.spread(),
+            Some(backoff) => now + backoff.draw_spread_wait(),
             None => self.watch.opened_at + self.retry_interval,
         };
     }
@@ -195,7 +195,7 @@
     /// Confirms the endpoint list if the watch works. A request that fails late may send keepalive lines before it fails, so
     /// early keepalives don't count as success.
     fn confirm_if_working(&mut self, now: Timestamp) {
-        self.watch.has_succeeded |= ListFreshness::has_succeeded(self.watch.opened_at, now);
+        self.watch.has_succeeded |= ListFreshness::has_call_succeeded(self.watch.opened_at, now);
         if self.watch.has_succeeded {
             self.freshness.confirm(now);
             self.reset_backoff();
--- a/crates/gateway/src/dispatch/preconditions.rs
+++ b/crates/gateway/src/dispatch/preconditions.rs
@@ -44,8 +44,8 @@
             .filter(|_| attempt.is_instance_listed);
         record.precondition.violation(&CurrentState {
             now: state.now,
-            request_finished: entry.is_answered || !state.is_client_waiting,
-            list_is_stale: state.is_list_stale,
+            is_request_finished: entry.is_answered || !state.is_client_waiting,
+            is_list_stale: state.is_list_stale,
             endpoint: endpoint.map(|endpoint| ListedEndpoint {
                 lifecycle: endpoint.lifecycle,
                 build: endpoint.build,
--- a/crates/gateway/src/upstream/pool.rs
+++ b/crates/gateway/src/upstream/pool.rs
@@ -59,15 +59,18 @@
 
     /// Whether the pool has a reusable connection to the endpoint.
     pub(crate) fn has_idle_connection(&self, now: Timestamp, endpoint: EndpointId) -> bool {
-        self.endpoints
-            .get(&endpoint)
-            .is_some_and(|endpoint| endpoint.idle.iter().any(|id| !self.is_resting(now, *id)))
+        self.endpoints.get(&endpoint).is_some_and(|endpoint| {
+            endpoint
+                .idle
+                .iter()
+                .any(|id| !self.is_cooling_down(now, *id))
+        })
     }
 
     /// Whether the connection became idle so recently that a duplicate of the last response may still arrive on it.
-    fn is_resting(&self, now: Timestamp, id: ConnectionId) -> bool {
+    fn is_cooling_down(&self, now: Timestamp, id: ConnectionId) -> bool {
         self.connections.get(&id).is_some_and(|pooled| {
-            self.reuse_policy.state(pooled.last_used_at, now) == IdleState::Resting
+            self.reuse_policy.state(pooled.last_used_at, now) == IdleState::CoolingDown
         })
     }
 
@@ -78,7 +81,7 @@
             .get(&endpoint)?
             .idle
             .iter()
-            .rposition(|id| !self.is_resting(now, *id))?;
+            .rposition(|id| !self.is_cooling_down(now, *id))?;
         Some(self.endpoints.get_mut(&endpoint)?.idle.remove(index))
     }
 
