--- a/crates/admission/src/controller.rs
+++ b/crates/admission/src/controller.rs
@@ -1,4 +1,4 @@
-//! The admission controller of one gateway: it decides on requests, and counts what becomes of them.
+//! The admission controller of one gateway: decides on requests and counts their outcomes.
 
 use harrierdock_types::{
     AttemptOutcome, ClassId, ClassParameters, IdempotencyScope, RequestId, RetrySafety, TenantId,
@@ -12,34 +12,33 @@
 use crate::peer_reports::{FleetLoad, PeerCounts, PeerReports};
 use crate::wait_queue::{WaitQueue, WaitingRequest};
 
-// Times as ratios to the shortest latency objective.
-/// Over which counts decay.
+/// The time constant of the exponential decay of counts, as a ratio to the shortest latency objective.
 pub(crate) const COUNT_DECAY_RATIO: f64 = 0.5;
-/// The longest time to come back, above the least one.
+/// How far a retry-after time may exceed the configured minimum, as a ratio to the shortest latency objective.
 const MAX_RETRY_AFTER_RATIO: f64 = 2.0;
 
-/// How long a request may wait, as a ratio to its class's latency objective. It needs the rest at the endpoints.
+/// The longest wait of a request, as a ratio to its class's latency objective. The rest of the objective is left for the endpoints.
 pub const MAX_WAIT_RATIO: f64 = 0.1;
-/// A request that is likely to bring less than this share of its priority weight is rejected.
+/// Requests whose expected value is below this share of their priority weight are rejected.
 const MIN_EXPECTED_VALUE: f32 = 0.1;
-/// The shortest latency objective that is supported.
+/// The shortest supported latency objective; shorter ones are raised to it.
 const MIN_LATENCY_OBJECTIVE: TimeDelta = TimeDelta(1_000);
-/// Where there are no classes.
+/// The latency objective that times are derived from if no classes are configured.
 const DEFAULT_LATENCY_OBJECTIVE: TimeDelta = TimeDelta(1_000_000);
 
-/// One gateway's part in the admission of its fleet.
+/// Controls the admission of one gateway, using load reports from the other gateways of the fleet.
 pub struct AdmissionController {
     pub(crate) parameters: AdmissionParameters,
     pub(crate) shortest_objective: TimeDelta,
     pub(crate) first_tick: Option<Timestamp>,
     pub(crate) last_tick: Option<Timestamp>,
-    pub(crate) own: LoadCounts,
-    /// By zone: attempts in flight that this gateway knows of. `own.in_flight` has them once the gateway is old enough.
+    pub(crate) own_counts: LoadCounts,
+    /// Attempts of this gateway in flight, by zone. `own_counts.in_flight` takes them over once the gateway is old enough.
     pub(crate) in_flight: Vec<u32>,
     pub(crate) peers: PeerReports,
     pub(crate) load: FleetLoad,
     pub(crate) rates: AdmissionRates,
-    /// By class and tenant: what is left over of the admitted ratio; at 1, a request is admitted.
+    /// By class and tenant: accumulated admitted ratio; admitting a request costs 1.
     pub(crate) credits: Vec<f32>,
     pub(crate) queue: WaitQueue,
     pub(crate) sent_reports: u32,
@@ -47,7 +46,7 @@
     pub(crate) rng: WyRand,
 }
 
-/// A weight or ratio from the settings; one that is no number counts as 0.
+/// Replaces a weight or ratio from the settings that is NaN or infinite by 0.
 fn finite_or_zero(value: f64) -> f64 {
     if value.is_finite() {
         value
@@ -56,7 +55,7 @@
     }
 }
 
-fn bounded(mut parameters: AdmissionParameters) -> AdmissionParameters {
+fn bound_parameters(mut parameters: AdmissionParameters) -> AdmissionParameters {
     parameters.classes.truncate(MAX_CLASSES);
     parameters.tenant_quotas.truncate(MAX_TENANTS);
     parameters.zone_count = parameters.zone_count.clamp(1, MAX_ZONES);
@@ -68,7 +67,8 @@
     parameters
 }
 
-/// Requests that may have taken effect are not rejected unless every endpoint drops their repeats: the policy sees them through.
+/// Whether a request may be rejected after an attempt that may have taken effect: only if no endpoint executes a client retry a second
+/// time. All other requests stay admitted until the policy completes them.
 fn is_rejectable_after_attempt(class: &ClassParameters) -> bool {
     matches!(
         class.retry_safety,
@@ -81,14 +81,14 @@
 }
 
 impl AdmissionController {
-    /// A controller that knows nothing, and admits everything.
+    /// Creates a controller that admits everything until it has load data.
     pub fn new(parameters: AdmissionParameters) -> AdmissionController {
-        let parameters = bounded(parameters);
+        let parameters = bound_parameters(parameters);
         let classes = parameters.classes.len();
         let zones = parameters.zone_count;
         let tenants = parameters.tenant_quotas.len();
         let mut rng = WyRand::new_seed(parameters.seed);
-        // Gateways that start together do not admit the same requests.
+        // Random initial credits keep gateways that start together from admitting requests in step.
         let credits = (0..classes * (tenants + 1))
             .map(|_| rng.generate::<f32>())
             .collect();
@@ -97,7 +97,7 @@
             shortest_objective: objectives.min().unwrap_or(DEFAULT_LATENCY_OBJECTIVE),
             first_tick: None,
             last_tick: None,
-            own: LoadCounts::new(classes, zones, tenants),
+            own_counts: LoadCounts::new(classes, zones, tenants),
             in_flight: vec![0; zones],
             peers: PeerReports::default(),
             load: FleetLoad::default(),
@@ -111,22 +111,22 @@
         }
     }
 
-    /// What is admitted at present.
+    /// The admitted ratios computed at the last tick.
     pub fn rates(&self) -> &AdmissionRates {
         &self.rates
     }
 
-    /// How many requests wait.
+    /// The number of requests in the wait queue.
     pub fn waiting_count(&self) -> usize {
         self.queue.len()
     }
 
-    /// How much is kept of peers.
+    /// The numbers of known members and stored load reports.
     pub fn peer_counts(&self) -> PeerCounts {
-        self.peers.kept()
+        self.peers.counts()
     }
 
-    /// Decides on a request at its arrival, or before a retry.
+    /// Decides on a request when it arrives, or before it is retried.
     pub fn decide(&mut self, now: Timestamp, request: &AdmissionRequest) -> Decision {
         let Some(class) = self.parameters.classes.get(request.class.0).copied() else {
             return Decision::Admit;
@@ -134,20 +134,20 @@
         if request.may_have_run && !is_rejectable_after_attempt(&class) {
             return Decision::Admit;
         }
-        let tenant_count = self.own.offered_by_tenant.len();
+        let tenant_count = self.own_counts.offered_by_tenant.len();
         let tenant = request.tenant.filter(|t| *t < TenantId(tenant_count));
         self.count_offered(request, tenant);
-        let value = self.value_after(request, &class, TimeDelta::ZERO);
+        let value = self.expected_value_after(request, &class, TimeDelta::ZERO);
         if request.remaining <= TimeDelta::ZERO || value < MIN_EXPECTED_VALUE {
             return self.reject();
         }
         let ratio = self.admitted_ratio(now, request.class, tenant, request.zones);
-        if self.draw_credit(ratio, request.class, tenant) {
+        if self.admit_by_credit(ratio, request.class, tenant) {
             return Decision::Admit;
         }
         let longest_wait = class.latency_objective * MAX_WAIT_RATIO - request.age;
-        let at_most = longest_wait.min(request.remaining);
-        if !self.is_worth_waiting(request, &class, value, at_most) {
+        let max_wait = longest_wait.min(request.remaining);
+        if !self.is_worth_waiting(request, &class, value, max_wait) {
             return self.reject();
         }
         let is_queued = self.queue.push(WaitingRequest {
@@ -158,28 +158,28 @@
             tried_ratio: ratio,
             priority_weight: class.priority_weight,
             objective_at: now + (class.latency_objective - request.age),
-            waits_until: now + at_most,
+            waits_until: now + max_wait,
         });
         if is_queued {
-            Decision::Wait { at_most }
+            Decision::Wait { max_wait }
         } else {
             self.reject()
         }
     }
 
     fn count_offered(&mut self, request: &AdmissionRequest, tenant: Option<TenantId>) {
-        let is_first = !request.may_have_run && request.age <= TimeDelta::ZERO;
-        if !is_first {
+        let is_first_decision = !request.may_have_run && request.age <= TimeDelta::ZERO;
+        if !is_first_decision {
             return;
         }
-        self.own.offered[request.class.0] += 1.0;
+        self.own_counts.offered[request.class.0] += 1.0;
         if let Some(tenant) = tenant {
-            self.own.offered_by_tenant[tenant.0] += 1.0;
+            self.own_counts.offered_by_tenant[tenant.0] += 1.0;
         }
     }
 
-    /// The expected value of a request that is sent after a wait.
-    fn value_after(
+    /// The expected value of a request that is sent after waiting for `wait`.
+    fn expected_value_after(
         &self,
         request: &AdmissionRequest,
         class: &ClassParameters,
@@ -194,20 +194,20 @@
         )
     }
 
-    /// Whether the request is likely to be admitted within its wait, and is worth at least half as much then.
+    /// Whether the request is likely to be admitted within `max_wait` and keeps at least half of its expected value until then.
     fn is_worth_waiting(
         &self,
         request: &AdmissionRequest,
         class: &ClassParameters,
         value: f32,
-        at_most: TimeDelta,
+        max_wait: TimeDelta,
     ) -> bool {
-        let is_soon = self
+        let is_admitted_soon = self
             .rates
             .time_to_admission(request.class)
-            .is_some_and(|after| after <= at_most);
-        let late_value = self.value_after(request, class, at_most);
-        at_most > TimeDelta::ZERO && is_soon && late_value >= value / 2.0
+            .is_some_and(|after| after <= max_wait);
+        let value_after_wait = self.expected_value_after(request, class, max_wait);
+        max_wait > TimeDelta::ZERO && is_admitted_soon && value_after_wait >= value / 2.0
     }
 
     fn reject(&mut self) -> Decision {
@@ -216,16 +216,16 @@
         }
     }
 
-    /// When there is capacity again, spread so that clients do not come back in step.
+    /// Draws a retry-after time around the expected drain time, spread so that clients do not retry in step.
     pub(crate) fn draw_retry_after(&mut self) -> Option<TimeDelta> {
         let spread = 0.5 + self.rng.generate::<f64>();
-        let least = self.parameters.min_retry_after?;
-        let most = least + self.shortest_objective * MAX_RETRY_AFTER_RATIO;
-        let expected = least.max(self.rates.drain_time()) * spread;
-        Some(expected.max(least).min(most))
+        let min = self.parameters.min_retry_after?;
+        let max = min + self.shortest_objective * MAX_RETRY_AFTER_RATIO;
+        let expected = min.max(self.rates.drain_time()) * spread;
+        Some(expected.max(min).min(max))
     }
 
-    /// The ratio of such requests that is admitted now.
+    /// The ratio of the requests of this class, tenant and zones that is admitted now.
     pub(crate) fn admitted_ratio(
         &self,
         now: Timestamp,
@@ -234,26 +234,27 @@
         zones: u8,
     ) -> f32 {
         let ratio = self.rates.admitted_ratio(class, tenant, zones);
-        // A gateway that was stopped goes on with old rates: they lose their weight while no tick has come. Where ticks are late under
-        // overload, this admits too much.
-        let age = self
+        // A gateway that was paused resumes with outdated rates, so the ratio tends to 1 as the time since the last tick grows. If ticks are
+        // late because of overload, this admits too much.
+        let age_ratio = self
             .last_tick
             .map_or(TimeDelta::ZERO, |tick| now - tick)
             .ratio_to(self.shortest_objective);
-        if age > COUNT_DECAY_RATIO {
-            return ratio.max(f32::MIN_POSITIVE).powf((-age).exp() as f32);
+        if age_ratio > COUNT_DECAY_RATIO {
+            return ratio.max(f32::MIN_POSITIVE).powf((-age_ratio).exp() as f32);
         }
         ratio
     }
 
-    /// Admits this ratio of a class's requests, evenly: what is left over counts for the next.
-    pub(crate) fn draw_credit(
+    /// Adds `ratio` to the credit of a class and tenant, and admits a request if the credit covers it. Admissions are evenly spaced, as
+    /// unused credit carries over to the next request.
+    pub(crate) fn admit_by_credit(
         &mut self,
         ratio: f32,
         class: ClassId,
         tenant: Option<TenantId>,
     ) -> bool {
-        let row = class.0 * (self.own.offered_by_tenant.len() + 1);
+        let row = class.0 * (self.own_counts.offered_by_tenant.len() + 1);
         let credit = &mut self.credits[row + tenant.map_or(0, |t| t.0 + 1)];
         *credit = (*credit + ratio).min(2.0);
         let is_admitted = *credit >= 1.0;
@@ -263,7 +264,7 @@
         is_admitted
     }
 
-    /// Takes an event, and returns what is to be done, in order.
+    /// Processes an event and returns the resulting actions in order.
     pub fn handle(&mut self, now: Timestamp, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         match event {
@@ -283,7 +284,7 @@
                 self.peers.update_member(peer, incarnation);
             }
             Event::ReportReceived { from, report } => {
-                self.peers.receive(now, from, report, &self.own);
+                self.peers.receive(now, from, report, &self.own_counts);
             }
             Event::TimerFired => self.handle_timer(now, &mut actions),
         }
@@ -308,18 +309,18 @@
             return;
         };
         *in_flight = in_flight.saturating_sub(1);
-        let is_answered = matches!(
+        let has_response = matches!(
             outcome,
             AttemptOutcome::Succeeded | AttemptOutcome::ServerError | AttemptOutcome::NotSent
         );
-        if is_answered {
-            self.own.answered[zone.0] += 1.0;
+        if has_response {
+            self.own_counts.answered[zone.0] += 1.0;
         }
-        // An attempt that was rejected or never reached an endpoint says nothing of answer times.
-        if is_answered || outcome == AttemptOutcome::TimedOut {
+        // An attempt that was rejected or never reached an endpoint gives no response time.
+        if has_response || outcome == AttemptOutcome::TimedOut {
             let index = class.0 * self.parameters.zone_count + zone.0;
             let ratio = duration.ratio_to(parameters.latency_objective) as f32;
-            self.own.histograms[index].record(ratio);
+            self.own_counts.histograms[index].record(ratio);
         }
     }
 }
--- a/crates/admission/src/event.rs
+++ b/crates/admission/src/event.rs
@@ -1,4 +1,4 @@
-//! What goes into the admission controller, and what comes out of it.
+//! Parameters, events, actions and decisions of the admission controller.
 
 use harrierdock_types::{
     AttemptOutcome, ClassId, ClassParameters, PeerId, RequestId, TenantId, TimeDelta, ZoneId,
@@ -6,27 +6,27 @@
 
 use crate::load_report::LoadReport;
 
-/// How one gateway's admission controller is configured.
+/// The configuration of one gateway's admission controller.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct AdmissionParameters {
-    /// The request classes.
+    /// The request classes, indexed by `ClassId`.
     pub classes: Vec<ClassParameters>,
-    /// How many zones there are.
+    /// The number of zones; the controller clamps it to 1 to `MAX_ZONES`.
     pub zone_count: usize,
-    /// Tenants' shares; empty where there are none.
+    /// The quota of each tenant, relative to the others; empty if there are no tenants.
     pub tenant_quotas: Vec<f64>,
-    /// Another one for each start, higher than any before.
+    /// Higher at each start of this gateway than at any earlier one.
     pub incarnation: u32,
-    /// The least time after which a rejected client may come back; none where rejections carry no time.
+    /// The shortest time until a rejected client may retry; `None` if rejections carry no such time.
     pub min_retry_after: Option<TimeDelta>,
-    /// The seed of the controller's randomness.
+    /// The seed of the controller's random number generator.
     pub seed: u64,
 }
 
-/// What has happened.
+/// An event that the gateway passes to the controller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// An attempt went out to an endpoint of this zone.
+    /// An attempt was sent to an endpoint.
     AttemptStarted {
         /// The endpoint's zone.
         zone: ZoneId,
@@ -37,21 +37,21 @@
         class: ClassId,
         /// The endpoint's zone.
         zone: ZoneId,
-        /// How it ended.
+        /// The outcome of the attempt.
         outcome: AttemptOutcome,
-        /// How long it took.
+        /// The time from sending the attempt to its outcome.
         duration: TimeDelta,
     },
-    /// A waiting request's client went away, or it was answered otherwise.
+    /// The client of a waiting request disconnected, or the request was answered in another way.
     RequestCancelled {
-        /// The request.
+        /// The waiting request.
         id: RequestId,
     },
-    /// The membership of a peer has changed.
+    /// A peer joined, restarted or left.
     MemberChanged {
         /// The peer.
         peer: PeerId,
-        /// Its incarnation; none if it is a member no longer.
+        /// The peer's incarnation; `None` if the peer is no longer a member.
         incarnation: Option<u32>,
     },
     /// A peer has sent a load report.
@@ -61,11 +61,11 @@
         /// The report.
         report: LoadReport,
     },
-    /// The time asked for by `Action::SetTimer` has come.
+    /// The timer set by `Action::SetTimer` has expired.
     TimerFired,
 }
 
-/// What is to be done.
+/// An action that the gateway must carry out for the controller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send a waiting request.
@@ -77,55 +77,55 @@
     Reject {
         /// The request.
         id: RequestId,
-        /// After which time the client may come back.
+        /// How long the client should wait before it retries; `None` if not configured.
         retry_after: Option<TimeDelta>,
     },
     /// Send a load report.
     SendReport {
-        /// The receiver.
+        /// The peer that receives the report.
         to: PeerId,
         /// The encoded report.
         bytes: Vec<u8>,
     },
-    /// Send `Event::TimerFired` after this time.
+    /// Pass `Event::TimerFired` to the controller after this time.
     SetTimer {
-        /// The time from now.
+        /// The delay from the current time.
         after: TimeDelta,
     },
 }
 
-/// A request that is to be decided on.
+/// A request to admit, keep waiting or reject.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdmissionRequest {
     /// The request.
     pub id: RequestId,
-    /// Its class.
+    /// The request class; a request of an unknown class is admitted.
     pub class: ClassId,
-    /// Its tenant, if any.
+    /// The tenant that sent the request; `None`, or an unknown tenant, counts as no tenant.
     pub tenant: Option<TenantId>,
-    /// The zones whose endpoints it may use, a bit each; 0 for all.
+    /// The zones whose endpoints the request may use, as a bit mask; 0 stands for all zones.
     pub zones: u8,
-    /// How long ago it came.
+    /// The time since the request arrived.
     pub age: TimeDelta,
-    /// How long until its deadline.
+    /// The time until the request's deadline.
     pub remaining: TimeDelta,
-    /// An attempt of it may have taken effect.
+    /// Whether an earlier attempt of this request may have taken effect.
     pub may_have_run: bool,
 }
 
-/// What becomes of a request.
+/// The decision on a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Decision {
-    /// It is sent.
+    /// The request is sent to an endpoint.
     Admit,
-    /// It is kept; `Action::Admit` or `Action::Reject` follows within this time.
+    /// The request waits; `Action::Admit` or `Action::Reject` follows.
     Wait {
-        /// The longest wait.
-        at_most: TimeDelta,
+        /// The longest time until that action.
+        max_wait: TimeDelta,
     },
-    /// It is rejected.
+    /// The request is rejected.
     Reject {
-        /// After which time the client may come back.
+        /// How long the client should wait before it retries; `None` if not configured.
         retry_after: Option<TimeDelta>,
     },
 }
--- a/crates/admission/src/fair_share.rs
+++ b/crates/admission/src/fair_share.rs
@@ -1,7 +1,7 @@
-//! Fair shares: how much of each tenant's requests is admitted where not all can be, and how even shares are.
+//! Fair shares: the admitted ratio of each tenant under overload, and an index of fairness.
 
-/// Sets the admitted ratio of each tenant's `demand` where `ratio` of all can be admitted: tenants that want less than their share get
-/// what they want, the rest share what is left by their `quotas`. A missing or invalid quota counts as 1.
+/// Computes the admitted ratio of each tenant's `demand` if `ratio` of the total demand can be admitted. Tenants with less demand than
+/// their share are admitted in full; the others share the remaining capacity by `quotas`. A missing or invalid quota counts as 1.
 pub fn admitted_ratios(demand: &[f32], quotas: &[f64], ratio: f32, admitted: &mut [f32]) {
     let total: f32 = demand.iter().sum();
     admitted.fill(ratio.min(1.0));
@@ -15,8 +15,8 @@
             .filter(|quota| *quota > 0.0 && quota.is_finite())
             .unwrap_or(1.0) as f32
     };
-    // In each round, tenants that want no more than their share are satisfied; the rest share anew. There are at most as many rounds
-    // as tenants.
+    // Each round admits in full the tenants whose demand is within their share, and divides the remaining capacity among the others again.
+    // Each round but the last satisfies a tenant, so there are at most as many rounds as tenants.
     let mut satisfied = 0_u32;
     for _ in 0..demand.len() {
         let is_open = |tenant: usize| satisfied >> tenant & 1 == 0;
@@ -31,10 +31,11 @@
             .filter(|tenant| is_open(*tenant))
             .map(quota)
             .sum();
-        let level = (ratio * total - used).max(0.0) / open_quotas.max(f32::EPSILON);
+        let capacity_per_quota = (ratio * total - used).max(0.0) / open_quotas.max(f32::EPSILON);
         let mut newly_satisfied = 0;
         for tenant in tenants.filter(|tenant| is_open(*tenant)) {
-            admitted[tenant] = (level * quota(tenant) / demand[tenant].max(f32::EPSILON)).min(1.0);
+            admitted[tenant] =
+                (capacity_per_quota * quota(tenant) / demand[tenant].max(f32::EPSILON)).min(1.0);
             newly_satisfied |= u32::from(admitted[tenant] >= 1.0) << tenant;
         }
         if newly_satisfied == 0 {
@@ -44,7 +45,7 @@
     }
 }
 
-/// Jain's fairness index: 1 if all values are equal, one over their number if one has all.
+/// Jain's fairness index: 1 if all values are equal, and 1/n if one of n values is the only non-zero one.
 pub fn jain_index(values: &[f64]) -> f64 {
     let sum = values.iter().fold(0.0, |sum, value| sum + value);
     let squares = values.iter().fold(0.0, |sum, value| sum + value * value);
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,8 +1,8 @@
-//! Admission by deadline over all gateways of a fleet: what is admitted, kept waiting or rejected at once, so that what is sent is
-//! answered within its deadline.
+//! Admission by deadline over all gateways of a fleet: admits, delays or rejects requests so that the admitted ones are answered within
+//! their deadlines.
 //!
-//! [`AdmissionController`] is one gateway's part: `handle` takes what has happened and returns what is to be done, and `decide` says at
-//! once what becomes of a request, without allocating. No I/O, no clock of its own; its randomness comes from the given seed.
+//! Each gateway runs one [`AdmissionController`]: `handle` processes an event and returns actions, and `decide` decides on a request
+//! without allocating. The controller does no I/O and reads no clock; its random numbers come from a given seed.
 
 #![warn(missing_docs, unreachable_pub)]
 
--- a/crates/admission/src/load_report.rs
+++ b/crates/admission/src/load_report.rs
@@ -1,85 +1,87 @@
-//! The load reports that gateways send each other, and their encoding: at most 256 bytes, the first of which no text message begins with.
-//! Counts are written as logarithms in a byte, so no NaN, negative number or infinity fits.
+//! The load reports that gateways send each other, and their encoding in at most 256 bytes. No text message starts with the same first byte.
+//! Each count is encoded as a logarithm in one byte, which cannot represent NaN, infinity or negative numbers.
 
 use thiserror::Error;
 
 use crate::latency_histogram::{LatencyHistogram, BUCKETS};
 
-/// The first byte. Builds that know only text messages refuse a message that begins so.
+/// The first byte of a load report. Builds that know only text messages reject a message that starts with it.
 pub const FIRST_BYTE: u8 = 0xF8;
 const VERSION: u8 = 1;
-/// The longest report in bytes.
+/// The maximum length of an encoded report.
 pub const MAX_REPORT_BYTES: usize = 256;
-/// The most request classes in a report.
+/// The maximum number of request classes in a report.
 pub const MAX_CLASSES: usize = 16;
-/// The most zones in a report.
+/// The maximum number of zones in a report.
 pub const MAX_ZONES: usize = 8;
-/// The most tenants in a report.
+/// The maximum number of tenants in a report.
 pub const MAX_TENANTS: usize = 16;
+/// The length of the first byte and the version together.
+const HEADER_BYTES: usize = 2;
 const CHECKSUM_BYTES: usize = 2;
-/// Codes are 6% apart; the highest stands for some 620 thousand.
+/// Adjacent codes differ by 6%; the highest stands for about 620,000.
 const CODES_PER_OCTAVE: f32 = 12.0;
 const COUNT_SCALE: f32 = 4.0;
 /// The code of a sustainable ratio of 1.
 const RATIO_CODE_OF_ONE: f32 = 128.0;
 
-/// Why bytes are no load report.
+/// The error if bytes cannot be decoded as a load report.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum DecodeError {
-    /// The report ends early.
-    #[error("the message is cut short at byte {at}: look for a relay that cuts datagrams under 256 bytes")]
+    /// The message is too short.
+    #[error("load report truncated at byte {length}: check the network path for a relay that truncates datagrams below 256 bytes")]
     Truncated {
-        /// The length.
-        at: usize,
+        /// The length of the message in bytes.
+        length: usize,
     },
-    /// Another kind of message.
+    /// The first byte is that of another kind of message.
     #[error(
-        "the message is no load report (first byte {first:#04x}): look for a stray sender on this port"
+        "message is not a load report (first byte {first:#04x}): check for an unrelated sender on this port"
     )]
     FirstByte {
         /// The first byte.
         first: u8,
     },
-    /// Another version of the format.
-    #[error("load report of version {version}, this build reads {VERSION}: finish the roll-out")]
+    /// The message has another version of the format.
+    #[error("load report has version {version}, this build supports version {VERSION}: complete the rollout")]
     Version {
         /// The report's version.
         version: u8,
     },
-    /// The bytes were changed on their way.
-    #[error("the message is garbled: look at the line to its sender if this goes on")]
-    Garbled,
-    /// More classes, zones or tenants than a report may have.
+    /// The checksum or the structure is wrong: the message was corrupted in transit.
+    #[error("load report is corrupted: check the network path to the sender if this persists")]
+    Corrupted,
+    /// The report has too many classes, zones or tenants.
     #[error(
-        "load report of {classes} classes, {zones} zones, {tenants} tenants: give all gateways the same settings"
+        "load report has {classes} classes, {zones} zones and {tenants} tenants, more than supported: configure all gateways alike"
     )]
     Size {
-        /// Request classes.
+        /// The number of request classes; at most `MAX_CLASSES` are supported.
         classes: usize,
-        /// Zones.
+        /// The number of zones; at most `MAX_ZONES` are supported.
         zones: usize,
-        /// Tenants.
+        /// The number of tenants; at most `MAX_TENANTS` are supported.
         tenants: usize,
     },
 }
 
-/// What one gateway has seen lately of its own: decayed counts, and histograms by request class and zone.
+/// Load observed by one gateway: exponentially decayed counts, and histograms of response times.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LoadCounts {
-    /// Requests that came, by class.
+    /// Requests received, by class.
     pub offered: Vec<f32>,
-    /// Requests that came, by tenant.
+    /// Requests received, by tenant.
     pub offered_by_tenant: Vec<f32>,
-    /// Attempts in flight now, by zone.
+    /// Attempts in flight now, by zone; not decayed.
     pub in_flight: Vec<f32>,
-    /// Answers, by zone.
+    /// Responses from endpoints, by zone.
     pub answered: Vec<f32>,
-    /// Answer times, by class and then zone.
+    /// Response times; the index is class times the number of zones, plus zone.
     pub histograms: Vec<LatencyHistogram>,
 }
 
 impl LoadCounts {
-    /// Nothing seen yet.
+    /// Zero counts and empty histograms.
     pub fn new(classes: usize, zones: usize, tenants: usize) -> LoadCounts {
         LoadCounts {
             offered: vec![0.0; classes],
@@ -90,7 +92,7 @@
         }
     }
 
-    /// Nothing seen yet, for the same classes, zones and tenants.
+    /// Zero counts for the same numbers of classes, zones and tenants.
     pub(crate) fn empty_like(&self) -> LoadCounts {
         LoadCounts::new(
             self.offered.len(),
@@ -100,24 +102,24 @@
     }
 }
 
-/// A load report.
+/// A load report as sent by one gateway to another.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// The sender's start.
+    /// The incarnation of the sender.
     pub incarnation: u32,
-    /// The sender's reports in order.
-    pub number: u32,
-    /// The ratio of all offered requests that the sender takes the endpoints to sustain; none if it knows nothing.
+    /// Increases with each report of one incarnation.
+    pub sequence_number: u32,
+    /// The sender's estimate of the ratio of all offered requests that the endpoints can sustain; `None` without data.
     pub sustainable_ratio: Option<f32>,
-    /// Requests that came, by class.
+    /// Requests received, by class.
     pub offered: Vec<f32>,
-    /// Requests that came, by tenant.
+    /// Requests received, by tenant.
     pub offered_by_tenant: Vec<f32>,
     /// Attempts in flight, by zone.
     pub in_flight: Vec<f32>,
-    /// Answers, by zone.
+    /// Responses from endpoints, by zone.
     pub answered: Vec<f32>,
-    /// Some of the histograms, with their numbers; the others come in their turn.
+    /// As many histograms as fit, each with its index in `LoadCounts::histograms`; later reports carry the others.
     pub histograms: Vec<(usize, LatencyHistogram)>,
 }
 
@@ -132,7 +134,7 @@
     ((f32::from(code) / CODES_PER_OCTAVE).exp2() - 1.0) / COUNT_SCALE
 }
 
-/// Ratios lie between a thousandth and a thousand; code 0 stands for none.
+/// Encodes a ratio, clamped to 0.001 to 1000; code 0 stands for `None`.
 fn ratio_to_code(ratio: Option<f32>) -> u8 {
     ratio.map_or(0, |ratio| {
         (RATIO_CODE_OF_ONE + CODES_PER_OCTAVE * ratio.clamp(1e-3, 1e3).log2())
@@ -145,7 +147,7 @@
     (code > 0).then(|| ((f32::from(code) - RATIO_CODE_OF_ONE) / CODES_PER_OCTAVE).exp2())
 }
 
-/// Fletcher's checksum: one flipped bit always shows.
+/// Fletcher's checksum, which detects every single flipped bit.
 fn checksum(bytes: &[u8]) -> [u8; CHECKSUM_BYTES] {
     let mut sum = 1_u32;
     let mut sum_of_sums = 0_u32;
@@ -156,8 +158,8 @@
     [sum as u8, sum_of_sums as u8]
 }
 
-/// Its number, a bit for each bucket that is not empty, and those buckets' codes.
-fn encode_histogram(number: usize, histogram: &LatencyHistogram, bytes: &mut Vec<u8>) {
+/// Appends the histogram's index, a bit mask of its non-empty buckets, and the codes of those buckets.
+fn encode_histogram(index: usize, histogram: &LatencyHistogram, bytes: &mut Vec<u8>) {
     let codes = histogram.counts.map(count_to_code);
     let mask = codes
         .iter()
@@ -165,24 +167,24 @@
         .fold(0_u32, |mask, (bucket, code)| {
             mask | u32::from(*code > 0) << bucket
         });
-    bytes.push(number as u8);
+    bytes.push(index as u8);
     bytes.extend_from_slice(&mask.to_le_bytes()[..3]);
     bytes.extend(codes.iter().filter(|code| **code > 0));
 }
 
-/// Encodes a report of these counts, with the histograms from number `turn` on as far as they fit. Of `report` only the head is used:
-/// incarnation, number and sustainable ratio. Returns the bytes, and the number of the histogram whose turn is next.
-pub fn encode(report: &LoadReport, counts: &LoadCounts, turn: usize) -> (Vec<u8>, usize) {
+/// Encodes a report of `counts` with as many histograms as fit, starting at index `first_histogram`. Uses only the incarnation, sequence
+/// number and sustainable ratio of `head`. Returns the bytes, and the index of the histogram that the next report should start with.
+pub fn encode(head: &LoadReport, counts: &LoadCounts, first_histogram: usize) -> (Vec<u8>, usize) {
     let mut bytes = vec![FIRST_BYTE, VERSION];
-    bytes.extend_from_slice(&report.incarnation.to_le_bytes());
-    bytes.extend_from_slice(&report.number.to_le_bytes());
+    bytes.extend_from_slice(&head.incarnation.to_le_bytes());
+    bytes.extend_from_slice(&head.sequence_number.to_le_bytes());
     let lengths = [
         counts.offered.len(),
         counts.in_flight.len(),
         counts.offered_by_tenant.len(),
     ];
     bytes.extend(lengths.map(|length| length as u8));
-    bytes.push(ratio_to_code(report.sustainable_ratio));
+    bytes.push(ratio_to_code(head.sustainable_ratio));
     let lists = [
         &counts.offered,
         &counts.offered_by_tenant,
@@ -195,82 +197,87 @@
             .flatten()
             .map(|count| count_to_code(*count)),
     );
-    let next_turn = encode_histograms(&counts.histograms, turn, &mut bytes);
+    let next_histogram = encode_histograms(&counts.histograms, first_histogram, &mut bytes);
     let sum = checksum(&bytes);
     bytes.extend(sum);
-    (bytes, next_turn)
+    (bytes, next_histogram)
 }
 
-/// Appends histograms as far as they fit. Returns whose turn is next.
-fn encode_histograms(histograms: &[LatencyHistogram], turn: usize, bytes: &mut Vec<u8>) -> usize {
+/// Appends as many histograms as fit, starting at index `first`. Returns the index that the next report should start at.
+fn encode_histograms(histograms: &[LatencyHistogram], first: usize, bytes: &mut Vec<u8>) -> usize {
     let mut encoded = Vec::new();
-    let mut next_turn = turn;
+    let mut next = first;
     for offset in 0..histograms.len() {
-        let number = (turn + offset) % histograms.len();
+        let index = (first + offset) % histograms.len();
         encoded.clear();
-        encode_histogram(number, &histograms[number], &mut encoded);
+        encode_histogram(index, &histograms[index], &mut encoded);
         if bytes.len() + encoded.len() + CHECKSUM_BYTES > MAX_REPORT_BYTES {
             break;
         }
         bytes.extend_from_slice(&encoded);
-        next_turn = (number + 1) % histograms.len();
+        next = (index + 1) % histograms.len();
     }
-    next_turn
+    next
 }
 
 struct Reader<'a> {
     bytes: &'a [u8],
-    at: usize,
+    position: usize,
 }
 
 impl<'a> Reader<'a> {
     fn is_at_end(&self) -> bool {
-        self.at >= self.bytes.len()
+        self.position >= self.bytes.len()
     }
 
-    fn take(&mut self, count: usize) -> Result<&'a [u8], DecodeError> {
-        let end = self.at + count;
-        let taken = self.bytes.get(self.at..end).ok_or(DecodeError::Truncated {
-            at: self.bytes.len(),
-        })?;
-        self.at = end;
-        Ok(taken)
+    fn read_bytes(&mut self, count: usize) -> Result<&'a [u8], DecodeError> {
+        let end = self.position + count;
+        let bytes = self
+            .bytes
+            .get(self.position..end)
+            .ok_or(DecodeError::Truncated {
+                length: self.bytes.len(),
+            })?;
+        self.position = end;
+        Ok(bytes)
     }
 
-    fn array<const N: usize>(&mut self) -> Result<[u8; N], DecodeError> {
-        let taken = self.take(N)?;
-        taken.try_into().map_err(|_| DecodeError::Garbled)
+    fn read_array<const N: usize>(&mut self) -> Result<[u8; N], DecodeError> {
+        let bytes = self.read_bytes(N)?;
+        bytes.try_into().map_err(|_| DecodeError::Corrupted)
     }
 
-    fn number(&mut self) -> Result<u32, DecodeError> {
-        Ok(u32::from_le_bytes(self.array()?))
+    fn read_u32(&mut self) -> Result<u32, DecodeError> {
+        Ok(u32::from_le_bytes(self.read_array()?))
     }
 
-    fn counts(&mut self, count: usize) -> Result<Vec<f32>, DecodeError> {
-        let codes = self.take(count)?;
+    fn read_counts(&mut self, count: usize) -> Result<Vec<f32>, DecodeError> {
+        let codes = self.read_bytes(count)?;
         Ok(codes.iter().map(|code| code_to_count(*code)).collect())
     }
 
-    /// A histogram whose number is below `count`.
-    fn histogram(&mut self, count: usize) -> Result<(usize, LatencyHistogram), DecodeError> {
-        let [number, low, middle, high] = self.array()?;
-        if usize::from(number) >= count {
-            return Err(DecodeError::Garbled);
+    /// Reads a histogram and its index, which must be below `count`.
+    fn read_histogram(&mut self, count: usize) -> Result<(usize, LatencyHistogram), DecodeError> {
+        let [index, low, middle, high] = self.read_array()?;
+        if usize::from(index) >= count {
+            return Err(DecodeError::Corrupted);
         }
         let mask = u32::from_le_bytes([low, middle, high, 0]);
         let mut histogram = LatencyHistogram::default();
         for bucket in (0..BUCKETS).filter(|bucket| mask >> bucket & 1 == 1) {
-            let [code] = self.array()?;
+            let [code] = self.read_array()?;
             histogram.counts[bucket] = code_to_count(code);
         }
-        Ok((usize::from(number), histogram))
+        Ok((usize::from(index), histogram))
     }
 }
 
-/// The bytes between the first two and the checksum, if all of those fit.
+/// Checks the first byte, version, length and checksum. Returns the message without the checksum.
 fn checked_body(bytes: &[u8]) -> Result<&[u8], DecodeError> {
     let [first, version, ..] = bytes else {
-        return Err(DecodeError::Truncated { at: bytes.len() });
+        return Err(DecodeError::Truncated {
+            length: bytes.len(),
+        });
     };
     if *first != FIRST_BYTE {
         return Err(DecodeError::FirstByte { first: *first });
@@ -278,27 +285,32 @@
     if *version != VERSION {
         return Err(DecodeError::Version { version: *version });
     }
-    let body = bytes
+    let body_length = bytes
         .len()
         .checked_sub(CHECKSUM_BYTES)
-        .ok_or(DecodeError::Truncated { at: bytes.len() })?;
-    let (body, sum) = bytes.split_at(body);
+        .ok_or(DecodeError::Truncated {
+            length: bytes.len(),
+        })?;
+    let (body, sum) = bytes.split_at(body_length);
     if bytes.len() > MAX_REPORT_BYTES || checksum(body) != sum {
-        return Err(DecodeError::Garbled);
+        return Err(DecodeError::Corrupted);
     }
     Ok(body)
 }
 
-/// Decodes a report.
+/// Decodes a load report.
 ///
 /// # Errors
-/// The bytes are no report of this version, or of more classes, zones or tenants than there may be.
+/// If the bytes are not a valid report of this version, or the report has too many classes, zones or tenants.
 pub fn decode(bytes: &[u8]) -> Result<LoadReport, DecodeError> {
     let body = checked_body(bytes)?;
-    let mut reader = Reader { bytes: body, at: 2 };
-    let incarnation = reader.number()?;
-    let number = reader.number()?;
-    let [classes, zones, tenants, ratio_code] = reader.array()?;
+    let mut reader = Reader {
+        bytes: body,
+        position: HEADER_BYTES,
+    };
+    let incarnation = reader.read_u32()?;
+    let sequence_number = reader.read_u32()?;
+    let [classes, zones, tenants, ratio_code] = reader.read_array()?;
     let [classes, zones, tenants] = [classes, zones, tenants].map(usize::from);
     if classes > MAX_CLASSES || zones > MAX_ZONES || tenants > MAX_TENANTS {
         return Err(DecodeError::Size {
@@ -309,16 +321,18 @@
     }
     let mut report = LoadReport {
         incarnation,
-        number,
+        sequence_number,
         sustainable_ratio: code_to_ratio(ratio_code),
-        offered: reader.counts(classes)?,
-        offered_by_tenant: reader.counts(tenants)?,
-        in_flight: reader.counts(zones)?,
-        answered: reader.counts(zones)?,
+        offered: reader.read_counts(classes)?,
+        offered_by_tenant: reader.read_counts(tenants)?,
+        in_flight: reader.read_counts(zones)?,
+        answered: reader.read_counts(zones)?,
         histograms: Vec::new(),
     };
     while !reader.is_at_end() {
-        report.histograms.push(reader.histogram(classes * zones)?);
+        report
+            .histograms
+            .push(reader.read_histogram(classes * zones)?);
     }
     Ok(report)
 }
--- a/crates/admission/src/peer_reports.rs
+++ b/crates/admission/src/peer_reports.rs
@@ -1,4 +1,4 @@
-//! The latest load report of each peer, and the load of the whole fleet: own counts and peers' together, each peer with bounded weight.
+//! The latest load report of each peer, and the load of the whole fleet: the sum of own and peers' counts, with bounded weight per peer.
 
 use std::collections::BTreeMap;
 
@@ -7,31 +7,31 @@
 use crate::latency_histogram::LatencyHistogram;
 use crate::load_report::{LoadCounts, LoadReport};
 
-/// The most peers whose counts are kept: more than send reports while a report counts.
+/// The most peers whose reports are stored. Fewer peers send this gateway a report within the lifetime of a report.
 pub const MAX_REPORTS: usize = 48;
-/// The most members remembered: more than the largest fleet has.
+/// The most members stored; the largest fleet has fewer.
 pub const MAX_MEMBERS: usize = 1024;
-/// No count of one peer counts for more than this many times the median of all, with some margin for chance. A peer that reports wrong
-/// counts, by mistake or on purpose, then moves the sustainable ratio by less than eight gateways' part. The cost: where a single gateway
-/// has most of the traffic, its peers count it for less than that; its own counts are whole to itself.
+/// The bound on one peer's count, as a ratio to the median over all gateways plus a margin for random variation. A peer that reports wrong
+/// counts, by mistake or on purpose, then moves the sustainable ratio by less than eight gateways would. The cost: if one gateway has most
+/// of the traffic, its peers count only a part of it. The gateway itself counts its own traffic in full.
 const MAX_RATIO_TO_MEDIAN: f32 = 1.4;
-/// Decay times after which a report is forgotten.
+/// The age at which a report is removed, as a multiple of the decay time.
 const REPORT_LIFETIME_DECAYS: f64 = 4.0;
 
-/// How much is kept of peers.
+/// How many peers and reports are stored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PeerCounts {
-    /// Members.
+    /// The number of known members of the fleet other than this gateway, at most `MAX_MEMBERS`.
     pub members: usize,
-    /// Members whose counts are kept.
+    /// The number of members whose latest report is stored, at most `MAX_REPORTS`.
     pub reports: usize,
 }
 
 #[derive(Debug)]
 struct Member {
     incarnation: u32,
-    /// The number of its latest report.
-    last_number: Option<u32>,
+    /// The sequence number of the member's latest report.
+    last_sequence_number: Option<u32>,
 }
 
 #[derive(Debug)]
@@ -39,30 +39,30 @@
     received_at: Timestamp,
     sustainable_ratio: Option<f32>,
     counts: LoadCounts,
-    /// What its age leaves of its weight.
+    /// The weight of the report, from 1 for a new one towards 0 with age.
     weight: f32,
 }
 
-/// The members and their latest reports.
+/// The members of the fleet and their latest reports.
 #[derive(Debug, Default)]
 pub(crate) struct PeerReports {
     members: BTreeMap<PeerId, Member>,
     reports: BTreeMap<PeerId, ReceivedReport>,
-    /// For medians; kept to spare allocations.
-    sorted: Vec<f32>,
+    /// Buffer for computing medians, reused to avoid allocations.
+    median_buffer: Vec<f32>,
 }
 
-/// The load of the whole fleet, as far as it is known.
+/// The load of the whole fleet as far as reported.
 #[derive(Debug, Default)]
 pub(crate) struct FleetLoad {
     pub(crate) counts: LoadCounts,
-    /// The median of peers' sustainable ratios; none if there are none.
+    /// The median of the sustainable ratios that peers reported, moved towards 1 if there are few; `None` without reports.
     pub(crate) sustainable_ratio: Option<f32>,
-    /// The reports' mean age by weight.
+    /// The weighted mean age of the load data, with own counts at age 0.
     pub(crate) age_seconds: f32,
 }
 
-/// The lower one of an even number: of two, the one that is not absurd.
+/// The median; of an even number of values, the lower middle one. Of two values, the higher one may be absurdly wrong.
 fn median(values: &mut [f32]) -> f32 {
     if values.is_empty() {
         return 0.0;
@@ -72,7 +72,7 @@
 }
 
 impl PeerReports {
-    /// A peer is a member at this incarnation, or none. What an earlier incarnation reported is forgotten.
+    /// Sets the incarnation of a member, or removes the member if it is `None`. Reports of an earlier incarnation are removed.
     pub(crate) fn update_member(&mut self, peer: PeerId, incarnation: Option<u32>) {
         let Some(incarnation) = incarnation else {
             self.members.remove(&peer);
@@ -87,13 +87,13 @@
         if self.members.len() < MAX_MEMBERS || current.is_some() {
             let member = Member {
                 incarnation,
-                last_number: None,
+                last_sequence_number: None,
             };
             self.members.insert(peer, member);
         }
     }
 
-    pub(crate) fn kept(&self) -> PeerCounts {
+    pub(crate) fn counts(&self) -> PeerCounts {
         PeerCounts {
             members: self.members.len(),
             reports: self.reports.len(),
@@ -104,25 +104,25 @@
         self.members.keys().nth(position).copied()
     }
 
-    /// Takes a report in. One that is old, duplicated, of an unknown member or another incarnation, or of other numbers of classes, zones
-    /// or tenants than `own`, changes nothing.
+    /// Stores a report. Ignores one that is outdated, duplicated, from an unknown member or another incarnation, or whose numbers of classes,
+    /// zones or tenants differ from those of `own_counts`.
     pub(crate) fn receive(
         &mut self,
         now: Timestamp,
         from: PeerId,
         report: LoadReport,
-        own: &LoadCounts,
+        own_counts: &LoadCounts,
     ) {
-        if !self.accept(from, &report, own) {
+        if !self.accept(from, &report, own_counts) {
             return;
         }
         if !self.reports.contains_key(&from) && self.reports.len() >= MAX_REPORTS {
-            self.forget_oldest();
+            self.remove_oldest();
         }
         let received = self.reports.entry(from).or_insert_with(|| ReceivedReport {
             received_at: now,
             sustainable_ratio: None,
-            counts: own.empty_like(),
+            counts: own_counts.empty_like(),
             weight: 0.0,
         });
         received.received_at = now;
@@ -132,31 +132,33 @@
         counts.offered_by_tenant = report.offered_by_tenant;
         counts.in_flight = report.in_flight;
         counts.answered = report.answered;
-        for (number, histogram) in report.histograms {
-            if let Some(kept) = counts.histograms.get_mut(number) {
-                *kept = histogram;
+        for (index, histogram) in report.histograms {
+            if let Some(stored) = counts.histograms.get_mut(index) {
+                *stored = histogram;
             }
         }
     }
 
-    /// Whether a report counts; its number is recorded then.
-    fn accept(&mut self, from: PeerId, report: &LoadReport, own: &LoadCounts) -> bool {
+    /// Returns whether a report is accepted, and records the sequence number of an accepted one.
+    fn accept(&mut self, from: PeerId, report: &LoadReport, own_counts: &LoadCounts) -> bool {
         let Some(member) = self.members.get_mut(&from) else {
             return false;
         };
-        let fits = report.offered.len() == own.offered.len()
-            && report.in_flight.len() == own.in_flight.len()
-            && report.answered.len() == own.answered.len()
-            && report.offered_by_tenant.len() == own.offered_by_tenant.len();
-        let is_newer = member.last_number.is_none_or(|last| report.number > last);
-        if !fits || member.incarnation != report.incarnation || !is_newer {
+        let has_same_sizes = report.offered.len() == own_counts.offered.len()
+            && report.in_flight.len() == own_counts.in_flight.len()
+            && report.answered.len() == own_counts.answered.len()
+            && report.offered_by_tenant.len() == own_counts.offered_by_tenant.len();
+        let is_newer = member
+            .last_sequence_number
+            .is_none_or(|last| report.sequence_number > last);
+        if !has_same_sizes || member.incarnation != report.incarnation || !is_newer {
             return false;
         }
-        member.last_number = Some(report.number);
+        member.last_sequence_number = Some(report.sequence_number);
         true
     }
 
-    fn forget_oldest(&mut self) {
+    fn remove_oldest(&mut self) {
         let oldest = self
             .reports
             .iter()
@@ -167,11 +169,11 @@
         }
     }
 
-    /// Adds up own counts and peers': each by its counts, its age and at most its bounded part.
+    /// Computes the fleet's load from own counts and the peers' reports, each weighted by age and bounded.
     pub(crate) fn sum(
         &mut self,
         now: Timestamp,
-        own: &LoadCounts,
+        own_counts: &LoadCounts,
         decay_time: TimeDelta,
         load: &mut FleetLoad,
     ) {
@@ -181,10 +183,10 @@
             let age = (now - report.received_at).ratio_to(decay_time);
             report.weight = (-age).exp().min(1.0) as f32;
         }
-        load.counts.clone_from(own);
+        load.counts.clone_from(own_counts);
         self.sum_counts(&mut load.counts);
-        for class in 0..own.offered.len() {
-            self.merge_histograms(class, own, &mut load.counts);
+        for class in 0..own_counts.offered.len() {
+            self.merge_histograms(class, own_counts, &mut load.counts);
         }
         load.age_seconds = self.mean_age_seconds(now);
         load.sustainable_ratio = self.median_ratio(now, decay_time);
@@ -205,29 +207,34 @@
         }
     }
 
-    /// The sum of one count over this gateway and its peers.
-    fn bounded_sum(&mut self, own: f32, count_of: impl Fn(&LoadCounts) -> f32) -> f32 {
+    /// Sums one count over this gateway and its peers, bounding the part of each peer.
+    fn bounded_sum(&mut self, own_count: f32, count_of: impl Fn(&LoadCounts) -> f32) -> f32 {
         let PeerReports {
-            reports, sorted, ..
+            reports,
+            median_buffer,
+            ..
         } = self;
-        sorted.clear();
-        sorted.push(own);
-        sorted.extend(reports.values().map(|report| count_of(&report.counts)));
-        let median = median(sorted);
+        median_buffer.clear();
+        median_buffer.push(own_count);
+        median_buffer.extend(reports.values().map(|report| count_of(&report.counts)));
+        let median = median(median_buffer);
         let bound = MAX_RATIO_TO_MEDIAN * (median + median.sqrt() + 1.0);
-        own + reports
-            .values()
-            .map(|report| report.weight * count_of(&report.counts).min(bound))
-            .sum::<f32>()
+        own_count
+            + reports
+                .values()
+                .map(|report| report.weight * count_of(&report.counts).min(bound))
+                .sum::<f32>()
     }
 
-    /// Adds peers' histograms of one class. A peer is bounded in the class as a whole: otherwise one that reports all its answers in one
-    /// class would set that class's probabilities.
-    fn merge_histograms(&mut self, class: usize, own: &LoadCounts, sum: &mut LoadCounts) {
+    /// Adds the peers' histograms of one class. The bound applies to a peer's total in the class: otherwise a peer that reports all its
+    /// responses in one class would determine that class's probabilities.
+    fn merge_histograms(&mut self, class: usize, own_counts: &LoadCounts, sum: &mut LoadCounts) {
         let PeerReports {
-            reports, sorted, ..
+            reports,
+            median_buffer,
+            ..
         } = self;
-        let zones = own.in_flight.len();
+        let zones = own_counts.in_flight.len();
         let range = class * zones..(class + 1) * zones;
         let total = |counts: &LoadCounts| {
             counts.histograms[range.clone()]
@@ -235,16 +242,16 @@
                 .map(LatencyHistogram::total)
                 .sum::<f32>()
         };
-        sorted.clear();
-        sorted.push(total(own));
-        sorted.extend(reports.values().map(|report| total(&report.counts)));
-        let bound = median(sorted) + 1.0;
+        median_buffer.clear();
+        median_buffer.push(total(own_counts));
+        median_buffer.extend(reports.values().map(|report| total(&report.counts)));
+        let bound = median(median_buffer) + 1.0;
         for report in reports.values() {
             let weight = report.weight * (bound / total(&report.counts).max(1.0)).min(1.0);
             sum.histograms[range.clone()]
                 .iter_mut()
                 .zip(&report.counts.histograms[range.clone()])
-                .for_each(|(kept, reported)| kept.merge(reported, weight));
+                .for_each(|(merged, reported)| merged.merge(reported, weight));
         }
     }
 
@@ -258,23 +265,30 @@
         weighted_age / weights
     }
 
-    /// The median of fresh reports. Of one or two, one may be absurd: the fewer, the nearer to all that is offered.
+    /// The median sustainable ratio of reports within one decay time. The fewer there are, the closer the result to 1, as one of one or two
+    /// may be absurdly wrong.
     fn median_ratio(&mut self, now: Timestamp, decay_time: TimeDelta) -> Option<f32> {
         let PeerReports {
-            reports, sorted, ..
+            reports,
+            median_buffer,
+            ..
         } = self;
-        sorted.clear();
-        sorted.extend(
+        median_buffer.clear();
+        median_buffer.extend(
             reports
                 .values()
                 .filter(|report| now - report.received_at < decay_time)
                 .filter_map(|report| report.sustainable_ratio),
         );
-        if sorted.is_empty() {
+        if median_buffer.is_empty() {
             return None;
         }
-        let count = sorted.len() as f32;
+        let count = median_buffer.len() as f32;
         let confidence = count / (count + 1.0);
-        Some(median(sorted).max(f32::MIN_POSITIVE).powf(confidence))
+        Some(
+            median(median_buffer)
+                .max(f32::MIN_POSITIVE)
+                .powf(confidence),
+        )
     }
 }
--- a/crates/admission/src/tick.rs
+++ b/crates/admission/src/tick.rs
@@ -1,4 +1,4 @@
-//! The controller's tick: counts decay, rates are computed anew, waiting requests are resolved, and load reports are sent.
+//! The controller's tick: decays counts, recomputes rates, resolves waiting requests and sends load reports.
 
 use harrierdock_types::{TimeDelta, Timestamp};
 use nanorand::Rng;
@@ -9,15 +9,14 @@
 use crate::load_report::{self, LoadReport};
 use crate::wait_queue::WaitingRequest;
 
-// Times as ratios to the shortest latency objective.
-/// Between two ticks.
+/// The longest interval between ticks, as a ratio to the shortest latency objective.
 const TICK_RATIO: f64 = 0.1;
-/// Over which histograms decay.
+/// The time constant of the decay of histograms, as a ratio to the shortest latency objective.
 const HISTOGRAM_DECAY_RATIO: f64 = 2.0;
-/// Over which a peer's report decays.
+/// The time constant of the decay of a peer's report, as a ratio to the shortest latency objective.
 const REPORT_DECAY_RATIO: f64 = 0.5;
 
-/// Load reports at each tick, each to another peer.
+/// The number of load reports sent at each tick, each to a different peer.
 const REPORTS_PER_TICK: usize = 2;
 
 impl AdmissionController {
@@ -33,14 +32,14 @@
             return;
         }
         self.last_tick = Some(now);
-        // What is in flight just after a start has not been heard to be answered yet, so a young gateway's counts mean nothing.
+        // Just after a start, attempts are in flight and hardly any response has arrived, so the counts mean nothing yet.
         let is_old_enough = now - first_tick >= self.shortest_objective;
         self.decay(since_last);
         self.update_in_flight(is_old_enough);
         self.update_rates(now, since_last, is_old_enough);
         self.resolve_waiting(now, actions);
         self.send_reports(is_old_enough, actions);
-        // Intervals vary, so that gateways do not act in step. None is longer than the shortest wait.
+        // The random interval keeps gateways from acting in step. It never exceeds the longest wait of any class.
         actions.push(Action::SetTimer {
             after: interval * (0.8 + 0.2 * self.rng.generate::<f64>()),
         });
@@ -53,19 +52,19 @@
         let count_factor = factor(COUNT_DECAY_RATIO);
         let histogram_factor = factor(HISTOGRAM_DECAY_RATIO);
         let counts = self
-            .own
+            .own_counts
             .offered
             .iter_mut()
-            .chain(&mut self.own.offered_by_tenant)
-            .chain(&mut self.own.answered);
+            .chain(&mut self.own_counts.offered_by_tenant)
+            .chain(&mut self.own_counts.answered);
         counts.for_each(|count| *count *= count_factor);
-        for histogram in &mut self.own.histograms {
+        for histogram in &mut self.own_counts.histograms {
             histogram.decay(histogram_factor);
         }
     }
 
     fn update_in_flight(&mut self, is_old_enough: bool) {
-        for (counted, in_flight) in self.own.in_flight.iter_mut().zip(&self.in_flight) {
+        for (counted, in_flight) in self.own_counts.in_flight.iter_mut().zip(&self.in_flight) {
             *counted = if is_old_enough {
                 *in_flight as f32
             } else {
@@ -77,9 +76,10 @@
     fn update_rates(&mut self, now: Timestamp, since_last: TimeDelta, is_old_enough: bool) {
         let decay_time = self.shortest_objective * REPORT_DECAY_RATIO;
         if is_old_enough {
-            self.peers.sum(now, &self.own, decay_time, &mut self.load);
+            self.peers
+                .sum(now, &self.own_counts, decay_time, &mut self.load);
         } else {
-            let empty = self.own.empty_like();
+            let empty = self.own_counts.empty_like();
             self.peers.sum(now, &empty, decay_time, &mut self.load);
         }
         let measurement = Measurement {
@@ -90,7 +90,7 @@
         self.rates.update(&self.parameters, measurement, &self.load);
     }
 
-    /// Goes through waiting requests in order: each is admitted if it may be, and rejected once it has waited long enough.
+    /// Goes through the wait queue in order: admits requests as the rates allow, and rejects those whose wait ends before the next tick.
     fn resolve_waiting(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         if self.queue.is_empty() {
             return;
@@ -103,11 +103,14 @@
     fn resolve(&mut self, now: Timestamp, request: &mut WaitingRequest) -> Option<Action> {
         let WaitingRequest { class, tenant, .. } = *request;
         let ratio = self.admitted_ratio(now, class, tenant, request.zones);
-        // The request has been tried at the ratio of then; now at what is admitted beyond.
+        // The request was not admitted at the tried ratio. With this one in addition, its total chance equals the current ratio.
         let tried = request.tried_ratio;
-        let beyond = (ratio - tried).max(0.0) / (1.0 - tried).max(f32::EPSILON);
+        let additional_ratio = (ratio - tried).max(0.0) / (1.0 - tried).max(f32::EPSILON);
         request.tried_ratio = tried.max(ratio);
-        if now <= request.waits_until && beyond > 0.0 && self.draw_credit(beyond, class, tenant) {
+        if now <= request.waits_until
+            && additional_ratio > 0.0
+            && self.admit_by_credit(additional_ratio, class, tenant)
+        {
             return Some(Action::Admit { id: request.id });
         }
         let is_last_tick = now + self.shortest_objective * TICK_RATIO > request.waits_until;
@@ -117,29 +120,33 @@
         })
     }
 
-    /// Sends the same number of reports at each tick, whatever the size of the fleet.
+    /// Sends a fixed number of reports at each tick, independent of the size of the fleet.
     fn send_reports(&mut self, is_old_enough: bool, actions: &mut Vec<Action>) {
-        let members = self.peers.kept().members;
+        let members = self.peers.counts().members;
         if members == 0 {
             return;
         }
         let first = self.rng.generate_range(0..members);
-        let empty = self.own.empty_like();
-        for report in 0..REPORTS_PER_TICK.min(members) {
-            let position = (first + report * members.div_ceil(REPORTS_PER_TICK)) % members;
+        let empty = self.own_counts.empty_like();
+        for report_index in 0..REPORTS_PER_TICK.min(members) {
+            let position = (first + report_index * members.div_ceil(REPORTS_PER_TICK)) % members;
             let Some(to) = self.peers.member_at(position) else {
                 continue;
             };
             self.sent_reports = self.sent_reports.saturating_add(1);
             let head = LoadReport {
                 incarnation: self.parameters.incarnation,
-                number: self.sent_reports,
+                sequence_number: self.sent_reports,
                 sustainable_ratio: self.rates.sustainable_ratio(),
                 ..LoadReport::default()
             };
-            let counts = if is_old_enough { &self.own } else { &empty };
+            let counts = if is_old_enough {
+                &self.own_counts
+            } else {
+                &empty
+            };
             let (bytes, next_histogram) = load_report::encode(&head, counts, self.next_histogram);
-            if report == 0 {
+            if report_index == 0 {
                 self.next_histogram = next_histogram;
             }
             actions.push(Action::SendReport { to, bytes });
--- a/crates/admission/src/wait_queue.rs
+++ b/crates/admission/src/wait_queue.rs
@@ -1,28 +1,28 @@
-//! Requests that wait to be admitted: of the highest priority weight first, then those whose latency objective is over soonest.
+//! The queue of requests that wait for admission, ordered by descending priority weight, then by the end of the latency objective.
 
 use harrierdock_types::{ClassId, RequestId, TenantId, Timestamp};
 
-/// The most requests kept; one more is decided on at once. Bounds memory and what a tick costs.
+/// The capacity of the wait queue, which bounds memory and the cost of a tick. A request that would exceed it is rejected at once.
 pub const MAX_WAITING: usize = 256;
 
-/// A waiting request.
+/// A request in the wait queue.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct WaitingRequest {
     pub(crate) id: RequestId,
     pub(crate) class: ClassId,
     pub(crate) tenant: Option<TenantId>,
     pub(crate) zones: u8,
-    /// The highest admitted ratio that the request has been tried at.
+    /// The highest admitted ratio at which admitting the request was tried.
     pub(crate) tried_ratio: f32,
     pub(crate) priority_weight: f64,
-    /// When its latency objective is over.
+    /// The end of the request's latency objective.
     pub(crate) objective_at: Timestamp,
-    /// When its wait is over.
+    /// The end of the request's wait.
     pub(crate) waits_until: Timestamp,
 }
 
 impl WaitingRequest {
-    fn goes_before(&self, other: &WaitingRequest) -> bool {
+    fn is_ordered_before(&self, other: &WaitingRequest) -> bool {
         self.priority_weight
             .total_cmp(&other.priority_weight)
             .reverse()
@@ -31,7 +31,7 @@
     }
 }
 
-/// All waiting requests, in order.
+/// The waiting requests in order.
 #[derive(Debug)]
 pub(crate) struct WaitQueue {
     requests: Vec<WaitingRequest>,
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Adds a request in order, without allocating. Returns false if the queue is full or has the request already.
+    /// Inserts a request in order, without allocating. Returns false if the queue is full or already contains the request.
     pub(crate) fn push(&mut self, request: WaitingRequest) -> bool {
         let is_full = self.requests.len() >= MAX_WAITING;
         if is_full || self.requests.iter().any(|waiting| waiting.id == request.id) {
@@ -52,7 +52,7 @@
         }
         let position = self
             .requests
-            .partition_point(|waiting| waiting.goes_before(&request));
+            .partition_point(|waiting| waiting.is_ordered_before(&request));
         self.requests.insert(position, request);
         true
     }
@@ -61,7 +61,7 @@
         self.requests.retain(|request| request.id != id);
     }
 
-    /// Goes through all requests in order; those for which `resolve` returns something leave.
+    /// Calls `resolve` for all requests in order. Removes those for which it returns a result, and appends the results to `resolved`.
     pub(crate) fn resolve_each<T>(
         &mut self,
         mut resolve: impl FnMut(&mut WaitingRequest) -> Option<T>,
