--- a/crates/attempt-guard/src/backoff.rs
+++ b/crates/attempt-guard/src/backoff.rs
@@ -5,11 +5,11 @@
 
 use crate::list_freshness::CACHED_LIST_LIFETIME;
 
-/// Where lists are polled, calls that failed may be this many poll intervals apart at the most.
+/// The longest backoff of discovery polls, in multiples of the maximum poll interval.
 const MAX_DISCOVERY_BACKOFF_INTERVALS: f64 = 4.0;
 
-/// Waits between calls to a service that refuses them. Each is drawn from the upper half of a bound that doubles from the
-/// minimum to the maximum, so that gateways that failed together do not come back together.
+/// The waits between failed calls to a service. Each wait is drawn between half of an upper bound and the bound itself, which
+/// doubles from the minimum to the maximum. The jitter keeps gateways whose calls failed together from retrying together.
 pub struct Backoff {
     min: TimeDelta,
     max: TimeDelta,
@@ -19,7 +19,7 @@
 }
 
 impl Backoff {
-    /// Waits between `min` and `max`. A `max` below `min` counts as `min`.
+    /// Creates a backoff with waits between `min` and `max`. A `max` below `min` is raised to `min`.
     pub fn new(min: TimeDelta, max: TimeDelta, seed: u64) -> Backoff {
         Backoff {
             min,
@@ -29,8 +29,8 @@
         }
     }
 
-    /// The waits between polls of discovery. `None` where lists are pushed: they come from an agent of this gateway's own, which
-    /// answers at once and at no cost to others.
+    /// Creates the backoff between polls of discovery. `None` in push mode: an agent dedicated to this gateway pushes the lists, and
+    /// responds at once without load on other gateways.
     pub fn for_discovery(parameters: &Parameters, min: TimeDelta, seed: u64) -> Option<Backoff> {
         match parameters.discovery_mode {
             DiscoveryMode::Push => None,
@@ -41,25 +41,25 @@
         }
     }
 
-    /// Notes that a call has failed after this long, and returns how long to wait from now on.
+    /// Records a call that failed after `call_duration`, and returns the wait until the next call.
     ///
-    /// A service that refuses late has a queue. The wait is at least about as long as the call took, so that the service is
-    /// not kept busy with calls that nobody waits for any more.
+    /// A service that rejects calls late has a queue. The wait is about as long as the call or longer, so that the service does not
+    /// spend its time on abandoned calls.
     pub fn next_wait(&mut self, call_duration: TimeDelta) -> TimeDelta {
         let doubled = self.bound * 2.0;
-        let queued = call_duration * 2.0;
-        self.bound = doubled.max(queued).max(self.min).min(self.max);
+        let queueing_bound = call_duration * 2.0;
+        self.bound = doubled.max(queueing_bound).max(self.min).min(self.max);
         let jitter = 0.5 + self.rng.generate::<f64>() / 2.0;
         (self.bound * jitter).max(self.min)
     }
 
-    /// A wait for a call that is not urgent, as a list is held that may still be acted on. Spreads the calls of gateways that
-    /// start, or see a service return, at the same moment.
+    /// Draws the wait before a call that is not urgent because a usable list is available. The wait spreads the calls of gateways
+    /// that start, or see a service recover, at the same time.
     pub fn draw_spread_wait(&mut self) -> TimeDelta {
         CACHED_LIST_LIFETIME * self.rng.generate::<f64>()
     }
 
-    /// Notes that a call has succeeded: the next failure counts as the first.
+    /// Records a successful call: the next failed call starts at the minimum again.
     pub fn reset(&mut self) {
         self.bound = TimeDelta::ZERO;
     }
--- a/crates/attempt-guard/src/connection_reuse.rs
+++ b/crates/attempt-guard/src/connection_reuse.rs
@@ -1,34 +1,35 @@
-//! Which idle connection may carry an attempt.
+//! Decides which idle connections may carry an attempt.
 
 use harrierdock_types::{TimeDelta, Timestamp};
 
-/// How long a connection rests after an answer, as a ratio of the connect timeout.
-const REST_RATIO: f64 = 0.08;
+/// How long a connection stays unused after a response, as a ratio to the connect timeout.
+const COOLDOWN_RATIO: f64 = 0.08;
 
-/// What an idle connection may be used for.
+/// Whether an idle connection may be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IdleState {
-    /// Not used yet: a duplicate answer that is still on its way would be taken for the next request's. If it arrives while
-    /// the connection rests, the connection is closed.
+    /// Too early to use: a duplicate response still in transit would be taken for the response to the next request. A response that
+    /// arrives in this state closes the connection.
     CoolingDown,
     /// May carry the next attempt.
     Reusable,
-    /// Not used again: the endpoint may be about to close it.
+    /// Too old to use: the endpoint may be about to close the connection.
     Expired,
 }
 
-/// When an idle connection may be used again.
+/// The limits of the idle time within which a connection may be reused.
 #[derive(Clone, Copy, Debug)]
 pub struct ReusePolicy {
-    rest: TimeDelta,
+    cooldown: TimeDelta,
     max_idle: TimeDelta,
 }
 
 impl ReusePolicy {
-    /// `connect_timeout` is how long a connection may take to come up, `idle_timeout` when an endpoint closes an unused one.
+    /// `connect_timeout` limits how long a connection may take to open. Endpoints close a connection after it was idle for
+    /// `idle_timeout`.
     pub fn new(connect_timeout: TimeDelta, idle_timeout: TimeDelta) -> ReusePolicy {
         ReusePolicy {
-            rest: connect_timeout * REST_RATIO,
+            cooldown: connect_timeout * COOLDOWN_RATIO,
             max_idle: idle_timeout - connect_timeout,
         }
     }
@@ -38,7 +39,7 @@
         let idle = now - idle_since;
         if idle >= self.max_idle {
             IdleState::Expired
-        } else if idle < self.rest {
+        } else if idle < self.cooldown {
             IdleState::CoolingDown
         } else {
             IdleState::Reusable
--- a/crates/attempt-guard/src/lib.rs
+++ b/crates/attempt-guard/src/lib.rs
@@ -1,9 +1,9 @@
-//! Decisions at the edge of the network, without I/O: whether an attempt may still be written, which idle connection may carry
-//! it, how long an unconfirmed endpoint list may be acted on, how long to wait before a failed call is made again, and until when
-//! a gateway that shuts down answers requests.
+//! Decisions around network calls, without I/O: whether an attempt may still be written, which idle connection may carry it, how
+//! long an unconfirmed endpoint list stays usable, how long to back off after a failed call, and the schedule of a graceful
+//! shutdown.
 //!
-//! Time passes between the decision to make an attempt and its first byte, because a connection has to come up. The attempt
-//! therefore carries its precondition, which is checked again right before the write.
+//! Establishing a connection takes time between the decision to make an attempt and its first byte. The attempt therefore carries
+//! a precondition, which is checked again right before the write.
 
 #![warn(missing_docs, unreachable_pub)]
 
--- a/crates/attempt-guard/src/list_freshness.rs
+++ b/crates/attempt-guard/src/list_freshness.rs
@@ -1,18 +1,18 @@
-//! How long an endpoint list may be acted on, where lists are polled.
+//! Decides how long an endpoint list may be used in poll mode.
 
 use harrierdock_types::{DiscoveryMode, Parameters, TimeDelta, Timestamp};
 
-/// A gateway counts as notified of a change this long after discovery had it, whatever became of its calls.
+/// A gateway counts as notified of a change this long after discovery received it, whether or not its calls succeeded.
 pub const NOTIFICATION_DEADLINE: TimeDelta = TimeDelta::from_millis(6_000);
 
-/// How long a list counts that was kept over a start. It is older than the start by an unknown time, so this is half of the
+/// How long after a start a cached list may be used. The list is older than the start by an unknown time, so this is half of the
 /// notification deadline.
 pub(crate) const CACHED_LIST_LIFETIME: TimeDelta = TimeDelta::from_millis(3_000);
 
-/// A call to discovery fails within 2 s if it fails at all; one that has lasted a tenth longer has succeeded.
-const MAX_FAILING_CALL: TimeDelta = TimeDelta::from_millis(2_200);
+/// A call to discovery that fails does so within 2 s. A call that lasts a tenth longer counts as successful.
+const MAX_FAILED_CALL_DURATION: TimeDelta = TimeDelta::from_millis(2_200);
 
-/// How long ago the held list was last confirmed.
+/// Tracks how long ago discovery last confirmed the current endpoint list.
 #[derive(Clone, Copy, Debug)]
 pub struct ListFreshness {
     is_polled: bool,
@@ -22,9 +22,9 @@
 }
 
 impl ListFreshness {
-    /// The freshness of a list that was kept over a start at `started_at`.
+    /// Creates the freshness of a cached list after a start at `started_at`.
     ///
-    /// Where lists are pushed it never becomes stale: an agent that is silent has not been notified of anything.
+    /// In push mode a list never becomes stale: an agent that sends nothing has not been notified of any change.
     pub fn new(parameters: &Parameters, started_at: Timestamp) -> ListFreshness {
         let grace = parameters.safety.drain_grace - parameters.tick;
         ListFreshness {
@@ -35,17 +35,17 @@
         }
     }
 
-    /// Whether a call that was made at `called_at` and has not failed by `now` has succeeded, though it has returned no list.
+    /// Whether a call made at `called_at` that has neither failed nor returned a list by `now` counts as successful.
     pub fn has_call_succeeded(called_at: Timestamp, now: Timestamp) -> bool {
-        now - called_at > MAX_FAILING_CALL
+        now - called_at > MAX_FAILED_CALL_DURATION
     }
 
-    /// Notes that discovery has sent a list, or that nothing has changed.
+    /// Records that discovery sent a list, or reported no change.
     pub fn confirm(&mut self, now: Timestamp) {
         self.confirmed_at = Some(now);
     }
 
-    /// Whether the list may no longer be acted on, because an endpoint on it may have begun to drain.
+    /// Whether the list is too old to use, because an endpoint on it may have started draining.
     pub fn is_stale(&self, now: Timestamp) -> bool {
         let (since, lifetime) = match self.confirmed_at {
             Some(confirmed_at) => (confirmed_at, NOTIFICATION_DEADLINE + self.grace),
--- a/crates/attempt-guard/src/precondition.rs
+++ b/crates/attempt-guard/src/precondition.rs
@@ -1,72 +1,72 @@
-//! The precondition that an attempt carries from its decision to its write.
+//! The precondition that is checked between the decision to make an attempt and its write.
 
 use harrierdock_types::{BuildId, Lifecycle, Timestamp};
 
-/// What an attempt was decided on.
+/// The state that the decision to make an attempt relied on.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Precondition {
-    /// The endpoint's build.
+    /// The build that the endpoint runs.
     pub build: BuildId,
-    /// When the endpoint started, if discovery says.
+    /// When the endpoint started; `None` if discovery does not report it.
     pub started_at: Option<Timestamp>,
-    /// The exposure limit of the build.
+    /// The exposure limit of the build, as a share of requests.
     pub exposure_limit: f64,
-    /// From then on endpoints may no longer recognise the idempotency key of an earlier attempt. `None` if no earlier attempt may
-    /// have had its effect.
+    /// When endpoints may stop recognising the idempotency key of an earlier attempt. `None` if no earlier attempt may have taken
+    /// effect.
     pub deduplicated_until: Option<Timestamp>,
 }
 
-/// An endpoint as it is listed when an attempt is about to be written.
+/// The list entry of an endpoint when an attempt is about to be written.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ListedEndpoint {
-    /// Whether it takes requests.
+    /// Whether the endpoint accepts requests.
     pub lifecycle: Lifecycle,
-    /// Its build.
+    /// The build that the endpoint runs.
     pub build: BuildId,
-    /// When it started, if discovery says.
+    /// When the endpoint started; `None` if discovery does not report it.
     pub started_at: Option<Timestamp>,
 }
 
-/// The state of affairs when an attempt is about to be written.
+/// The current state when an attempt is about to be written.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CurrentState {
     /// The current time.
     pub now: Timestamp,
-    /// Whether the request has its answer, or its client has left.
+    /// Whether the request was answered, or its client disconnected.
     pub is_request_finished: bool,
-    /// Whether the endpoint list may no longer be acted on.
+    /// Whether the endpoint list is too old to use, see `ListFreshness`.
     pub is_list_stale: bool,
-    /// The endpoint, if it is listed at the address that the connection was made to.
+    /// The endpoint; `None` if it is not listed at the address of the connection.
     pub endpoint: Option<ListedEndpoint>,
-    /// The exposure limit of the attempt's build.
+    /// The current exposure limit of the attempt's build.
     pub exposure_limit: f64,
-    /// The oldest build that may answer the request's affinity key.
+    /// The oldest build that may serve the request's affinity key.
     pub sticky_build: BuildId,
 }
 
 /// Why an attempt may not be written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Violation {
-    /// The request has its answer, or its client has left.
+    /// The request was answered, or its client disconnected.
     RequestFinished,
     /// The endpoint list is stale, see `ListFreshness`.
     ListStale,
-    /// The endpoint drains or is gone. A request counts as sent with its first byte, however long ago it was decided on.
+    /// The endpoint is draining or removed. What counts is the time of the first byte, not of the decision.
     EndpointDraining,
-    /// Another start, or another build, now runs at the address.
+    /// The endpoint was restarted, runs another build, or is no longer listed at the address.
     EndpointReplaced,
-    /// The exposure limit of the build has been lowered. It binds what arrives under it, whenever that was decided.
+    /// The exposure limit of the build was lowered. The limit applies to all attempts that reach endpoints after that, whenever they were decided on.
     ExposureLimitLowered,
-    /// Connections that came up late and together carry more attempts than the exposure limit admits.
+    /// The exposure limit admits no further attempt now, as several delayed connections opened at the same time.
     ExposureLimitReached,
-    /// A newer build has answered the request's affinity key.
+    /// A newer build has already served the request's affinity key.
     StickyVersion,
-    /// Endpoints may no longer recognise the idempotency key, so the request could have its effect twice.
+    /// Endpoints may no longer recognise the idempotency key, so the request could take effect twice.
     DeduplicationExpired,
 }
 
 impl Precondition {
-    /// Why an attempt with this precondition may not be written, if it may not.
+    /// Why an attempt with this precondition may not be written; `None` if it may.
     pub fn violation(&self, current: &CurrentState) -> Option<Violation> {
         if current.is_request_finished {
             return Some(Violation::RequestFinished);
@@ -83,10 +83,10 @@
         if self.build < current.sticky_build {
             return Some(Violation::StickyVersion);
         }
-        let expired = self
+        let is_deduplication_expired = self
             .deduplicated_until
             .is_some_and(|until| current.now >= until);
-        expired.then_some(Violation::DeduplicationExpired)
+        is_deduplication_expired.then_some(Violation::DeduplicationExpired)
     }
 
     fn endpoint_violation(&self, endpoint: Option<ListedEndpoint>) -> Option<Violation> {
@@ -96,7 +96,8 @@
         if endpoint.lifecycle != Lifecycle::Ready {
             return Some(Violation::EndpointDraining);
         }
-        let is_same = endpoint.build == self.build && endpoint.started_at == self.started_at;
-        (!is_same).then_some(Violation::EndpointReplaced)
+        let is_same_instance =
+            endpoint.build == self.build && endpoint.started_at == self.started_at;
+        (!is_same_instance).then_some(Violation::EndpointReplaced)
     }
 }
--- a/crates/attempt-guard/src/shutdown_schedule.rs
+++ b/crates/attempt-guard/src/shutdown_schedule.rs
@@ -1,18 +1,18 @@
-//! The times of a graceful shutdown, counted from the moment at which the gateway handled its first signal; those of answers from
-//! the earliest moment at which that may have been sent.
+//! The schedule of a graceful shutdown. The grace period starts when the gateway handles its first signal. The deadline for responses
+//! counts from the earliest time at which the signal may have been sent.
 
 use harrierdock_types::{TimeDelta, Timestamp};
 
-/// How long after the signal new requests may still arrive, and connections are kept between requests.
-const GRACE: TimeDelta = TimeDelta::from_millis(700);
-/// The longest request timeout that the platform waits for before it kills the process.
+/// How long after the signal new requests may still arrive and idle connections stay open.
+const GRACE_PERIOD: TimeDelta = TimeDelta::from_millis(700);
+/// The longest request time that the platform waits for after the grace period before it kills the process.
 const MAX_REQUEST_TIME: TimeDelta = TimeDelta::from_millis(3_000);
-/// How long the process may be kept from running at any moment.
+/// The longest time for which the process may not be scheduled.
 const MAX_STALL: TimeDelta = TimeDelta::from_millis(150);
-/// How long it takes to write the last answers.
+/// The time needed to write the last responses.
 const WRITE_TIME: TimeDelta = TimeDelta::from_millis(50);
 
-/// When a gateway that shuts down does what, until the platform kills it at the earliest.
+/// The times of a graceful shutdown.
 #[derive(Clone, Copy, Debug)]
 pub struct ShutdownSchedule {
     handled_at: Timestamp,
@@ -21,7 +21,8 @@
 }
 
 impl ShutdownSchedule {
-    /// The schedule of a shutdown that starts now, where requests may take as long as the longest of their classes.
+    /// Creates the schedule for a signal sent and handled at `handled_at`. `longest_timeout` is the longest timeout of all request
+    /// classes.
     pub fn new(handled_at: Timestamp, longest_timeout: TimeDelta) -> ShutdownSchedule {
         ShutdownSchedule {
             handled_at,
@@ -30,8 +31,8 @@
         }
     }
 
-    /// The schedule where the signal may have been sent at any time since then. Answers are due as if it had been, and
-    /// connections are kept as if it had just been.
+    /// The schedule if the signal may have been sent as early as `earliest_signal_at`. Responses are due as if it was sent then, and
+    /// connections stay open as if it was sent when it was handled.
     pub fn with_signal_since(self, earliest_signal_at: Timestamp) -> ShutdownSchedule {
         ShutdownSchedule {
             earliest_signal_at: earliest_signal_at.min(self.handled_at),
@@ -39,30 +40,30 @@
         }
     }
 
-    /// Until when new requests are expected and connections stay open between requests.
+    /// Until when new requests may arrive and idle connections stay open.
     pub fn grace_ends_at(&self) -> Timestamp {
-        self.handled_at + GRACE
+        self.handled_at + GRACE_PERIOD
     }
 
-    /// When the process may be killed at the earliest.
+    /// The earliest time at which the platform may kill the process.
     pub fn earliest_kill_at(&self) -> Timestamp {
-        self.earliest_signal_at + GRACE + self.max_request_time
+        self.earliest_signal_at + GRACE_PERIOD + self.max_request_time
     }
 
-    /// When the process is killed if the signal was handled as soon as it was sent. There is nothing to wait for after that.
+    /// When the platform kills the process if the signal was handled as soon as it was sent. The shutdown does not wait any longer.
     pub fn ends_at(&self) -> Timestamp {
-        self.handled_at + GRACE + self.max_request_time
+        self.handled_at + GRACE_PERIOD + self.max_request_time
     }
 
-    /// When every request must have its answer. Before the earliest kill there is time for one stall between the signal and
-    /// its handling, and for another one before the answers are written.
+    /// When all responses must be ready. The margin before the earliest kill covers one stall between the signal and its handling, a
+    /// second one before the responses are written, and the write.
     pub fn answers_due_at(&self) -> Timestamp {
         let margin = MAX_STALL + MAX_STALL + WRITE_TIME;
         self.earliest_kill_at() - margin.min(self.max_request_time)
     }
 
-    /// How long a request that is received now may take at the most. After the grace period it has to leave the time of one
-    /// connection set-up before the earliest kill, too.
+    /// The longest time that a request received now may take. After the grace period, the request must also finish one
+    /// `connect_time` before the earliest kill.
     pub fn time_left(&self, now: Timestamp, connect_time: TimeDelta) -> TimeDelta {
         let mut deadline = self.answers_due_at();
         if now > self.grace_ends_at() {
