--- a/crates/admission/src/admission_rates.rs
+++ b/crates/admission/src/admission_rates.rs
@@ -18,9 +18,10 @@
 /// Lower bound of the sustainable ratio, so that endpoints that have stopped responding are tried again.
 const MIN_SUSTAINABLE_RATIO: f32 = 0.05;
 const MAX_SUSTAINABLE_RATIO: f32 = 4.0;
+/// Bounds of the exponent with which ratios follow the response time.
 const MIN_GAIN: f32 = 0.25;
 const MAX_GAIN: f32 = 1.5;
-/// The minimum number of responses in the window from which the sustainable ratio is estimated.
+/// The minimum number of responses from which the sustainable ratio is estimated, and the weight of prior data in means.
 const MIN_RESPONSES: f32 = 3.0;
 /// The number of responses at which a zone's own response time counts as much as that of all zones.
 const ZONE_PRIOR_RESPONSES: f32 = 20.0;
@@ -51,16 +52,16 @@
     pub(crate) has_just_started: bool,
 }
 
-/// The fleet's response times in seconds, and the parameters that follow from them.
+/// The fleet's response times, and the parameters used with them.
 #[derive(Clone, Copy)]
 struct ResponseTimes {
     /// The mean response time that the current queues will lead to, by Little's law.
-    expected: f32,
+    expected_seconds: f32,
     /// The mean response time of the responses received.
-    measured: f32,
+    measured_seconds: f32,
     /// The time constant of the decay of counts.
-    window: f32,
-    /// The exponent with which ratios follow the response time; no time.
+    window_seconds: f32,
+    /// The exponent with which the zone factors follow the response times.
     gain: f32,
 }
 
@@ -214,28 +215,29 @@
         load: &FleetLoad,
     ) {
         let total = |counts: &[f32]| counts.iter().sum::<f32>();
-        let window = measurement.window.as_seconds() as f32;
+        let window_seconds = measurement.window.as_seconds() as f32;
         let in_flight = total(&load.counts.in_flight);
         let answered = total(&load.counts.answered);
         let offered = total(&load.counts.offered);
-        let measured = self.update_distributions(parameters, load, window);
+        let measured_seconds = self.update_distributions(parameters, load, window_seconds);
         // Little's law shows a queue at once, while measured times show it only once late responses arrive.
-        let expected = (in_flight * window + MIN_RESPONSES * measured) / (answered + MIN_RESPONSES);
-        let delay = load.age_seconds + measurement.since_last.as_seconds() as f32;
-        let gain = LOOP_GAIN * self.target_seconds / delay.max(MIN_SECONDS);
+        let expected_seconds = (in_flight * window_seconds + MIN_RESPONSES * measured_seconds)
+            / (answered + MIN_RESPONSES);
+        let delay_seconds = load.age_seconds + measurement.since_last.as_seconds() as f32;
+        let gain = LOOP_GAIN * self.target_seconds / delay_seconds.max(MIN_SECONDS);
         let gain = gain.clamp(MIN_GAIN, MAX_GAIN);
-        let pressure = (self.target_seconds / expected.max(MIN_SECONDS)).powf(gain);
+        let pressure = (self.target_seconds / expected_seconds.max(MIN_SECONDS)).powf(gain);
         let estimate = (answered + 1.0) / (offered + 1.0) * pressure;
         let estimate = (answered >= MIN_RESPONSES).then_some(estimate);
         let confidence = answered / (answered + HALF_CONFIDENCE_RESPONSES);
         self.update_sustainable_ratio(estimate, confidence, measurement, load);
-        self.response_time_seconds = expected;
-        let excess = (expected - self.target_seconds).clamp(0.0, 10.0);
-        self.drain_time = TimeDelta::from_seconds(f64::from(excess));
+        self.response_time_seconds = expected_seconds;
+        let excess_seconds = (expected_seconds - self.target_seconds).clamp(0.0, 10.0);
+        self.drain_time = TimeDelta::from_seconds(f64::from(excess_seconds));
         let times = ResponseTimes {
-            expected,
-            measured,
-            window,
+            expected_seconds,
+            measured_seconds,
+            window_seconds,
             gain,
         };
         self.update_zones(times, &load.counts);
@@ -247,15 +249,15 @@
         &mut self,
         parameters: &AdmissionParameters,
         load: &FleetLoad,
-        window: f32,
+        window_seconds: f32,
     ) -> f32 {
-        let widening = WIDENING_PER_WINDOW * load.age_seconds / window;
-        let mut weighted_times = 0.0;
+        let widening = WIDENING_PER_WINDOW * load.age_seconds / window_seconds;
+        let mut weighted_seconds = 0.0;
         let mut responses = 0.0;
         self.target_seconds = f32::INFINITY;
         for (class, class_parameters) in parameters.classes.iter().enumerate() {
             let range = class * self.zones..(class + 1) * self.zones;
-            let objective = class_parameters.latency_objective.as_seconds() as f32;
+            let objective_seconds = class_parameters.latency_objective.as_seconds() as f32;
             let mut all_zones = prior_histogram();
             for histogram in &load.counts.histograms[range.clone()] {
                 all_zones.merge(histogram, 1.0);
@@ -263,12 +265,12 @@
             all_zones.widen(widening);
             let mean = all_zones.mean().unwrap_or(PRIOR_MEAN_RATIO);
             let total = all_zones.total();
-            weighted_times += mean * objective * total;
+            weighted_seconds += mean * objective_seconds * total;
             responses += total;
             let in_time_quantile = all_zones.quantile(IN_TIME_SHARE).unwrap_or(1.0);
             let target =
                 (mean / in_time_quantile.max(1e-3)).clamp(MIN_TARGET_RATIO, MAX_TARGET_RATIO);
-            self.target_seconds = self.target_seconds.min(target * objective);
+            self.target_seconds = self.target_seconds.min(target * objective_seconds);
             for index in range {
                 let mut histogram = load.counts.histograms[index];
                 histogram.widen(widening);
@@ -279,10 +281,10 @@
                 );
                 self.distributions[index] = histogram.distribution();
                 self.latency_factors[index] =
-                    histogram.mean().unwrap_or(PRIOR_MEAN_RATIO) * objective;
+                    histogram.mean().unwrap_or(PRIOR_MEAN_RATIO) * objective_seconds;
             }
         }
-        weighted_times / f32::max(responses, 1e-3)
+        weighted_seconds / f32::max(responses, 1e-3)
     }
 
     /// Moves the sustainable ratio towards the estimate, weighted by confidence. A gateway that has just started starts from the ratio that
@@ -308,8 +310,8 @@
         let kept = bounded(previous).powf(1.0 - confidence);
         // Rounding may move the product of two powers within the bounds outside them.
         let ratio = bounded(kept * bounded(estimate.unwrap_or(previous)).powf(confidence));
-        let elapsed = measurement.since_last.as_seconds().max(1e-3) as f32;
-        let rise = (ratio - self.sustainable_ratio.unwrap_or(ratio)) / elapsed;
+        let elapsed_seconds = measurement.since_last.as_seconds().max(1e-3) as f32;
+        let rise = (ratio - self.sustainable_ratio.unwrap_or(ratio)) / elapsed_seconds;
         self.rise_per_second += RISE_SMOOTHING * (rise - self.rise_per_second);
         self.sustainable_ratio = Some(ratio);
     }
@@ -321,19 +323,20 @@
         let mut weighted_factors = 1e-3;
         for zone in 0..self.zones {
             let answered = counts.answered[zone];
-            let queued = counts.in_flight[zone] * times.window;
-            let zone_expected = (queued + ZONE_PRIOR_RESPONSES * times.expected)
+            let queued = counts.in_flight[zone] * times.window_seconds;
+            let zone_expected_seconds = (queued + ZONE_PRIOR_RESPONSES * times.expected_seconds)
                 / (answered + ZONE_PRIOR_RESPONSES);
-            self.zone_factors[zone] = (times.expected / zone_expected.max(MIN_SECONDS))
-                .powf(times.gain)
-                .clamp(MIN_SUSTAINABLE_RATIO, 1.0 / MIN_SUSTAINABLE_RATIO);
+            self.zone_factors[zone] = (times.expected_seconds
+                / zone_expected_seconds.max(MIN_SECONDS))
+            .powf(times.gain)
+            .clamp(MIN_SUSTAINABLE_RATIO, 1.0 / MIN_SUSTAINABLE_RATIO);
             weights += answered;
             weighted_factors += answered * self.zone_factors[zone];
             for class in 0..self.admitted.len() {
                 let index = class * self.zones + zone;
                 // The ratio of the mean that the current queues will lead to, to the measured one.
                 let mean = self.latency_factors[index];
-                let expected_mean = mean + zone_expected - times.measured;
+                let expected_mean = mean + zone_expected_seconds - times.measured_seconds;
                 self.latency_factors[index] = (expected_mean / mean.max(1e-3)).clamp(0.5, 4.0);
             }
         }
--- a/crates/admission/tests/latency_histograms.rs
+++ b/crates/admission/tests/latency_histograms.rs
@@ -63,7 +63,8 @@
         let dd_error = max_error(&times, |q| dd.quantile(q).expect("within").expect("some"));
         let digest_error = max_error(&times, |q| digest.estimate_quantile(q));
         let hdr_error = max_error(&times, |q| hdr.value_at_quantile(q) as f64 / 10_000.0);
-        // DDSketch: two bytes for each bin from the lowest to the highest used one. t-digest: four bytes each for a centroid's mean and weight.
+        // DDSketch takes two bytes for each bin from the lowest to the highest used one, t-digest four bytes each for a centroid's mean
+        // and weight.
         let bins = (times[count - 1] / times[0]).ln() / (1.02_f64 / 0.98).ln();
         let (own_bytes, dd_bytes) = (encoded_length(&own), 4.0 + 2.0 * bins);
         println!(
--- a/crates/attempt-guard/src/precondition.rs
+++ b/crates/attempt-guard/src/precondition.rs
@@ -55,7 +55,8 @@
     EndpointDraining,
     /// The endpoint was restarted, runs another build, or is no longer listed at the address.
     EndpointReplaced,
-    /// The exposure limit of the build was lowered. The limit applies to all attempts that reach endpoints after that, whenever they were decided on.
+    /// The exposure limit of the build was lowered. The limit applies to all attempts that reach endpoints after that, whenever
+    /// they were decided on.
     ExposureLimitLowered,
     /// The exposure limit admits no further attempt now, as several delayed connections opened at the same time.
     ExposureLimitReached,
