--- a/crates/gateway/src/config/lease.rs
+++ b/crates/gateway/src/config/lease.rs
@@ -313,10 +313,10 @@
                 peers: fleet.peer_count,
             });
         }
-        if parameters.own.0 != fleet.ordinal {
+        if parameters.local_peer.0 != fleet.ordinal {
             return Err(LeaseConfigError::OrdinalMismatch {
                 own: fleet.name.to_string(),
-                position: parameters.own.0,
+                position: parameters.local_peer.0,
                 ordinal: fleet.ordinal,
             });
         }
--- a/crates/gateway/src/dispatch/leases.rs
+++ b/crates/gateway/src/dispatch/leases.rs
@@ -34,7 +34,7 @@
             let controller = Controller {
                 settings: controller,
                 name: &config.name,
-                local_peer: parameters.own,
+                local_peer: parameters.local_peer,
                 gateway_count: parameters.name_hashes.len(),
             };
             let commands = RolloutCommands::new(now, &controller, times);
--- a/crates/gateway/src/lease/participant.rs
+++ b/crates/gateway/src/lease/participant.rs
@@ -103,7 +103,7 @@
             seed,
         } = participation;
         let faults = settings.injected_faults.as_ref();
-        let local_peer = parameters.own;
+        let local_peer = parameters.local_peer;
         let leases = parameters.leases.clone();
         let is_elector = parameters.electorate.electors.contains(&local_peer);
         // Unix time in milliseconds, because timestamps begin with Unix time.
@@ -124,7 +124,7 @@
                 now,
                 Event::CandidacyChanged {
                     lease,
-                    wanted: true,
+                    is_candidate: true,
                 },
             ));
         }
@@ -248,7 +248,7 @@
             for lease in leases {
                 let event = Event::CandidacyChanged {
                     lease,
-                    wanted: is_elector,
+                    is_candidate: is_elector,
                 };
                 actions.extend(self.handle(now, event));
             }
--- a/crates/lease/src/candidate.rs
+++ b/crates/lease/src/candidate.rs
@@ -70,7 +70,7 @@
         successors
             .iter()
             .copied()
-            .filter(|peer| *peer != self.parameters.own)
+            .filter(|peer| *peer != self.parameters.local_peer)
             .min_by_key(|peer| {
                 (
                     !self.quorum.is_elector(*peer),
@@ -80,16 +80,16 @@
     }
 
     /// Makes this gateway a candidate for a lease, or gives the lease up.
-    pub(crate) fn set_candidacy(&mut self, now: Timestamp, lease: LeaseName, wanted: bool) {
-        let is_wanted = wanted && !self.is_shutting_down;
+    pub(crate) fn set_candidacy(&mut self, now: Timestamp, lease: LeaseName, is_candidate: bool) {
+        let is_candidate = is_candidate && !self.is_shutting_down;
         let Some(state) = self.states.get_mut(&lease) else {
             return;
         };
-        if state.is_wanted == is_wanted {
+        if state.is_candidate == is_candidate {
             return;
         }
-        state.is_wanted = is_wanted;
-        if is_wanted {
+        state.is_candidate = is_candidate;
+        if is_candidate {
             self.begin_candidacy(now, lease);
         } else {
             self.end_candidacy(now, lease);
@@ -98,8 +98,8 @@
 
     /// Sets the first try: electors soon, others at random, so that a whole fleet does not ask at once after a start.
     fn begin_candidacy(&mut self, now: Timestamp, lease: LeaseName) {
-        let earliest = self.elector.silent_until().max(now);
-        let is_elector = self.quorum.is_elector(self.parameters.own);
+        let earliest = self.elector.no_grants_until().max(now);
+        let is_elector = self.quorum.is_elector(self.parameters.local_peer);
         let candidates_before = self.states.get(&lease).map_or(0, |s| s.candidates_before);
         let delay = if is_elector || candidates_before < NEXT_CANDIDATES {
             self.draw_spacing(lease)
@@ -154,7 +154,7 @@
         self.known_leases.end(now, lease, epoch);
         let spacing = self.parameters.heartbeat_interval * CANDIDATE_SPACING;
         let soon = now + spacing + self.draw_spacing(lease);
-        if let Some(state) = self.states.get_mut(&lease).filter(|s| s.is_wanted) {
+        if let Some(state) = self.states.get_mut(&lease).filter(|s| s.is_candidate) {
             if let Phase::Waiting { next_try } = &mut state.phase {
                 *next_try = soon.min(*next_try);
             }
@@ -162,24 +162,32 @@
     }
 
     /// The holder has transferred the lease to this gateway.
-    pub(crate) fn handle_transfer(&mut self, now: Timestamp, lease: LeaseName, after: Epoch) {
-        let Some(state) = self.states.get(&lease).filter(|s| s.is_wanted) else {
+    pub(crate) fn handle_transfer(
+        &mut self,
+        now: Timestamp,
+        lease: LeaseName,
+        transferred_epoch: Epoch,
+    ) {
+        let Some(state) = self.states.get(&lease).filter(|s| s.is_candidate) else {
             return;
         };
         let can_prepare = match state.phase {
             Phase::Waiting { .. } | Phase::Probing { .. } => true,
             // It had asked before the transfer, or the message has come twice.
-            Phase::Preparing { after: known, .. } => known != Some(after),
+            Phase::Preparing {
+                transferred_epoch: known,
+                ..
+            } => known != Some(transferred_epoch),
             Phase::Acquiring { .. } | Phase::Held(_) => false,
         };
         // An old copy: an epoch that others have left behind transfers nothing.
         let is_outdated = self
             .known_leases
             .holder(lease)
-            .is_some_and(|known| known.epoch > after);
+            .is_some_and(|known| known.epoch > transferred_epoch);
         if can_prepare && !is_outdated {
-            self.elector.learn_epoch(lease, after);
-            self.prepare(now, lease, Some(after));
+            self.elector.learn_epoch(lease, transferred_epoch);
+            self.prepare(now, lease, Some(transferred_epoch));
         }
     }
 
@@ -198,7 +206,12 @@
     }
 
     /// Asks all electors for a promise.
-    pub(crate) fn prepare(&mut self, now: Timestamp, lease: LeaseName, after: Option<Epoch>) {
+    pub(crate) fn prepare(
+        &mut self,
+        now: Timestamp,
+        lease: LeaseName,
+        transferred_epoch: Option<Epoch>,
+    ) {
         let epoch = self.next_epoch(lease);
         let deadline = self.reply_deadline(now);
         let Some(state) = self.states.get_mut(&lease) else {
@@ -207,7 +220,7 @@
         state.remaining = TimeDelta::ZERO;
         state.phase = Phase::Preparing {
             epoch,
-            after,
+            transferred_epoch,
             deadline,
             promises: BTreeSet::new(),
             rejections: BTreeSet::new(),
@@ -215,7 +228,7 @@
         self.send_to_electors(&MessageBody::Prepare {
             lease,
             epoch,
-            after,
+            transferred_epoch,
         });
     }
 
@@ -227,7 +240,7 @@
         };
         let remaining = state.remaining;
         match &state.phase {
-            Phase::Waiting { next_try } if state.is_wanted && *next_try <= now => {
+            Phase::Waiting { next_try } if state.is_candidate && *next_try <= now => {
                 self.probe(now, lease);
             }
             Phase::Probing { deadline, .. } if *deadline <= now => {
@@ -289,7 +302,7 @@
 
     /// Looks whether the lease is free: an elector at its own grant, which costs nothing, others at one elector.
     fn probe(&mut self, now: Timestamp, lease: LeaseName) {
-        if self.quorum.is_elector(self.parameters.own) {
+        if self.quorum.is_elector(self.parameters.local_peer) {
             self.probe_own_grant(now, lease);
         } else {
             self.probe_elector(now, lease);
@@ -297,12 +310,12 @@
     }
 
     fn probe_own_grant(&mut self, now: Timestamp, lease: LeaseName) {
-        let own = self.parameters.own;
+        let local_peer = self.parameters.local_peer;
         let grant = self.elector.grant_in_force(now, lease);
-        let silent_until = self.elector.silent_until();
-        match grant.filter(|grant| grant.holder != own) {
+        let no_grants_until = self.elector.no_grants_until();
+        match grant.filter(|grant| grant.holder != local_peer) {
             Some(grant) => self.wait(now, lease, grant.expires_at - now),
-            None if now < silent_until => self.wait(now, lease, silent_until - now),
+            None if now < no_grants_until => self.wait(now, lease, no_grants_until - now),
             None => self.prepare(now, lease, None),
         }
     }
@@ -334,7 +347,7 @@
             MessageBody::Prepare {
                 lease,
                 epoch,
-                after: None,
+                transferred_epoch: None,
             },
         );
     }
--- a/crates/lease/src/configuration.rs
+++ b/crates/lease/src/configuration.rs
@@ -50,7 +50,7 @@
 #[derive(Clone, Debug)]
 pub struct LeaseParameters {
     /// This gateway.
-    pub own: PeerId,
+    pub local_peer: PeerId,
     /// By peer: the number by which messages name it. It stays when the list of names grows, where positions shift.
     pub name_hashes: Vec<u32>,
     /// The gateways that grant leases.
@@ -60,7 +60,7 @@
     /// How often a holder renews.
     pub heartbeat_interval: TimeDelta,
     /// For how long an elector grants nothing after its start.
-    pub startup_silence: TimeDelta,
+    pub startup_wait: TimeDelta,
     /// The largest error of a clock's rate.
     pub clock_drift_ratio: f64,
     /// The leases, in the configured order.
@@ -85,22 +85,22 @@
     /// The first setting that does not fit.
     pub fn parameters(&self) -> Result<LeaseParameters, ConfigurationError> {
         self.check_names()?;
-        let own = self.peer(&self.own_name);
-        let own = own.ok_or_else(|| ConfigurationError::UnknownOwnName {
+        let local_peer = self.peer(&self.own_name);
+        let local_peer = local_peer.ok_or_else(|| ConfigurationError::UnknownOwnName {
             name: self.own_name.clone(),
         })?;
         let electorate = self.electorate()?;
         self.check_durations()?;
         let longest = self.longest_lease_duration.unwrap_or(self.lease_duration);
         // A grant expires by the elector's clock; the silence is by the next process' clock on the same machine.
-        let startup_silence = longest * (1.0 + self.clock_drift_ratio);
+        let startup_wait = longest * (1.0 + self.clock_drift_ratio);
         Ok(LeaseParameters {
-            own,
+            local_peer,
             name_hashes: self.peer_names.iter().map(|name| name_hash(name)).collect(),
             electorate,
             lease_duration: self.lease_duration,
             heartbeat_interval: self.heartbeat_interval,
-            startup_silence,
+            startup_wait,
             clock_drift_ratio: self.clock_drift_ratio,
             leases: self.leases()?,
         })
--- a/crates/lease/src/elector.rs
+++ b/crates/lease/src/elector.rs
@@ -40,7 +40,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ElectorReply {
     /// None: the elector has started lately, or does not know the lease.
-    Silent,
+    NoReply,
     /// Promised or granted.
     Accepted,
     /// Not now.
@@ -109,7 +109,7 @@
 pub struct Elector {
     /// A grant given before this start and forgotten with it could make a second holder. The cost: after a start of all electors at
     /// once nothing is held for one lease.
-    silent_until: Timestamp,
+    no_grants_until: Timestamp,
     /// No epoch is older than this start, so that electors which have all forgotten an epoch don't begin it anew.
     epoch_floor: Epoch,
     longest_lease: TimeDelta,
@@ -120,7 +120,7 @@
     /// `epoch_floor` is Unix time in milliseconds at the end of the silence; `longest_lease` is the longest that may be granted.
     pub fn new(
         leases: &[LeaseName],
-        silent_until: Timestamp,
+        no_grants_until: Timestamp,
         epoch_floor: Epoch,
         longest_lease: TimeDelta,
     ) -> Elector {
@@ -129,15 +129,15 @@
             .map(|lease| (*lease, LeaseVote::default()))
             .collect();
         Elector {
-            silent_until,
+            no_grants_until,
             epoch_floor,
             longest_lease,
             votes,
         }
     }
 
-    pub(crate) fn silent_until(&self) -> Timestamp {
-        self.silent_until
+    pub(crate) fn no_grants_until(&self) -> Timestamp {
+        self.no_grants_until
     }
 
     pub(crate) fn newest_epoch(&self, lease: LeaseName) -> Epoch {
@@ -164,13 +164,13 @@
     }
 
     fn active_vote(&mut self, now: Timestamp, lease: LeaseName) -> Option<&mut LeaseVote> {
-        if now < self.silent_until {
+        if now < self.no_grants_until {
             return None;
         }
         self.votes.get_mut(&lease)
     }
 
-    /// Promises an epoch to a requester, unless another gateway holds the lease or a newer epoch is promised. `after` is the epoch of
+    /// Promises an epoch to a requester, unless another gateway holds the lease or a newer epoch is promised. `transferred_epoch` is the epoch of
     /// a holder that has transferred the lease to the requester.
     pub fn prepare(
         &mut self,
@@ -178,14 +178,16 @@
         lease: LeaseName,
         requester: Requester,
         epoch: Epoch,
-        after: Option<Epoch>,
+        transferred_epoch: Option<Epoch>,
     ) -> ElectorReply {
         let epoch_floor = self.epoch_floor;
         let Some(vote) = self.active_vote(now, lease) else {
-            return ElectorReply::Silent;
+            return ElectorReply::NoReply;
         };
         let granted_epoch = vote.grant.map(|grant| grant.epoch);
-        if let Some(transferred) = after.filter(|after| granted_epoch == Some(*after)) {
+        if let Some(transferred) =
+            transferred_epoch.filter(|transferred_epoch| granted_epoch == Some(*transferred_epoch))
+        {
             vote.release(transferred);
         }
         if let Some(rejection) = vote.rejection_by_grant(now, requester) {
@@ -216,7 +218,7 @@
     ) -> ElectorReply {
         let longest_lease = self.longest_lease;
         let Some(vote) = self.active_vote(now, lease) else {
-            return ElectorReply::Silent;
+            return ElectorReply::NoReply;
         };
         let AcquireRequest {
             requester,
--- a/crates/lease/src/event.rs
+++ b/crates/lease/src/event.rs
@@ -21,7 +21,7 @@
         /// The lease.
         lease: LeaseName,
         /// Whether this gateway wants it.
-        wanted: bool,
+        is_candidate: bool,
     },
     /// Whoever was acted on has refused the act's epoch as older than `newest`.
     EpochRejected {
--- a/crates/lease/src/known_leases.rs
+++ b/crates/lease/src/known_leases.rs
@@ -97,13 +97,13 @@
     }
 
     fn refresh_held_leases(&mut self) {
-        let own = self.parameters.own;
+        let local_peer = self.parameters.local_peer;
         for (lease, state) in &self.states {
             if let (Some(held), Some(known)) =
                 (state.held(), self.known_leases.holders.get_mut(lease))
             {
                 *known = KnownHolder {
-                    holder: own,
+                    holder: local_peer,
                     epoch: held.epoch,
                     expires_at: held.expires_at,
                 };
@@ -114,11 +114,11 @@
     /// Another gateway at random; between electors every other time an elector while the electorate is not in force, since its members
     /// have to hear of each other.
     fn draw_gossip_target(&mut self) -> Option<PeerId> {
-        let own = self.parameters.own;
-        let awaits_electors = self.quorum.is_elector(own) && !self.quorum.is_in_force();
+        let local_peer = self.parameters.local_peer;
+        let awaits_electors = self.quorum.is_elector(local_peer) && !self.quorum.is_in_force();
         if awaits_electors && self.rng.generate::<bool>() {
             let mut others = self.quorum.electors();
-            others.retain(|elector| *elector != own);
+            others.retain(|elector| *elector != local_peer);
             let drawn = self.rng.generate_range(0..others.len().max(1));
             return others.get(drawn).copied();
         }
@@ -127,6 +127,10 @@
             return None;
         }
         let drawn = self.rng.generate_range(0..others);
-        Some(PeerId(if drawn >= own.0 { drawn + 1 } else { drawn }))
+        Some(PeerId(if drawn >= local_peer.0 {
+            drawn + 1
+        } else {
+            drawn
+        }))
     }
 }
--- a/crates/lease/src/lease_state.rs
+++ b/crates/lease/src/lease_state.rs
@@ -44,7 +44,7 @@
     /// Has asked all electors for a promise.
     Preparing {
         epoch: Epoch,
-        after: Option<Epoch>,
+        transferred_epoch: Option<Epoch>,
         deadline: Timestamp,
         promises: BTreeSet<PeerId>,
         rejections: BTreeSet<PeerId>,
@@ -81,7 +81,7 @@
 /// This gateway's state with one lease.
 #[derive(Clone, Debug)]
 pub(crate) struct LeaseState {
-    pub(crate) is_wanted: bool,
+    pub(crate) is_candidate: bool,
     pub(crate) phase: Phase,
     /// How many candidates are in line before this one, by an elector's latest message.
     pub(crate) candidates_before: usize,
@@ -101,7 +101,7 @@
 impl LeaseState {
     pub(crate) fn new(next_try: Timestamp, candidates_before: usize) -> LeaseState {
         LeaseState {
-            is_wanted: false,
+            is_candidate: false,
             phase: Phase::Waiting { next_try },
             candidates_before,
             failures: 0,
@@ -124,7 +124,7 @@
     /// When there is something to do.
     pub(crate) fn next_deadline(&self) -> Option<Timestamp> {
         let phase = match &self.phase {
-            Phase::Waiting { next_try } => self.is_wanted.then_some(*next_try),
+            Phase::Waiting { next_try } => self.is_candidate.then_some(*next_try),
             Phase::Probing { deadline, .. }
             | Phase::Preparing { deadline, .. }
             | Phase::Acquiring { deadline, .. } => Some(*deadline),
--- a/crates/lease/src/manager.rs
+++ b/crates/lease/src/manager.rs
@@ -54,7 +54,7 @@
         now: Timestamp,
     ) -> LeaseManager {
         let peer_count = parameters.name_hashes.len();
-        let silence = parameters.startup_silence;
+        let silence = parameters.startup_wait;
         // A grant lasts no longer than the silence that would follow a start, by the same clock.
         let longest_lease = silence / (1.0 + parameters.clock_drift_ratio);
         let epoch_floor = Epoch(incarnation.saturating_add((silence.0 / 1000).max(0) as u64));
@@ -81,7 +81,7 @@
         LeaseManager {
             incarnation,
             rng,
-            quorum: Quorum::new(electorate, peer_count, parameters.own, silence),
+            quorum: Quorum::new(electorate, peer_count, parameters.local_peer, silence),
             electorate_digest: digest,
             elector,
             states,
@@ -115,7 +115,10 @@
         match event {
             Event::MessageReceived { from, message } => self.receive(now, from, message),
             Event::TimerFired => {}
-            Event::CandidacyChanged { lease, wanted } => self.set_candidacy(now, lease, wanted),
+            Event::CandidacyChanged {
+                lease,
+                is_candidate,
+            } => self.set_candidacy(now, lease, is_candidate),
             Event::EpochRejected { lease, newest } => self.handle_newer_epoch(now, lease, newest),
             Event::ShutdownStarted => {
                 self.is_shutting_down = true;
@@ -159,7 +162,7 @@
         let held = self.states.get(&lease).and_then(LeaseState::held);
         match held.filter(|held| now < held.expires_at) {
             Some(held) => Some(KnownHolder {
-                holder: self.parameters.own,
+                holder: self.parameters.local_peer,
                 epoch: held.epoch,
                 expires_at: held.expires_at,
             }),
@@ -197,12 +200,12 @@
 
     fn handle_own_messages(&mut self, now: Timestamp) {
         while let Some(body) = self.own_messages.pop_front() {
-            self.handle_body(now, self.parameters.own, self.incarnation, body);
+            self.handle_body(now, self.parameters.local_peer, self.incarnation, body);
         }
     }
 
     pub(crate) fn send(&mut self, to: PeerId, body: MessageBody) {
-        if to == self.parameters.own {
+        if to == self.parameters.local_peer {
             self.own_messages.push_back(body);
             return;
         }
--- a/crates/lease/src/message.rs
+++ b/crates/lease/src/message.rs
@@ -64,7 +64,7 @@
         /// The proposed epoch.
         epoch: Epoch,
         /// The epoch of a holder that has transferred the lease to the sender.
-        after: Option<Epoch>,
+        transferred_epoch: Option<Epoch>,
     },
     /// The elector would, and grants no older epoch from now on.
     Promised {
@@ -135,8 +135,12 @@
     /// The highest epoch that the message names; 0 if it names none.
     pub(crate) fn highest_epoch(&self) -> Epoch {
         match self {
-            MessageBody::Prepare { epoch, after, .. } => {
-                after.map_or(*epoch, |after| after.max(*epoch))
+            MessageBody::Prepare {
+                epoch,
+                transferred_epoch,
+                ..
+            } => {
+                transferred_epoch.map_or(*epoch, |transferred_epoch| transferred_epoch.max(*epoch))
             }
             MessageBody::Acquire { epoch, .. }
             | MessageBody::Release { epoch, .. }
--- a/crates/lease/src/message_handling.rs
+++ b/crates/lease/src/message_handling.rs
@@ -60,7 +60,7 @@
     fn record_incarnation(&mut self, from: PeerId, incarnation: u64, latest: u64) -> bool {
         match self.peer_incarnations.get_mut(from.0) {
             Some(newest)
-                if from != self.parameters.own
+                if from != self.parameters.local_peer
                     && incarnation >= *newest
                     && incarnation <= latest =>
             {
@@ -99,8 +99,8 @@
             MessageBody::Prepare {
                 lease,
                 epoch,
-                after,
-            } => self.handle_prepare(now, lease, requester, epoch, after),
+                transferred_epoch,
+            } => self.handle_prepare(now, lease, requester, epoch, transferred_epoch),
             MessageBody::Acquire {
                 lease,
                 epoch,
@@ -144,14 +144,17 @@
         lease: LeaseName,
         requester: Requester,
         epoch: Epoch,
-        after: Option<Epoch>,
+        transferred_epoch: Option<Epoch>,
     ) {
         let proposal = ProposalId {
             epoch,
             requester_tag: requester_tag(requester.incarnation),
         };
-        match self.elector.prepare(now, lease, requester, epoch, after) {
-            ElectorReply::Silent => {}
+        match self
+            .elector
+            .prepare(now, lease, requester, epoch, transferred_epoch)
+        {
+            ElectorReply::NoReply => {}
             ElectorReply::Accepted => {
                 self.send(requester.peer, MessageBody::Promised { lease, proposal });
             }
@@ -174,10 +177,11 @@
             requester_tag: requester_tag(requester.incarnation),
         };
         match self.elector.acquire(now, lease, request) {
-            ElectorReply::Silent => {}
+            ElectorReply::NoReply => {}
             ElectorReply::Accepted => {
                 // Reported every other time: it changes seldom.
-                let reports_candidate = requester.peer == self.parameters.own || round % 2 == 1;
+                let reports_candidate =
+                    requester.peer == self.parameters.local_peer || round % 2 == 1;
                 let next_candidate_hash = reports_candidate
                     .then(|| self.next_candidate_hash(now, lease, requester.peer))
                     .flatten();
@@ -230,13 +234,13 @@
 
     /// The next candidate by this elector: itself if it waits, or whom it has heard to wait.
     fn next_candidate_hash(&self, now: Timestamp, lease: LeaseName, except: PeerId) -> Option<u32> {
-        let own = self.parameters.own;
+        let local_peer = self.parameters.local_peer;
         let waits = self
             .states
             .get(&lease)
-            .is_some_and(|s| s.is_wanted && matches!(s.phase, Phase::Waiting { .. }));
-        let next = if waits && own != except {
-            own
+            .is_some_and(|s| s.is_candidate && matches!(s.phase, Phase::Waiting { .. }));
+        let next = if waits && local_peer != except {
+            local_peer
         } else {
             let timeout = self.candidate_timeouts().next;
             self.elector.first_candidate(now, lease, except, timeout)?
--- a/crates/lease/src/quorum.rs
+++ b/crates/lease/src/quorum.rs
@@ -19,7 +19,7 @@
     heard_numbers: Vec<u32>,
     /// For how long agreement has to last: until each grant given under the electorate before the last has expired.
     agreement_duration: TimeDelta,
-    own: PeerId,
+    local_peer: PeerId,
 }
 
 /// What an electorate is besides its number, in 8 bits; by name, in any order, so that it stays when the list of names grows.
@@ -40,7 +40,7 @@
     pub(crate) fn new(
         electorate: Electorate,
         peer_count: usize,
-        own: PeerId,
+        local_peer: PeerId,
         agreement_duration: TimeDelta,
     ) -> Quorum {
         Quorum {
@@ -50,7 +50,7 @@
             agreed_since: None,
             heard_numbers: vec![0; peer_count],
             agreement_duration,
-            own,
+            local_peer,
         }
     }
 
@@ -163,6 +163,7 @@
 
     fn has_current(&self, elector: PeerId) -> bool {
         let heard = self.heard_numbers.get(elector.0);
-        elector == self.own || heard.is_some_and(|number| *number >= self.current.number.max(1))
+        elector == self.local_peer
+            || heard.is_some_and(|number| *number >= self.current.number.max(1))
     }
 }
--- a/crates/lease/src/replies.rs
+++ b/crates/lease/src/replies.rs
@@ -98,7 +98,7 @@
     fn record_successor(&mut self, reply: &Reply, number: u16, candidate_hash: Option<u32>) {
         let candidate = candidate_hash
             .and_then(|hash| self.parameters.peer_by_name_hash(hash))
-            .filter(|peer| *peer != self.parameters.own);
+            .filter(|peer| *peer != self.parameters.local_peer);
         let Some(state) = self.states.get_mut(&reply.lease) else {
             return;
         };
@@ -170,7 +170,7 @@
 
     fn record_own_lease(&mut self, reply: &Reply, expires_at: Timestamp) {
         let known = KnownHolder {
-            holder: self.parameters.own,
+            holder: self.parameters.local_peer,
             epoch: reply.epoch,
             expires_at,
         };
--- a/crates/lease/src/retry_delay.rs
+++ b/crates/lease/src/retry_delay.rs
@@ -40,10 +40,10 @@
 
     /// By how much this candidate's try is later than that of the first in line.
     pub(crate) fn draw_spacing(&mut self, lease: LeaseName) -> TimeDelta {
-        let own = self.parameters.own;
+        let local_peer = self.parameters.local_peer;
         let electors = self.quorum.electors();
-        let own_rank = self.candidate_rank(lease, own);
-        let before = if self.quorum.is_elector(own) {
+        let own_rank = self.candidate_rank(lease, local_peer);
+        let before = if self.quorum.is_elector(local_peer) {
             electors
                 .iter()
                 .filter(|elector| self.candidate_rank(lease, **elector) < own_rank)
@@ -74,7 +74,7 @@
         let spacing = self.draw_spacing(lease);
         let distant_delay = self.draw_distant_delay();
         let draw = self.rng.generate::<f64>();
-        let is_elector = self.quorum.is_elector(self.parameters.own);
+        let is_elector = self.quorum.is_elector(self.parameters.local_peer);
         let lease_duration = self.parameters.lease_duration;
         let unit = self.parameters.heartbeat_interval * CANDIDATE_SPACING;
         let Some(state) = self.states.get_mut(&lease) else {
