--- a/crates/lease/src/candidate.rs
+++ b/crates/lease/src/candidate.rs
@@ -1,4 +1,4 @@
-//! How a candidate comes by a lease, keeps it, and gives it up.
+//! How a candidate acquires, renews and releases a lease.
 
 use std::collections::BTreeSet;
 
@@ -11,11 +11,11 @@
 use crate::retry_delay::CANDIDATE_SPACING;
 use crate::{Action, Epoch, LeaseManager, LeaseName, LossReason, MessageBody};
 
-/// Heartbeats for which replies are waited for.
+/// How many heartbeat intervals to wait for replies.
 const REPLY_TIMEOUT_HEARTBEATS: f64 = 0.5;
-/// One probe in so many goes to the first elector again, after it did not reply.
+/// After timeouts moved the probes to another elector, one probe in this many, drawn at random, returns to the first.
 const FIRST_ELECTOR_INTERVAL: u32 = 8;
-/// Heartbeats after which a release is sent once more.
+/// How many heartbeat intervals after the first release message the second one is sent.
 const REPEATED_RELEASE_HEARTBEATS: f64 = 1.0 / 8.0;
 
 impl LeaseManager {
@@ -23,7 +23,7 @@
         now + self.parameters.heartbeat_interval * REPLY_TIMEOUT_HEARTBEATS
     }
 
-    /// Ends what has expired by this gateway's own clock.
+    /// Gives up held leases that have expired by this gateway's clock.
     pub(crate) fn expire_leases(&mut self, now: Timestamp) {
         for lease in self.parameters.leases.clone() {
             let held = self.states.get(&lease).and_then(LeaseState::held);
@@ -45,16 +45,16 @@
             LossReason::Expired | LossReason::Superseded => None,
         };
         self.send_release(lease, epoch, successor);
-        let at = now + self.parameters.heartbeat_interval * REPEATED_RELEASE_HEARTBEATS;
+        let send_at = now + self.parameters.heartbeat_interval * REPEATED_RELEASE_HEARTBEATS;
         self.wait(now, lease, TimeDelta::ZERO);
         if let Some(state) = self.states.get_mut(&lease) {
             state.repeated_release = Some(RepeatedRelease {
-                at,
+                send_at,
                 epoch,
                 successor,
             });
         }
-        self.known_leases.end(now, lease, epoch);
+        self.known_leases.mark_expired(now, lease, epoch);
     }
 
     fn send_release(&mut self, lease: LeaseName, epoch: Epoch, successor: Option<PeerId>) {
@@ -64,7 +64,7 @@
         }
     }
 
-    /// The next holder: an elector that waits, or the first of those that electors know to wait.
+    /// Picks the gateway to transfer the lease to among the reported candidates: an elector if there is one, else the lowest rank.
     fn successor(&self, lease: LeaseName) -> Option<PeerId> {
         let successors = &self.states.get(&lease)?.successors;
         successors
@@ -79,7 +79,7 @@
             })
     }
 
-    /// Makes this gateway a candidate for a lease, or gives the lease up.
+    /// Makes this gateway a candidate for a lease, or ends its candidacy and transfers the lease if held.
     pub(crate) fn set_candidacy(&mut self, now: Timestamp, lease: LeaseName, is_candidate: bool) {
         let is_candidate = is_candidate && !self.is_shutting_down;
         let Some(state) = self.states.get_mut(&lease) else {
@@ -90,14 +90,15 @@
         }
         state.is_candidate = is_candidate;
         if is_candidate {
-            self.begin_candidacy(now, lease);
+            self.start_candidacy(now, lease);
         } else {
             self.end_candidacy(now, lease);
         }
     }
 
-    /// Sets the first try: electors soon, others at random, so that a whole fleet does not ask at once after a start.
-    fn begin_candidacy(&mut self, now: Timestamp, lease: LeaseName) {
+    /// Schedules the first try: soon for electors and the next candidates, at random for others. So a whole fleet doesn't send requests
+    /// at once after a start.
+    fn start_candidacy(&mut self, now: Timestamp, lease: LeaseName) {
         let earliest = self.elector.no_grants_until().max(now);
         let is_elector = self.quorum.is_elector(self.parameters.local_peer);
         let candidates_before = self.states.get(&lease).map_or(0, |s| s.candidates_before);
@@ -128,7 +129,7 @@
         }
     }
 
-    /// Releases the grants that have come, and tries again later.
+    /// Releases the grants received so far, and schedules another try.
     pub(crate) fn abandon_acquisition(
         &mut self,
         now: Timestamp,
@@ -140,7 +141,7 @@
         self.wait(now, lease, remaining);
     }
 
-    /// Whoever was acted on knows a newer epoch.
+    /// Handles a newer epoch, reported by the receiver of an operation. A lease held in an older epoch is lost.
     pub(crate) fn handle_newer_epoch(&mut self, now: Timestamp, lease: LeaseName, newest: Epoch) {
         self.elector.learn_epoch(lease, newest);
         let held = self.states.get(&lease).and_then(LeaseState::held);
@@ -149,19 +150,20 @@
         }
     }
 
-    /// A holder has released this elector's grant: a candidate here tries soon, should the successor not.
+    /// Handles the release of this elector's own grant. If this gateway is a waiting candidate, it tries soon, in case the successor
+    /// doesn't.
     pub(crate) fn handle_release(&mut self, now: Timestamp, lease: LeaseName, epoch: Epoch) {
-        self.known_leases.end(now, lease, epoch);
+        self.known_leases.mark_expired(now, lease, epoch);
         let spacing = self.parameters.heartbeat_interval * CANDIDATE_SPACING;
-        let soon = now + spacing + self.draw_spacing(lease);
+        let latest_try = now + spacing + self.draw_spacing(lease);
         if let Some(state) = self.states.get_mut(&lease).filter(|s| s.is_candidate) {
             if let Phase::Waiting { next_try } = &mut state.phase {
-                *next_try = soon.min(*next_try);
+                *next_try = latest_try.min(*next_try);
             }
         }
     }
 
-    /// The holder has transferred the lease to this gateway.
+    /// Handles a transfer of the lease to this gateway by its holder.
     pub(crate) fn handle_transfer(
         &mut self,
         now: Timestamp,
@@ -173,14 +175,14 @@
         };
         let can_prepare = match state.phase {
             Phase::Waiting { .. } | Phase::Probing { .. } => true,
-            // It had asked before the transfer, or the message has come twice.
+            // A proposal from before the transfer is replaced; a duplicate of the transfer is ignored.
             Phase::Preparing {
                 transferred_epoch: known,
                 ..
             } => known != Some(transferred_epoch),
             Phase::Acquiring { .. } | Phase::Held(_) => false,
         };
-        // An old copy: an epoch that others have left behind transfers nothing.
+        // A late duplicate: a newer holder is known, so this epoch can no longer be transferred.
         let is_outdated = self
             .known_leases
             .holder(lease)
@@ -191,8 +193,8 @@
         }
     }
 
-    /// An epoch above all that this gateway knows of, and above its own start. No process uses one twice, so that no try counts grants of
-    /// an earlier one.
+    /// Returns an epoch higher than all that this gateway knows of and higher than its incarnation. No process uses an epoch twice, so
+    /// replies to an earlier try can't count for a later one.
     fn next_epoch(&mut self, lease: LeaseName) -> Epoch {
         let newest = self
             .elector
@@ -205,7 +207,7 @@
         state.epoch_floor
     }
 
-    /// Asks all electors for a promise.
+    /// Requests a promise from all electors.
     pub(crate) fn prepare(
         &mut self,
         now: Timestamp,
@@ -232,7 +234,7 @@
         });
     }
 
-    /// Does what the time has come for with a lease.
+    /// Performs the actions of a lease whose time has come.
     pub(crate) fn handle_deadlines(&mut self, now: Timestamp, lease: LeaseName) {
         self.repeat_release(now, lease);
         let Some(state) = self.states.get(&lease) else {
@@ -244,7 +246,7 @@
                 self.probe(now, lease);
             }
             Phase::Probing { deadline, .. } if *deadline <= now => {
-                self.handle_silent_elector(now, lease);
+                self.handle_probe_timeout(now, lease);
             }
             Phase::Preparing { deadline, .. } if *deadline <= now => {
                 self.wait(now, lease, remaining);
@@ -262,7 +264,8 @@
 
     fn repeat_release(&mut self, now: Timestamp, lease: LeaseName) {
         let state = self.states.get_mut(&lease);
-        let release = state.and_then(|s| s.repeated_release.take_if(|release| release.at <= now));
+        let release =
+            state.and_then(|s| s.repeated_release.take_if(|release| release.send_at <= now));
         if let Some(release) = release {
             self.send_release(lease, release.epoch, release.successor);
         }
@@ -271,12 +274,12 @@
     fn renew(&mut self, now: Timestamp, lease: LeaseName) {
         let heartbeat_interval = self.parameters.heartbeat_interval;
         let state = self.states.get_mut(&lease);
-        if let Some((epoch, round)) = state.and_then(|s| s.begin_renewal(now, heartbeat_interval)) {
+        if let Some((epoch, round)) = state.and_then(|s| s.start_renewal(now, heartbeat_interval)) {
             self.send_acquire(lease, epoch, round);
         }
     }
 
-    /// Asks all electors for a grant, or for its renewal.
+    /// Requests a grant, or its renewal, from all electors.
     pub(crate) fn send_acquire(&mut self, lease: LeaseName, epoch: Epoch, round: u16) {
         self.send_to_electors(&MessageBody::Acquire {
             lease,
@@ -286,13 +289,14 @@
         });
     }
 
-    /// The probed elector has not replied: one of the first in line asks all electors, others the next one.
-    fn handle_silent_elector(&mut self, now: Timestamp, lease: LeaseName) {
+    /// The probed elector hasn't replied in time. One of the next candidates sends proposals to all electors; the others probe another
+    /// elector later.
+    fn handle_probe_timeout(&mut self, now: Timestamp, lease: LeaseName) {
         let next_try = now + self.draw_first_delay();
         let Some(state) = self.states.get_mut(&lease) else {
             return;
         };
-        state.silent_electors = state.silent_electors.wrapping_add(1);
+        state.timed_out_probes = state.timed_out_probes.wrapping_add(1);
         if state.candidates_before < NEXT_CANDIDATES {
             self.prepare(now, lease, None);
         } else {
@@ -300,7 +304,7 @@
         }
     }
 
-    /// Looks whether the lease is free: an elector at its own grant, which costs nothing, others at one elector.
+    /// Checks whether the lease is free. An elector checks its own grant, which costs no message; others probe one elector.
     fn probe(&mut self, now: Timestamp, lease: LeaseName) {
         if self.quorum.is_elector(self.parameters.local_peer) {
             self.probe_own_grant(now, lease);
@@ -320,7 +324,8 @@
         }
     }
 
-    /// All candidates ask the same elector, so that it knows who is in line before whom; for another lease it is another one.
+    /// Probes the first elector by rank, the same for all candidates of a lease, so that this elector knows their order. Each lease ranks
+    /// the electors differently, which spreads the load.
     fn probe_elector(&mut self, now: Timestamp, lease: LeaseName) {
         let mut electors = self.quorum.electorate().electors.clone();
         electors.sort_by_key(|elector| self.candidate_rank(lease, *elector));
@@ -331,9 +336,9 @@
             return;
         };
         if returns_to_first {
-            state.silent_electors = 0;
+            state.timed_out_probes = 0;
         }
-        let position = state.silent_electors % electors.len().max(1);
+        let position = state.timed_out_probes % electors.len().max(1);
         let Some(elector) = electors.get(position).copied() else {
             return;
         };
--- a/crates/lease/src/codec.rs
+++ b/crates/lease/src/codec.rs
@@ -1,53 +1,55 @@
-//! The encoding of lease messages: a first byte that no text in UTF-8 has, the format's version, the message by postcard, and a
-//! checksum of all that.
+//! The encoding of lease messages: a first byte that never occurs in UTF-8 text, the format version, the message encoded by postcard, and
+//! a checksum of the preceding bytes.
 
 use thiserror::Error;
 
 use crate::{Message, MessageBody};
 
-/// The longest message in bytes; each goes into one datagram.
+/// The largest encoded message. Each message is sent in one datagram.
 pub const MAX_MESSAGE_BYTES: usize = 256;
-/// The first byte. Text in UTF-8 has none from 0xF5 on, so a build that expects text refuses the message plainly.
+/// The first byte of each message. Bytes from 0xF5 on never occur in UTF-8, so a build that expects text reliably refuses the message.
 pub const FIRST_BYTE: u8 = 0xF7;
-/// The format's version. It is raised when the meaning of a field changes.
+/// The format version, to be increased when the meaning of a field changes.
 pub const FORMAT_VERSION: u8 = 1;
-/// The most records in one `MessageBody::KnownLeases`.
+/// The maximum number of records in one `MessageBody::KnownLeases`.
 pub const MAX_KNOWN_LEASES: usize = 8;
 const HEADER_BYTES: usize = 2;
 const CHECKSUM_BYTES: usize = 4;
 
-/// Why bytes are no message.
+/// Why bytes could not be decoded as a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum DecodeError {
-    /// Too few or too many bytes.
-    #[error("{len} bytes are no message of a fleet: look for another program that sends here")]
+    /// The datagram is too short or too long.
+    #[error(
+        "{len} bytes cannot be a lease message: check whether another program sends to this port"
+    )]
     Length {
-        /// How many.
+        /// How many bytes were received.
         len: usize,
     },
-    /// Another kind of message.
-    #[error("the first byte is {byte:#04x}: this is a message of another kind, or of a build without leases")]
+    /// The first byte isn't that of a lease message.
+    #[error("the first byte is {byte:#04x}: the message is of another kind, or from a build without leases")]
     FirstByte {
-        /// The first byte.
+        /// The first byte received.
         byte: u8,
     },
-    /// Another version of the format.
-    #[error("form {version} is not known, {FORMAT_VERSION} is: bring the older of the two builds up to the newer")]
+    /// The message has another format version.
+    #[error("format version {version} is not supported, only {FORMAT_VERSION}: upgrade the older of the two builds")]
     Version {
-        /// The message's version.
+        /// The format version in the message.
         version: u8,
     },
-    /// The bytes were changed on their way.
+    /// The checksum doesn't match, so the message was corrupted in transit.
     #[error(
-        "the sum does not match: the message was garbled on its way; look at the path if it happens often"
+        "the checksum does not match: the message was corrupted in transit; check the network path if this happens often"
     )]
     Checksum,
-    /// The checksum matches, and yet the content is unknown.
-    #[error("the message has a good sum but no known content: a newer build has sent it under this form")]
+    /// The checksum matches, but the content can't be decoded.
+    #[error("the checksum matches but the content is unknown: the sender's build may be newer, with the same format version")]
     Content,
 }
 
-/// FNV-1a with 32 bits. Any change within one byte changes the checksum; others pass once in four billion.
+/// 32-bit FNV-1a. It detects any corruption of a single byte; other corruption goes undetected about once in four billion times.
 fn checksum(bytes: &[u8]) -> [u8; CHECKSUM_BYTES] {
     let hash = bytes.iter().fold(0x811c_9dc5_u32, |hash, byte| {
         (hash ^ u32::from(*byte)).wrapping_mul(0x0100_0193)
@@ -58,7 +60,7 @@
 /// Encodes a message.
 pub fn encode(message: &Message) -> Vec<u8> {
     let mut bytes = vec![FIRST_BYTE, FORMAT_VERSION];
-    // Serializing plain values to memory does not fail; an empty message would be refused by the receiver.
+    // Serializing plain values to memory doesn't fail. If it did, the receiver would refuse the empty message.
     bytes.extend(postcard::to_stdvec(message).unwrap_or_default());
     bytes.extend(checksum(&bytes));
     bytes
@@ -67,7 +69,7 @@
 /// Decodes a message.
 ///
 /// # Errors
-/// The bytes are no message of this version.
+/// The bytes are not a valid message of this format version.
 pub fn decode(bytes: &[u8]) -> Result<Message, DecodeError> {
     let len = bytes.len();
     let first = *bytes.first().ok_or(DecodeError::Length { len })?;
@@ -80,18 +82,18 @@
     if bytes[1] != FORMAT_VERSION {
         return Err(DecodeError::Version { version: bytes[1] });
     }
-    // A grant made of noise could be for another lease, or of another epoch.
+    // A corrupted grant could decode as one for another lease or epoch.
     let (content, received_checksum) = bytes.split_at(len - CHECKSUM_BYTES);
     if checksum(content) != received_checksum {
         return Err(DecodeError::Checksum);
     }
     match postcard::take_from_bytes::<Message>(&content[HEADER_BYTES..]) {
-        Ok((message, [])) if is_bounded(&message) => Ok(message),
+        Ok((message, [])) if has_allowed_size(&message) => Ok(message),
         _ => Err(DecodeError::Content),
     }
 }
 
-fn is_bounded(message: &Message) -> bool {
+fn has_allowed_size(message: &Message) -> bool {
     match &message.body {
         MessageBody::KnownLeases { records } => records.len() <= MAX_KNOWN_LEASES,
         _ => true,
--- a/crates/lease/src/configuration.rs
+++ b/crates/lease/src/configuration.rs
@@ -1,88 +1,89 @@
-//! The settings of a fleet's leases: who is a member, who is an elector, and how long a grant lasts. The operator gives the same to all
-//! gateways; they are checked here, once, before anything starts.
+//! The settings of a fleet's leases: the gateways, the electors and the lease duration. All gateways need the same settings. They are
+//! checked here once, before the gateway starts.
 
 use harrierdock_types::{PeerId, TimeDelta};
 
 use crate::{ConfigurationError, LeaseName};
 
-/// Of two electors none may fail.
+/// With two electors, no majority would be left after one fails.
 pub(crate) const MIN_ELECTORS: usize = 3;
-/// Each elector costs its bytes, and more than seven make a lease no safer in practice.
+/// Each elector adds traffic, and more than seven make a lease no safer in practice.
 pub(crate) const MAX_ELECTORS: usize = 7;
-/// Each lease costs the bytes of its renewals.
+/// Each lease adds the traffic of its renewals.
 pub(crate) const MAX_LEASES: usize = 64;
-/// With a larger error of a clock's rate, a lease would mostly be waiting.
+/// With a larger error of the clock rate, most of each lease would be spent waiting.
 pub(crate) const MAX_CLOCK_DRIFT_RATIO: f64 = 0.2;
 
 /// The gateways that grant leases. A changed electorate has the next number and differs by one member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Electorate {
-    /// Raised by one with each change.
+    /// Increases by one with each change.
     pub number: u32,
-    /// In ascending order, each once.
+    /// The electors in ascending order, without duplicates.
     pub electors: Vec<PeerId>,
 }
 
-/// What the operator configures, by name.
+/// The lease settings as configured, with names not yet resolved to peers.
 #[derive(Clone, Debug)]
 pub struct LeaseSettings {
-    /// This gateway's name.
+    /// This gateway's name, one of `peer_names`.
     pub own_name: String,
-    /// The names of all gateways of the fleet, this one among them. A gateway's `PeerId` is its position.
+    /// The names of all gateways of the fleet, including this one. A gateway's `PeerId` is its position in this list.
     pub peer_names: Vec<String>,
-    /// The names of the electors.
+    /// The names of the electors, three to seven of `peer_names`.
     pub electorate: Vec<String>,
-    /// Raised by one with each change of the electorate.
+    /// Increases by one with each change of the electorate.
     pub electorate_number: u32,
-    /// For how long a grant lasts.
+    /// How long a grant lasts by the elector's clock, from 100 ms to 60 s.
     pub lease_duration: TimeDelta,
-    /// How often a holder renews.
+    /// The interval between a holder's renewals: at least 10 ms, at most half of `lease_duration`.
     pub heartbeat_interval: TimeDelta,
-    /// The longest lease that gateways still running may be configured with; none where it never changed.
+    /// The longest lease duration that any running gateway is configured with; `None` if the duration never changed.
     pub longest_lease_duration: Option<TimeDelta>,
-    /// The largest error of a clock's rate: 0.02 for 2%.
+    /// The largest error of a clock's rate as a ratio from 0 to 0.2, such as 0.02 for 2%.
     pub clock_drift_ratio: f64,
-    /// The names of the leases.
+    /// The names of the leases, such as `steward`, `heir` or `speaker:3`.
     pub lease_names: Vec<String>,
 }
 
 /// Checked settings, with names resolved to peers.
 #[derive(Clone, Debug)]
 pub struct LeaseParameters {
-    /// This gateway.
+    /// This gateway's own id.
     pub local_peer: PeerId,
-    /// By peer: the number by which messages name it. It stays when the list of names grows, where positions shift.
+    /// The hash that identifies each peer in messages, indexed by `PeerId`. Unlike positions, hashes stay the same when the list of names
+    /// grows.
     pub name_hashes: Vec<u32>,
-    /// The gateways that grant leases.
+    /// The electorate at the start of the process.
     pub electorate: Electorate,
-    /// For how long a grant lasts.
+    /// How long a grant lasts by the elector's clock.
     pub lease_duration: TimeDelta,
-    /// How often a holder renews.
+    /// The interval between a holder's renewals.
     pub heartbeat_interval: TimeDelta,
-    /// For how long an elector grants nothing after its start.
+    /// How long an elector grants nothing after its start, since its earlier grants may still be valid.
     pub startup_wait: TimeDelta,
-    /// The largest error of a clock's rate.
+    /// The largest error of a clock's rate, as a ratio.
     pub clock_drift_ratio: f64,
-    /// The leases, in the configured order.
+    /// The leases in the configured order, without duplicates.
     pub leases: Vec<LeaseName>,
 }
 
-/// The number by which messages name a gateway: FNV-1a over its name, with 32 bits.
+/// The 32-bit FNV-1a hash of a gateway's name, which identifies the gateway in messages.
 pub fn name_hash(name: &str) -> u32 {
     name.bytes().fold(0x811c_9dc5, |hash, byte| {
         (hash ^ u32::from(byte)).wrapping_mul(0x0100_0193)
     })
 }
 
-fn as_ms(span: TimeDelta) -> i64 {
-    span.0 / 1000
+fn to_ms(duration: TimeDelta) -> i64 {
+    duration.0 / 1000
 }
 
 impl LeaseSettings {
     /// Checks the settings and resolves the names.
     ///
     /// # Errors
-    /// The first setting that does not fit.
+    /// The first invalid setting.
     pub fn parameters(&self) -> Result<LeaseParameters, ConfigurationError> {
         self.check_names()?;
         let local_peer = self.peer(&self.own_name);
@@ -92,7 +93,7 @@
         let electorate = self.electorate()?;
         self.check_durations()?;
         let longest = self.longest_lease_duration.unwrap_or(self.lease_duration);
-        // A grant expires by the elector's clock; the silence is by the next process' clock on the same machine.
+        // A grant expires by the elector's clock, and the next process on the same machine measures the wait by its own.
         let startup_wait = longest * (1.0 + self.clock_drift_ratio);
         Ok(LeaseParameters {
             local_peer,
@@ -106,10 +107,10 @@
         })
     }
 
-    /// The electorate with its names resolved; also for a change while running.
+    /// Checks the electorate and resolves its names, at the start and for a change while the gateway runs.
     ///
     /// # Errors
-    /// Too few or too many electors, or one that is unknown or listed twice.
+    /// There are too few or too many electors, or one is unknown or listed twice.
     pub fn electorate(&self) -> Result<Electorate, ConfigurationError> {
         let count = self.electorate.len();
         if count < MIN_ELECTORS {
@@ -142,7 +143,7 @@
             .map(PeerId)
     }
 
-    /// Names are listed once, and so are their numbers in messages.
+    /// Checks that neither names nor their hashes occur twice.
     fn check_names(&self) -> Result<(), ConfigurationError> {
         let mut names: Vec<&str> = self.peer_names.iter().map(String::as_str).collect();
         names.sort_unstable();
@@ -165,8 +166,8 @@
     }
 
     fn check_durations(&self) -> Result<(), ConfigurationError> {
-        let lease_ms = as_ms(self.lease_duration);
-        let heartbeat_ms = as_ms(self.heartbeat_interval);
+        let lease_ms = to_ms(self.lease_duration);
+        let heartbeat_ms = to_ms(self.heartbeat_interval);
         if !(100..=60_000).contains(&lease_ms) {
             return Err(ConfigurationError::LeaseOutOfRange { lease_ms });
         }
@@ -179,7 +180,7 @@
                 heartbeat_ms,
             });
         }
-        // A comparison that NaN fails as well.
+        // This comparison also refuses NaN.
         if !(0.0..=MAX_CLOCK_DRIFT_RATIO).contains(&self.clock_drift_ratio) {
             return Err(ConfigurationError::ClockDriftOutOfRange {
                 ratio: self.clock_drift_ratio,
@@ -188,7 +189,7 @@
         match self.longest_lease_duration {
             Some(longest) if longest < self.lease_duration => {
                 Err(ConfigurationError::LongestLeaseTooShort {
-                    longest_ms: as_ms(longest),
+                    longest_ms: to_ms(longest),
                 })
             }
             _ => Ok(()),
@@ -213,13 +214,13 @@
 }
 
 impl LeaseParameters {
-    /// How long a holder may act on a majority's grants, from before it asked for them. By the holder's clock it is shorter than the
-    /// lease by as much as that clock may be slow and the electors' may be fast.
+    /// How long a holder may act by its own clock, counted from when it requested the grants. This is shorter than the lease duration,
+    /// since the holder's clock may be slow and the electors' clocks fast.
     pub fn holder_lease_duration(&self) -> TimeDelta {
         self.lease_duration * ((1.0 - self.clock_drift_ratio) / (1.0 + self.clock_drift_ratio))
     }
 
-    /// The peer that messages name by this number.
+    /// The peer whose name has this hash; `None` if none has.
     pub(crate) fn peer_by_name_hash(&self, hash: u32) -> Option<PeerId> {
         self.name_hashes
             .iter()
@@ -227,7 +228,7 @@
             .map(PeerId)
     }
 
-    /// The number by which messages name this peer; none if it is not configured.
+    /// The hash of this peer's name; `None` if the peer is not configured.
     pub(crate) fn name_hash(&self, peer: PeerId) -> Option<u32> {
         self.name_hashes.get(peer.0).copied()
     }
--- a/crates/lease/src/elector.rs
+++ b/crates/lease/src/elector.rs
@@ -1,5 +1,5 @@
-//! An elector: grants each lease to one gateway at a time, for a limited time, and forgets the grant only by its own clock. All is kept
-//! in memory, so an elector that has started anew grants nothing until whatever it granted before has expired.
+//! An elector grants each lease to one gateway at a time, for a limited time measured by the elector's own clock. All its state is in
+//! memory, so after a restart it grants nothing until every grant from before the restart has expired.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -7,58 +7,58 @@
 
 use crate::{Epoch, LeaseName};
 
-/// Candidates that an elector remembers for each lease, the first in line. Bounds its memory whatever the size of the fleet.
+/// How many candidates an elector keeps for each lease, those with the lowest ranks. Bounds its memory in a fleet of any size.
 pub(crate) const MAX_CANDIDATES: usize = 8;
-/// Candidates that look as soon as the lease they know of expires; those behind look seldom.
+/// How many candidates try as soon as the lease should be free. The candidates behind them probe rarely.
 pub(crate) const NEXT_CANDIDATES: usize = 2;
-/// Released epochs that an elector remembers for each lease: more than can be under way on a slow path at once.
+/// How many released epochs an elector keeps for each lease: more than can be in transit on a slow path at once.
 const MAX_RELEASED_EPOCHS: usize = 8;
 
 /// One process of a gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Requester {
-    /// The gateway.
+    /// The gateway that sent the request.
     pub peer: PeerId,
-    /// Its process.
+    /// The incarnation of the gateway's process.
     pub incarnation: u64,
 }
 
 /// A request for a grant, or for its renewal.
 #[derive(Clone, Copy, Debug)]
 pub struct AcquireRequest {
-    /// Who asks.
+    /// The process that the grant is for.
     pub requester: Requester,
-    /// The epoch.
+    /// The epoch that the requester proposed.
     pub epoch: Epoch,
-    /// For how long.
+    /// For how long the grant is to last, by the elector's clock.
     pub lease_duration: TimeDelta,
-    /// Whether the requester holds the lease already, by a majority's grants.
+    /// Whether the requester already holds the lease, granted by a majority.
     pub is_renewal: bool,
 }
 
 /// An elector's reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ElectorReply {
-    /// None: the elector has started lately, or does not know the lease.
+    /// The elector doesn't answer: it grants nothing yet after its start, or the lease isn't configured.
     NoReply,
-    /// Promised or granted.
+    /// The elector has given the promise or grant.
     Accepted,
-    /// Not now.
+    /// The elector gives no promise or grant now.
     Rejected(Rejection),
 }
 
-/// Why an elector grants nothing now.
+/// Why an elector gives no promise or grant now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rejection {
     /// The newest epoch that the elector knows of.
     pub newest: Epoch,
-    /// For how long another gateway holds the lease.
+    /// How long the grant of another gateway still lasts; zero without such a grant.
     pub remaining: TimeDelta,
-    /// That gateway.
+    /// The gateway that has that grant.
     pub holder: Option<PeerId>,
 }
 
-/// For how long a candidate is remembered without being heard: the next ones look often, later ones seldom.
+/// For how long an elector keeps a candidate after its last message. The next candidates probe often, later ones rarely.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct CandidateTimeouts {
     pub(crate) next: TimeDelta,
@@ -89,50 +89,52 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Candidate {
     peer: PeerId,
-    heard_at: Timestamp,
+    last_message_at: Timestamp,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-struct LeaseVote {
-    /// No older epoch may begin.
+struct LeaseEntry {
+    /// The newest known epoch; older proposals are rejected.
     newest: Epoch,
-    /// Who may begin the newest epoch.
+    /// Which process may acquire the lease in the newest epoch.
     promised_to: Option<Requester>,
     grant: Option<Grant>,
-    /// The last that holders released: a late copy of a renewal would hold the next holder up.
+    /// The epochs released most recently. Without them, a late duplicate of a renewal would renew a released grant and delay the next
+    /// holder.
     released: VecDeque<Epoch>,
+    /// Candidates by rank.
     candidates: BTreeMap<u64, Candidate>,
 }
 
 /// The grants and promises of one elector.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Elector {
-    /// A grant given before this start and forgotten with it could make a second holder. The cost: after a start of all electors at
-    /// once nothing is held for one lease.
+    /// Until then, a grant from before this start may still be valid, and a new one could make a second holder. The cost: if all
+    /// electors restart at once, no lease has a holder for one lease duration.
     no_grants_until: Timestamp,
-    /// No epoch is older than this start, so that electors which have all forgotten an epoch don't begin it anew.
+    /// Proposals need a higher epoch. So an epoch can't be reused after all electors that knew it have restarted.
     epoch_floor: Epoch,
     longest_lease: TimeDelta,
-    votes: BTreeMap<LeaseName, LeaseVote>,
+    entries: BTreeMap<LeaseName, LeaseEntry>,
 }
 
 impl Elector {
-    /// `epoch_floor` is Unix time in milliseconds at the end of the silence; `longest_lease` is the longest that may be granted.
+    /// `epoch_floor` is the Unix time in milliseconds at `no_grants_until`; requests for more than `longest_lease` are rejected.
     pub fn new(
         leases: &[LeaseName],
         no_grants_until: Timestamp,
         epoch_floor: Epoch,
         longest_lease: TimeDelta,
     ) -> Elector {
-        let votes = leases
+        let entries = leases
             .iter()
-            .map(|lease| (*lease, LeaseVote::default()))
+            .map(|lease| (*lease, LeaseEntry::default()))
             .collect();
         Elector {
             no_grants_until,
             epoch_floor,
             longest_lease,
-            votes,
+            entries,
         }
     }
 
@@ -141,37 +143,39 @@
     }
 
     pub(crate) fn newest_epoch(&self, lease: LeaseName) -> Epoch {
-        self.votes.get(&lease).map_or(Epoch(0), |vote| vote.newest)
+        self.entries
+            .get(&lease)
+            .map_or(Epoch(0), |entry| entry.newest)
     }
 
-    /// Records an epoch that this gateway has heard of.
+    /// Records an epoch from a message. A newer epoch cancels the current promise.
     pub(crate) fn learn_epoch(&mut self, lease: LeaseName, epoch: Epoch) {
-        if let Some(vote) = self.votes.get_mut(&lease) {
-            if epoch > vote.newest {
-                vote.newest = epoch;
-                vote.promised_to = None;
+        if let Some(entry) = self.entries.get_mut(&lease) {
+            if epoch > entry.newest {
+                entry.newest = epoch;
+                entry.promised_to = None;
             }
         }
     }
 
-    /// This elector's grant of a lease, if it has not expired.
+    /// This elector's grant of a lease; `None` if there is none or it has expired.
     pub(crate) fn grant_in_force(&self, now: Timestamp, lease: LeaseName) -> Option<GrantInForce> {
-        let grant = self.votes.get(&lease)?.grant?;
+        let grant = self.entries.get(&lease)?.grant?;
         (now < grant.expires_at).then_some(GrantInForce {
             holder: grant.to.peer,
             expires_at: grant.expires_at,
         })
     }
 
-    fn active_vote(&mut self, now: Timestamp, lease: LeaseName) -> Option<&mut LeaseVote> {
+    fn active_entry(&mut self, now: Timestamp, lease: LeaseName) -> Option<&mut LeaseEntry> {
         if now < self.no_grants_until {
             return None;
         }
-        self.votes.get_mut(&lease)
+        self.entries.get_mut(&lease)
     }
 
-    /// Promises an epoch to a requester, unless another gateway holds the lease or a newer epoch is promised. `transferred_epoch` is the epoch of
-    /// a holder that has transferred the lease to the requester.
+    /// Promises an epoch to a requester, unless another gateway has the grant or the epoch is too old. `transferred_epoch` is the epoch
+    /// of the holder that transferred the lease to the requester, if one did.
     pub fn prepare(
         &mut self,
         now: Timestamp,
@@ -181,24 +185,24 @@
         transferred_epoch: Option<Epoch>,
     ) -> ElectorReply {
         let epoch_floor = self.epoch_floor;
-        let Some(vote) = self.active_vote(now, lease) else {
+        let Some(entry) = self.active_entry(now, lease) else {
             return ElectorReply::NoReply;
         };
-        let granted_epoch = vote.grant.map(|grant| grant.epoch);
+        let granted_epoch = entry.grant.map(|grant| grant.epoch);
         if let Some(transferred) =
             transferred_epoch.filter(|transferred_epoch| granted_epoch == Some(*transferred_epoch))
         {
-            vote.release(transferred);
+            entry.release(transferred);
         }
-        if let Some(rejection) = vote.rejection_by_grant(now, requester) {
+        if let Some(rejection) = entry.rejection_by_grant(now, requester) {
             return ElectorReply::Rejected(rejection);
         }
-        let newest = vote.newest.max(epoch_floor);
+        let newest = entry.newest.max(epoch_floor);
         if epoch > newest {
-            vote.promise(epoch, requester);
+            entry.promise(epoch, requester);
             return ElectorReply::Accepted;
         }
-        if vote.is_promised(epoch, requester) {
+        if entry.is_promised(epoch, requester) {
             return ElectorReply::Accepted;
         }
         ElectorReply::Rejected(Rejection {
@@ -208,8 +212,8 @@
         })
     }
 
-    /// Grants a lease from now on. A gateway that renews has held it all along, so no promise given since can have come to anything:
-    /// it is bound by another's grant only.
+    /// Grants or renews a lease from now on. A renewing gateway has held the lease without a break, so no proposal with a later promise
+    /// can have succeeded. A renewal is therefore rejected for another gateway's grant, but not for a promise.
     pub fn acquire(
         &mut self,
         now: Timestamp,
@@ -217,7 +221,7 @@
         request: AcquireRequest,
     ) -> ElectorReply {
         let longest_lease = self.longest_lease;
-        let Some(vote) = self.active_vote(now, lease) else {
+        let Some(entry) = self.active_entry(now, lease) else {
             return ElectorReply::NoReply;
         };
         let AcquireRequest {
@@ -226,29 +230,29 @@
             lease_duration,
             is_renewal,
         } = request;
-        if let Some(rejection) = vote.rejection_by_grant(now, requester) {
+        if let Some(rejection) = entry.rejection_by_grant(now, requester) {
             return ElectorReply::Rejected(rejection);
         }
-        // No older epoch comes after a newer one: a start in between has forgotten the newer one, but the promise to the older one as
-        // well. Where the prepare message was lost on its way here, this grant comes with the first renewal.
-        let is_promised = vote.is_promised(epoch, requester);
-        // A longer lease would outlast this elector's silence after a start.
+        // A first grant needs a promise, so an older epoch can't follow a newer one: a restart that loses the newer epoch also loses the
+        // promise to the older one. If the prepare message was lost, this elector grants the lease at the first renewal.
+        let is_promised = entry.is_promised(epoch, requester);
+        // A longer lease could still be valid when this elector starts to grant again after a restart.
         let is_bounded = TimeDelta::ZERO < lease_duration && lease_duration <= longest_lease;
-        let is_older = vote
+        let is_older = entry
             .grant
             .is_some_and(|grant| grant.to == requester && grant.epoch > epoch);
-        let is_released = vote.released.contains(&epoch);
+        let is_released = entry.released.contains(&epoch);
         if !(is_promised || is_renewal) || is_released || !is_bounded || is_older {
             return ElectorReply::Rejected(Rejection {
-                newest: vote.newest,
+                newest: entry.newest,
                 remaining: TimeDelta::ZERO,
                 holder: None,
             });
         }
-        if epoch > vote.newest {
-            vote.promise(epoch, requester);
+        if epoch > entry.newest {
+            entry.promise(epoch, requester);
         }
-        vote.grant = Some(Grant {
+        entry.grant = Some(Grant {
             to: requester,
             epoch,
             expires_at: now + lease_duration,
@@ -256,21 +260,21 @@
         ElectorReply::Accepted
     }
 
-    /// The holder gives the lease up. Returns whether this elector had granted it.
+    /// Releases the requester's grant or promise of this epoch. Returns whether there was such a grant.
     pub fn release(&mut self, lease: LeaseName, requester: Requester, epoch: Epoch) -> bool {
-        let Some(vote) = self.votes.get_mut(&lease) else {
+        let Some(entry) = self.entries.get_mut(&lease) else {
             return false;
         };
-        let was_granted = vote
+        let was_granted = entry
             .grant
             .is_some_and(|grant| grant.to == requester && grant.epoch == epoch);
-        if was_granted || vote.is_promised(epoch, requester) {
-            vote.release(epoch);
+        if was_granted || entry.is_promised(epoch, requester) {
+            entry.release(epoch);
         }
         was_granted
     }
 
-    /// Records that a candidate was heard. Returns how many are in line before it.
+    /// Records a message of a candidate. Returns how many candidates rank before it.
     pub(crate) fn record_candidate(
         &mut self,
         now: Timestamp,
@@ -278,25 +282,25 @@
         candidate: CandidateRank,
         timeouts: CandidateTimeouts,
     ) -> usize {
-        let Some(vote) = self.votes.get_mut(&lease) else {
+        let Some(entry) = self.entries.get_mut(&lease) else {
             return MAX_CANDIDATES;
         };
         let CandidateRank { rank, peer } = candidate;
-        vote.forget_silent_candidates(now, timeouts);
-        vote.candidates.insert(
+        entry.remove_stale_candidates(now, timeouts);
+        entry.candidates.insert(
             rank,
             Candidate {
                 peer,
-                heard_at: now,
+                last_message_at: now,
             },
         );
-        if vote.candidates.len() > MAX_CANDIDATES {
-            vote.candidates.pop_last();
+        if entry.candidates.len() > MAX_CANDIDATES {
+            entry.candidates.pop_last();
         }
-        vote.candidates.range(..rank).count().min(MAX_CANDIDATES)
+        entry.candidates.range(..rank).count().min(MAX_CANDIDATES)
     }
 
-    /// The first candidate in line heard within the timeout, other than this one.
+    /// The lowest-ranked candidate with a message within the timeout, other than `except`.
     pub(crate) fn first_candidate(
         &self,
         now: Timestamp,
@@ -304,16 +308,18 @@
         except: PeerId,
         timeout: TimeDelta,
     ) -> Option<PeerId> {
-        self.votes
+        self.entries
             .get(&lease)?
             .candidates
             .values()
-            .find(|candidate| candidate.peer != except && now - candidate.heard_at <= timeout)
+            .find(|candidate| {
+                candidate.peer != except && now - candidate.last_message_at <= timeout
+            })
             .map(|candidate| candidate.peer)
     }
 }
 
-impl LeaseVote {
+impl LeaseEntry {
     fn promise(&mut self, epoch: Epoch, requester: Requester) {
         self.newest = epoch;
         self.promised_to = Some(requester);
@@ -333,7 +339,8 @@
         }
     }
 
-    /// While one gateway has this grant, no other gets it, whatever its epoch: there would be two holders.
+    /// Rejects the requester while another process has this elector's grant, even if the requester's epoch is newer. Otherwise there
+    /// could be two holders.
     fn rejection_by_grant(&self, now: Timestamp, requester: Requester) -> Option<Rejection> {
         let grant = self
             .grant
@@ -345,17 +352,17 @@
         })
     }
 
-    fn forget_silent_candidates(&mut self, now: Timestamp, timeouts: CandidateTimeouts) {
-        let mut kept = 0;
+    fn remove_stale_candidates(&mut self, now: Timestamp, timeouts: CandidateTimeouts) {
+        let mut kept_count = 0;
         self.candidates.retain(|_, candidate| {
-            let timeout = if kept < NEXT_CANDIDATES {
+            let timeout = if kept_count < NEXT_CANDIDATES {
                 timeouts.next
             } else {
                 timeouts.later
             };
-            let stays = now - candidate.heard_at <= timeout;
-            kept += usize::from(stays);
-            stays
+            let is_kept = now - candidate.last_message_at <= timeout;
+            kept_count += usize::from(is_kept);
+            is_kept
         });
     }
 }
--- a/crates/lease/src/error.rs
+++ b/crates/lease/src/error.rs
@@ -1,52 +1,52 @@
-//! What is refused in the settings of leases.
+//! Errors in the lease settings.
 
 use thiserror::Error;
 
 use crate::configuration::{MAX_CLOCK_DRIFT_RATIO, MAX_ELECTORS, MAX_LEASES, MIN_ELECTORS};
 
-/// Why settings or a changed electorate are refused, and what to do.
+/// Why settings or a changed electorate are refused. Each message says how to correct the setting.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum ConfigurationError {
-    /// The gateway's own name is not listed.
+    /// The gateway's own name is not in the list of gateways.
     #[error(
-        "own name {name} is not among the names: add it to `names`, or start with another name"
+        "own name {name} is not listed: add it to `gateways`, or start this gateway under a listed name"
     )]
     UnknownOwnName {
-        /// The gateway's name.
+        /// The gateway's own name.
         name: String,
     },
     /// A name is listed twice.
-    #[error("name {name} is listed twice: remove one from `names`")]
+    #[error("name {name} is listed twice: remove one from `gateways`")]
     DuplicateName {
-        /// The name.
+        /// The name that occurs twice.
         name: String,
     },
-    /// Two names have the same number in messages.
-    #[error("names {one} and {other} cannot be distinguished in messages: rename one of them")]
+    /// Two names have the same hash, which identifies a gateway in messages.
+    #[error(
+        "names {one} and {other} have the same hash in messages: rename one of these gateways"
+    )]
     NameHashCollision {
         /// The first name.
         one: String,
         /// The second name.
         other: String,
     },
-    /// No elector could fail.
+    /// Too few electors for the quorum to survive the failure of one.
     #[error(
-        "{count} electors: name at least {MIN_ELECTORS} in `electorate`, so that one may fail"
+        "{count} electors are too few: list at least {MIN_ELECTORS} in `electorate`, so that one may fail"
     )]
     TooFewElectors {
         /// How many are listed.
         count: usize,
     },
-    /// More electors than are of use.
-    #[error("{count} electors: name at most {MAX_ELECTORS} in `electorate`; more cost bytes and decide later")]
+    /// Too many electors: more would add traffic and delay.
+    #[error("{count} electors are too many: list at most {MAX_ELECTORS} in `electorate`, since each adds traffic and delay")]
     TooManyElectors {
         /// How many are listed.
         count: usize,
     },
-    /// An elector is no listed gateway.
-    #[error(
-        "elector {name} is not among the names: add it to `names`, or remove it from `electorate`"
-    )]
+    /// An elector is not in the list of gateways.
+    #[error("elector {name} is not listed: add it to `gateways`, or remove it from `electorate`")]
     UnknownElector {
         /// The elector's name.
         name: String,
@@ -57,10 +57,10 @@
         /// The elector's name.
         name: String,
     },
-    /// One lost renewal would end the lease.
+    /// The lease lasts less than two heartbeat intervals, so one lost renewal would end it.
     #[error(
-        "a lease of {lease_ms} ms is shorter than two heartbeats of {heartbeat_ms} ms: lengthen `lease` or \
-             shorten `heartbeat`, so that one lost message ends no holding"
+        "a lease of {lease_ms} ms is shorter than two heartbeats of {heartbeat_ms} ms: increase `lease_ms` or \
+             reduce `heartbeat_ms`, so that one lost message doesn't end a lease"
     )]
     LeaseTooShort {
         /// The lease's duration in milliseconds.
@@ -68,38 +68,38 @@
         /// The renewal interval in milliseconds.
         heartbeat_ms: i64,
     },
-    /// The lease's duration is outside what is supported.
-    #[error("a lease of {lease_ms} ms is out of range: tell 100 ms to 60 s")]
+    /// The lease duration is out of range.
+    #[error("a lease of {lease_ms} ms is out of range: configure 100 ms to 60 s")]
     LeaseOutOfRange {
         /// The lease's duration in milliseconds.
         lease_ms: i64,
     },
-    /// The renewal interval is outside what is supported.
-    #[error("a heartbeat of {heartbeat_ms} ms is out of range: tell at least 10 ms")]
+    /// The renewal interval is out of range.
+    #[error("a heartbeat of {heartbeat_ms} ms is out of range: configure at least 10 ms")]
     HeartbeatOutOfRange {
         /// The renewal interval in milliseconds.
         heartbeat_ms: i64,
     },
-    /// The clock drift is outside what is supported.
+    /// The clock drift is out of range.
     #[error(
-        "a drift of {ratio} is out of range: tell a part from 0 to {MAX_CLOCK_DRIFT_RATIO}, such as 0.02"
+        "a clock drift of {ratio} is out of range: configure a ratio from 0 to {MAX_CLOCK_DRIFT_RATIO}, such as 0.02"
     )]
     ClockDriftOutOfRange {
         /// The largest error of a clock's rate, as a ratio.
         ratio: f64,
     },
-    /// The longest lease in use is shorter than the configured one.
+    /// The longest lease of the running gateways is shorter than the configured lease.
     #[error(
-        "a longest lease of {longest_ms} ms is shorter than the lease: tell the longest lease still in use"
+        "a longest lease of {longest_ms} ms is shorter than the lease: configure the longest lease of any running gateway"
     )]
     LongestLeaseTooShort {
         /// The longest lease's duration in milliseconds.
         longest_ms: i64,
     },
-    /// No lease has this name.
-    #[error("lease {name} is unknown: tell `steward`, `heir` or `speaker:NUMBER` in `duties`")]
+    /// There is no lease with this name.
+    #[error("lease {name} is unknown: use `steward`, `heir` or `speaker:NUMBER` in `duties`")]
     UnknownLease {
-        /// The name.
+        /// The configured name.
         name: String,
     },
     /// A lease is listed twice.
@@ -108,15 +108,15 @@
         /// The lease's name.
         name: String,
     },
-    /// More leases than a fleet may share.
-    #[error("{count} leases: tell at most {MAX_LEASES}; each costs its bytes")]
+    /// Too many leases: each adds the traffic of its renewals.
+    #[error("{count} leases are too many: list at most {MAX_LEASES} in `duties`, since each adds traffic")]
     TooManyLeases {
         /// How many are listed.
         count: usize,
     },
-    /// The electorate's number is not the one after the current one's.
+    /// The new electorate's number isn't the current number plus one.
     #[error(
-        "electorate {proposed} follows {current}: raise `electorate_number` by exactly one at each change"
+        "electorate {proposed} cannot follow {current}: increase `electorate_number` by exactly one at each change"
     )]
     ElectorateNumberNotNext {
         /// The proposed electorate's number.
@@ -124,17 +124,17 @@
         /// The current electorate's number.
         current: u32,
     },
-    /// The electorate changes by more or less than one member.
-    #[error("electorate {proposed} differs from {current} by more or less than one member: change one at a time")]
+    /// The new electorate doesn't differ by exactly one member.
+    #[error("electorate {proposed} does not differ from {current} by exactly one member: add or remove one at a time")]
     ElectorateChangeNotByOne {
         /// The proposed electorate's number.
         proposed: u32,
         /// The current electorate's number.
         current: u32,
     },
-    /// The current electorate may not be followed by another one yet.
+    /// The current electorate is not in force yet, so it can't be replaced.
     #[error(
-        "electorate {current} is not yet in force at most electors: wait until the status says so"
+        "electorate {current} is not in force yet: reload again once a majority of the electors uses it"
     )]
     ElectorateNotInForce {
         /// The current electorate's number.
--- a/crates/lease/src/event.rs
+++ b/crates/lease/src/event.rs
@@ -1,109 +1,109 @@
-//! What goes into the lease manager, what comes out of it, and what it reports for status.
+//! The events and actions of the lease manager, and its status types.
 
 use harrierdock_types::{PeerId, TimeDelta, Timestamp};
 
 use crate::{Electorate, Epoch, LeaseName, Message};
 
-/// What has happened.
+/// An input of the lease manager.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// A message has come, decoded by `codec::decode`.
+    /// A message has arrived and was decoded by `codec::decode`.
     MessageReceived {
-        /// The sender, by the path that the message came on.
+        /// The sender, identified by the path that the message came on.
         from: PeerId,
-        /// The message.
+        /// The decoded message, not yet checked.
         message: Message,
     },
-    /// The time asked for by `Action::SetTimer` has come; one too early or too late does no harm.
+    /// The timer set by `Action::SetTimer` has fired. Firing too early or too late is harmless.
     TimerFired,
-    /// This gateway has become a candidate for the lease, or is one no longer: then it transfers the lease.
+    /// This gateway becomes a candidate for the lease, or stops being one and transfers the lease if it holds it.
     CandidacyChanged {
         /// The lease.
         lease: LeaseName,
-        /// Whether this gateway wants it.
+        /// Whether this gateway is to seek and hold the lease.
         is_candidate: bool,
     },
-    /// Whoever was acted on has refused the act's epoch as older than `newest`.
+    /// The receiver of an operation has refused its epoch as older than `newest`.
     EpochRejected {
         /// The lease.
         lease: LeaseName,
-        /// The newest epoch seen there.
+        /// The newest epoch that the receiver knows of.
         newest: Epoch,
     },
-    /// This process is about to end: it transfers all that it holds.
+    /// This process is shutting down, so it transfers all leases that it holds and acquires none.
     ShutdownStarted,
-    /// The operator has configured another electorate, checked by `LeaseManager::check_electorate_change`.
+    /// The operator has configured another electorate. `LeaseManager::check_electorate_change` has accepted it.
     ElectorateChanged(Electorate),
 }
 
-/// Why this gateway holds a lease no longer.
+/// Why this gateway no longer holds a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LossReason {
     /// A majority did not renew it in time.
     Expired,
-    /// It was given up, in order.
+    /// This gateway gave it up, because it shuts down or is no longer a candidate.
     Transferred,
-    /// Whoever was acted on knows a newer epoch.
+    /// The receiver of an operation knows a newer epoch.
     Superseded,
 }
 
-/// What is to be done.
+/// An output of the lease manager, for the caller to perform.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send a message.
+    /// Send a message to a peer.
     Send {
-        /// The receiver.
+        /// The receiver, never this gateway itself.
         to: PeerId,
-        /// The message, to be encoded by `codec::encode`.
+        /// The message; the caller encodes it by `codec::encode`.
         message: Message,
     },
     /// This gateway holds the lease from now on.
     Acquired {
         /// The lease.
         lease: LeaseName,
-        /// The epoch that its acts carry.
+        /// The epoch to send along with operations under the lease.
         epoch: Epoch,
     },
-    /// This gateway holds the lease no longer.
+    /// This gateway no longer holds the lease.
     Lost {
         /// The lease.
         lease: LeaseName,
-        /// The epoch that has ended.
+        /// The epoch in which it was held.
         epoch: Epoch,
-        /// Why.
+        /// What ended it.
         reason: LossReason,
     },
-    /// Send `Event::TimerFired` after this time; the newest one asked for counts.
+    /// Deliver `Event::TimerFired` after this time. Replaces the previous timer.
     SetTimer {
-        /// The time from now.
+        /// The time from now, by the clock that events are stamped with.
         after: TimeDelta,
     },
 }
 
-/// Who holds a lease, as far as this gateway knows. For status only: nothing may be done on its strength.
+/// The holder of a lease as far as this gateway knows. It may be outdated, so use it for status reports only.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KnownHolder {
-    /// The holder.
+    /// The gateway that holds or last held the lease.
     pub holder: PeerId,
     /// The holder's epoch.
     pub epoch: Epoch,
-    /// When the lease expires, by what was heard last.
+    /// When the lease expires by the latest report, unless it is renewed.
     pub expires_at: Timestamp,
 }
 
 /// Counters since the start, for status.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LeaseCounters {
-    /// Messages of an earlier process, or of an unknown gateway.
+    /// Messages dropped because they came from an earlier process or an unknown gateway, or had an implausible incarnation.
     pub outdated_messages: u64,
-    /// Messages under an electorate whose grants cannot be counted together with this gateway's.
+    /// Messages dropped because grants under their electorate don't count together with this gateway's.
     pub incompatible_messages: u64,
-    /// Messages with an epoch too far in the future for any clock.
+    /// Messages dropped because their epoch is more than a year ahead of this process' start.
     pub implausible_messages: u64,
-    /// Leases acquired.
+    /// How often this gateway acquired a lease.
     pub acquired: u64,
-    /// Leases that expired.
+    /// How often it lost a lease because no majority renewed it in time.
     pub expired: u64,
-    /// Leases given up in order.
+    /// How often it gave up a lease on shutdown or at the end of its candidacy.
     pub transferred: u64,
 }
--- a/crates/lease/src/fencing.rs
+++ b/crates/lease/src/fencing.rs
@@ -1,5 +1,5 @@
-//! The check of fencing tokens where a holder's acts arrive. It needs no lease and no clock: it keeps the highest epoch of each lease and
-//! refuses an older one, so that a holder deposed between its own check and the arrival of its act does nothing either.
+//! Checks fencing tokens at the receiver of a holder's operations. The check needs neither a lease nor a clock: it keeps the highest epoch
+//! of each lease and refuses older ones. So an operation has no effect if its sender lost the lease before the operation arrived.
 
 use std::collections::BTreeMap;
 
@@ -7,43 +7,43 @@
 
 use crate::{Epoch, LeaseName};
 
-/// Bounds what a sender can make up: each aggregator's group is a lease of its own.
+/// Bounds the memory that a faulty sender can use up by inventing aggregator groups, each of which has its own lease.
 const MAX_GUARDED_LEASES: usize = 1024;
 
-/// Why an act is refused.
+/// Why an operation is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum FencingError {
-    /// Its epoch is not the newest.
+    /// A newer epoch of the lease is known.
     #[error(
-        "an act of {lease} in epoch {epoch}, when {newest} is known: whoever acted holds it no more; tell it"
+        "operation under lease {lease} has epoch {epoch}, but epoch {newest} is known: the sender lost the lease; notify it"
     )]
     StaleEpoch {
-        /// The lease.
+        /// The lease that the sender claims to hold.
         lease: LeaseName,
-        /// The act's epoch.
+        /// The operation's epoch.
         epoch: Epoch,
         /// The newest epoch of the lease.
         newest: Epoch,
     },
-    /// Too many leases are guarded already.
-    #[error("an act of {lease} beyond the {MAX_GUARDED_LEASES} leases that are kept apart: configure fewer groups")]
+    /// The lease is new, and the guard already keeps the maximum number of leases.
+    #[error("operation under lease {lease} refused: {MAX_GUARDED_LEASES} leases are tracked already; configure fewer groups")]
     TooManyLeases {
-        /// The lease.
+        /// The lease that isn't tracked yet.
         lease: LeaseName,
     },
 }
 
-/// The newest epoch of each lease.
+/// Tracks the newest epoch of each lease.
 #[derive(Clone, Debug, Default)]
 pub struct FencingGuard {
     newest: BTreeMap<LeaseName, Epoch>,
 }
 
 impl FencingGuard {
-    /// Records the epoch of an act that is about to be carried out.
+    /// Checks and records the epoch of an operation before the caller carries it out.
     ///
     /// # Errors
-    /// The act must not be carried out.
+    /// The caller must not carry out the operation.
     pub fn admit(&mut self, lease: LeaseName, epoch: Epoch) -> Result<(), FencingError> {
         match self.newest(lease) {
             Some(newest) if epoch < newest => {
@@ -62,7 +62,7 @@
         Ok(())
     }
 
-    /// The newest epoch of a lease; none if no act of it has come.
+    /// The newest epoch of a lease; `None` if no operation under it has been admitted.
     pub fn newest(&self, lease: LeaseName) -> Option<Epoch> {
         self.newest.get(&lease).copied()
     }
--- a/crates/lease/src/known_leases.rs
+++ b/crates/lease/src/known_leases.rs
@@ -1,4 +1,5 @@
-//! What is known of holders, and its gossip: one message to another gateway now and then, of the same size whatever the fleet's.
+//! Which gateways are known to hold which leases, and the gossip of this knowledge. About once in a heartbeat interval, one message goes
+//! to another gateway. Its size is bounded in a fleet of any size.
 
 use std::collections::BTreeMap;
 
@@ -9,47 +10,48 @@
 use crate::message_handling::duration_to_ms;
 use crate::{KnownHolder, LeaseManager, LeaseName, LeaseRecord, MessageBody};
 
-/// The holders this gateway knows of, and whose turn it is to be gossiped.
+/// The holders that this gateway knows of, and which of them the next gossip message includes.
 pub(crate) struct KnownLeases {
     holders: BTreeMap<LeaseName, KnownHolder>,
-    next_gossip: Timestamp,
+    next_gossip_at: Timestamp,
+    /// The position of the first holder in the next gossip message; it wraps around.
     next_record: usize,
 }
 
 impl KnownLeases {
-    pub(crate) fn new(next_gossip: Timestamp) -> KnownLeases {
+    pub(crate) fn new(next_gossip_at: Timestamp) -> KnownLeases {
         KnownLeases {
             holders: BTreeMap::new(),
-            next_gossip,
+            next_gossip_at,
             next_record: 0,
         }
     }
 
-    pub(crate) fn next_gossip(&self) -> Timestamp {
-        self.next_gossip
+    pub(crate) fn next_gossip_at(&self) -> Timestamp {
+        self.next_gossip_at
     }
 
     pub(crate) fn holder(&self, lease: LeaseName) -> Option<KnownHolder> {
         self.holders.get(&lease).copied()
     }
 
-    /// Records a holder, if it is newer than the known one.
-    pub(crate) fn record(&mut self, lease: LeaseName, heard: KnownHolder) {
-        let known = self.holders.entry(lease).or_insert(heard);
-        if (heard.epoch, heard.expires_at) > (known.epoch, known.expires_at) {
-            *known = heard;
+    /// Records a holder if its epoch, or its expiry in the same epoch, is later than the known one.
+    pub(crate) fn record(&mut self, lease: LeaseName, reported: KnownHolder) {
+        let known = self.holders.entry(lease).or_insert(reported);
+        if (reported.epoch, reported.expires_at) > (known.epoch, known.expires_at) {
+            *known = reported;
         }
     }
 
-    /// The lease of this epoch has ended.
-    pub(crate) fn end(&mut self, now: Timestamp, lease: LeaseName, epoch: crate::Epoch) {
+    /// Marks the lease as expired now, if this epoch is the known one.
+    pub(crate) fn mark_expired(&mut self, now: Timestamp, lease: LeaseName, epoch: crate::Epoch) {
         if let Some(known) = self.holders.get_mut(&lease).filter(|k| k.epoch == epoch) {
             known.expires_at = known.expires_at.min(now);
         }
     }
 
-    /// The next holders in turn.
-    fn next_records(&mut self) -> Vec<(LeaseName, KnownHolder)> {
+    /// Returns the holders for the next gossip message, in turn.
+    fn take_next_records(&mut self) -> Vec<(LeaseName, KnownHolder)> {
         let count = self.holders.len();
         let records = self
             .holders
@@ -65,24 +67,24 @@
 }
 
 impl LeaseManager {
-    pub(crate) fn record_holder(&mut self, lease: LeaseName, heard: KnownHolder) {
+    pub(crate) fn record_holder(&mut self, lease: LeaseName, reported: KnownHolder) {
         if self.states.contains_key(&lease) {
-            self.known_leases.record(lease, heard);
+            self.known_leases.record(lease, reported);
         }
     }
 
-    /// Sends what is known to another gateway, drawn at random, once in a heartbeat interval or so.
+    /// Sends known holders to a random gateway if it is time: every 0.75 to 1.25 heartbeat intervals.
     pub(crate) fn gossip_known_leases(&mut self, now: Timestamp) {
-        if now < self.known_leases.next_gossip {
+        if now < self.known_leases.next_gossip_at {
             return;
         }
         let interval: TimeDelta =
             self.parameters.heartbeat_interval * (0.75 + 0.5 * self.rng.generate::<f64>());
-        self.known_leases.next_gossip = now + interval;
+        self.known_leases.next_gossip_at = now + interval;
         self.refresh_held_leases();
         let records = self
             .known_leases
-            .next_records()
+            .take_next_records()
             .into_iter()
             .map(|(lease, known)| LeaseRecord {
                 lease,
@@ -111,12 +113,12 @@
         }
     }
 
-    /// Another gateway at random; between electors every other time an elector while the electorate is not in force, since its members
-    /// have to hear of each other.
+    /// Draws the receiver of a gossip message at random among the other gateways. While the electorate is not in force, an elector sends
+    /// every second message on average to another elector, since electors must learn each other's electorate number.
     fn draw_gossip_target(&mut self) -> Option<PeerId> {
         let local_peer = self.parameters.local_peer;
-        let awaits_electors = self.quorum.is_elector(local_peer) && !self.quorum.is_in_force();
-        if awaits_electors && self.rng.generate::<bool>() {
+        let prefers_electors = self.quorum.is_elector(local_peer) && !self.quorum.is_in_force();
+        if prefers_electors && self.rng.generate::<bool>() {
             let mut others = self.quorum.electors();
             others.retain(|elector| *elector != local_peer);
             let drawn = self.rng.generate_range(0..others.len().max(1));
--- a/crates/lease/src/lease_name.rs
+++ b/crates/lease/src/lease_name.rs
@@ -1,4 +1,4 @@
-//! The leases of a fleet, and their names in files, messages to operators and status lines.
+//! The leases of a fleet, and their names in settings, error messages and log lines.
 
 use std::fmt;
 use std::str::FromStr;
@@ -11,14 +11,14 @@
 const RECOVERY_OWNER: &str = "heir";
 const AGGREGATOR_PREFIX: &str = "speaker:";
 
-/// A lease, by what its holder does. The order of the variants is their numbers in messages.
+/// A lease, named by the role of its holder. Messages encode a variant by its position, so the order must not change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum LeaseName {
-    /// Moves the stages of a rollout by the gateways' votes. While nobody holds it, the stage stays where it is.
+    /// Promotes and rolls back rollout stages by the gateways' votes. Without a holder, the current stage doesn't change.
     RolloutController,
-    /// Settles forwarded requests that a dead gateway left open. While nobody holds it, they stay open until they expire.
+    /// Settles forwarded requests that a crashed gateway left open. Without a holder, they stay open until they expire.
     RecoveryOwner,
-    /// Aggregates the outcomes of the gossip group of this number. While nobody holds it, each member goes by its own outcomes.
+    /// Aggregates the outcome reports of the gossip group with this number. Without a holder, each member uses its own outcomes only.
     Aggregator(u16),
 }
 
--- a/crates/lease/src/lease_state.rs
+++ b/crates/lease/src/lease_state.rs
@@ -1,4 +1,4 @@
-//! How far this gateway has come with one lease: it waits, proposes, acquires or holds.
+//! This gateway's state as a candidate or holder of one lease.
 
 use std::collections::{BTreeSet, VecDeque};
 
@@ -6,17 +6,18 @@
 
 use crate::Epoch;
 
-/// Rounds whose grants are still counted; older ones are past the lease.
+/// Rounds whose grants still count. The grants of older rounds have expired.
 const MAX_ROUNDS: usize = 4;
-/// The round of the first grant.
+/// The round number of the first request for grants; renewals have higher numbers.
 pub(crate) const FIRST_ROUND: u16 = 1;
 
 /// One request for grants to all electors.
 #[derive(Clone, Debug)]
 pub(crate) struct Round {
     pub(crate) number: u16,
-    /// When it was sent: the lease counts from then.
+    /// When the request was sent. The lease duration starts here.
     pub(crate) sent_at: Timestamp,
+    /// The electors that have granted this round.
     pub(crate) grants: BTreeSet<PeerId>,
 }
 
@@ -30,18 +31,18 @@
     }
 }
 
-/// What is under way.
+/// The phase of this gateway's attempt to get the lease.
 #[derive(Clone, Debug)]
 pub(crate) enum Phase {
-    /// Nothing; tries again at `next_try`.
+    /// No request is outstanding. A candidate tries again at `next_try`.
     Waiting { next_try: Timestamp },
-    /// Has asked one elector whether the lease is free.
+    /// Waits for one elector's reply on whether the lease is free.
     Probing {
         epoch: Epoch,
         elector: PeerId,
         deadline: Timestamp,
     },
-    /// Has asked all electors for a promise.
+    /// Waits for promises of all electors.
     Preparing {
         epoch: Epoch,
         transferred_epoch: Option<Epoch>,
@@ -49,14 +50,14 @@
         promises: BTreeSet<PeerId>,
         rejections: BTreeSet<PeerId>,
     },
-    /// Has asked all electors for a grant.
+    /// Waits for grants of all electors.
     Acquiring {
         epoch: Epoch,
         round: Round,
         deadline: Timestamp,
         rejections: BTreeSet<PeerId>,
     },
-    /// Holds the lease.
+    /// Holds the lease, unless it has just expired.
     Held(HeldLease),
 }
 
@@ -66,36 +67,38 @@
     pub(crate) epoch: Epoch,
     pub(crate) expires_at: Timestamp,
     pub(crate) renew_at: Timestamp,
+    /// The latest rounds, oldest first; at most `MAX_ROUNDS`.
     pub(crate) rounds: VecDeque<Round>,
-    pub(crate) last_round: u16,
+    pub(crate) last_round_number: u16,
 }
 
-/// A release that is sent once more, as one message may be lost.
+/// A release that is sent a second time, since the first message may be lost.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RepeatedRelease {
-    pub(crate) at: Timestamp,
+    pub(crate) send_at: Timestamp,
     pub(crate) epoch: Epoch,
     pub(crate) successor: Option<PeerId>,
 }
 
-/// This gateway's state with one lease.
+/// This gateway's state for one lease.
 #[derive(Clone, Debug)]
 pub(crate) struct LeaseState {
+    /// Whether this gateway seeks or holds the lease.
     pub(crate) is_candidate: bool,
     pub(crate) phase: Phase,
-    /// How many candidates are in line before this one, by an elector's latest message.
+    /// How many candidates rank before this one, by the latest rejection of an elector.
     pub(crate) candidates_before: usize,
-    /// Tries in a row that came to nothing.
+    /// Consecutive failed tries, for the exponential delay before the next one.
     pub(crate) failures: u32,
-    /// For how long others hold the lease, by the latest try.
+    /// For how long another gateway still holds the lease, by the rejections of the latest try.
     pub(crate) remaining: TimeDelta,
-    /// The next try's epoch is above this one.
+    /// The epoch of the next try is higher than this one.
     pub(crate) epoch_floor: Epoch,
-    /// The next candidates, as electors have reported with their latest grants.
+    /// The next candidates that electors have reported with their latest grants.
     pub(crate) successors: BTreeSet<PeerId>,
     pub(crate) repeated_release: Option<RepeatedRelease>,
-    /// How many electors in turn have not replied.
-    pub(crate) silent_electors: usize,
+    /// Probes that timed out, counted to probe another elector after each one.
+    pub(crate) timed_out_probes: usize,
 }
 
 impl LeaseState {
@@ -109,11 +112,11 @@
             epoch_floor: Epoch(0),
             successors: BTreeSet::new(),
             repeated_release: None,
-            silent_electors: 0,
+            timed_out_probes: 0,
         }
     }
 
-    /// The lease, if this gateway holds it; it may have expired.
+    /// The held lease, which may have expired; `None` if this gateway doesn't hold it.
     pub(crate) fn held(&self) -> Option<&HeldLease> {
         match &self.phase {
             Phase::Held(held) => Some(held),
@@ -121,7 +124,7 @@
         }
     }
 
-    /// When there is something to do.
+    /// When this lease needs its next action; `None` if it needs none.
     pub(crate) fn next_deadline(&self) -> Option<Timestamp> {
         let phase = match &self.phase {
             Phase::Waiting { next_try } => self.is_candidate.then_some(*next_try),
@@ -130,12 +133,12 @@
             | Phase::Acquiring { deadline, .. } => Some(*deadline),
             Phase::Held(held) => Some(held.expires_at.min(held.renew_at)),
         };
-        let release = self.repeated_release.map(|release| release.at);
+        let release = self.repeated_release.map(|release| release.send_at);
         phase.into_iter().chain(release).min()
     }
 
-    /// Begins a renewal. Returns the epoch and the round's number, or none if the lease is not held.
-    pub(crate) fn begin_renewal(
+    /// Starts a renewal round. Returns the epoch and the round number, or `None` if the lease is not held.
+    pub(crate) fn start_renewal(
         &mut self,
         now: Timestamp,
         heartbeat_interval: TimeDelta,
@@ -143,15 +146,18 @@
         let Phase::Held(held) = &mut self.phase else {
             return None;
         };
-        // The first round's number is used for nothing else.
-        let number = held.last_round.checked_add(1).unwrap_or(FIRST_ROUND + 1);
-        held.last_round = number;
+        // After an overflow, skip the first round's number, which marks a request that isn't a renewal.
+        let number = held
+            .last_round_number
+            .checked_add(1)
+            .unwrap_or(FIRST_ROUND + 1);
+        held.last_round_number = number;
         held.renew_at = now + heartbeat_interval;
         held.rounds.push_back(Round::new(number, now));
         if held.rounds.len() > MAX_ROUNDS {
             held.rounds.pop_front();
         }
-        // Electors report the next candidate with odd rounds.
+        // Electors report the next candidate in odd rounds.
         if number % 2 == 1 {
             self.successors.clear();
         }
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -1,8 +1,8 @@
-//! Leases that one gateway of a fleet holds at a time, granted by a majority of a few electors and kept in memory only.
+//! Leases, each held by at most one gateway of a fleet at a time. A majority of a few electors grants a lease; all state is in memory.
 //!
-//! [`LeaseManager`] takes events and returns actions, in order. It does no I/O, reads no clock, and draws its randomness from the
-//! given seed. A holder calls [`LeaseManager::may_act`] with the time of that very moment before each act, and the act carries the
-//! epoch that it returns; whoever is acted on checks that epoch with a [`FencingGuard`]. See `docs/design/fleet.md`.
+//! [`LeaseManager`] takes events and returns actions, in order. It does no I/O, reads no clock, and seeds its random numbers from a
+//! parameter. Before each operation, the holder calls [`LeaseManager::may_act`] with the current time and sends the returned epoch
+//! along with the operation. The receiver checks that epoch with a [`FencingGuard`]. See `docs/design/fleet.md`.
 
 #![warn(missing_docs, unreachable_pub)]
 
--- a/crates/lease/src/manager.rs
+++ b/crates/lease/src/manager.rs
@@ -1,4 +1,4 @@
-//! The lease manager of one gateway: an elector, a candidate for each lease, and what is known of holders.
+//! The lease manager of one gateway: its elector, its candidacy for each lease, and the holders that it knows of.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -14,15 +14,15 @@
     LeaseParameters, Message, MessageBody,
 };
 
-/// The shortest time asked for, so that the caller's loop always gets to other work.
+/// The shortest timer, so that the caller's event loop always gets to other work.
 const SHORTEST_TIMER: TimeDelta = TimeDelta(1_000);
 
-/// The electorate that counts.
+/// The current electorate and whether it is in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ElectorateStatus<'a> {
-    /// The electorate.
+    /// The electorate configured last.
     pub electorate: &'a Electorate,
-    /// Whether it counts alone: until then the one before has to agree as well.
+    /// Whether a majority of this electorate suffices. Until then, a majority of the previous one is needed as well.
     pub is_in_force: bool,
 }
 
@@ -36,17 +36,17 @@
     pub(crate) elector: Elector,
     pub(crate) states: BTreeMap<LeaseName, LeaseState>,
     pub(crate) known_leases: KnownLeases,
-    /// By peer: the newest incarnation heard.
+    /// The newest incarnation received from each peer, indexed by `PeerId`.
     pub(crate) peer_incarnations: Vec<u64>,
     pub(crate) counters: LeaseCounters,
     pub(crate) is_shutting_down: bool,
-    /// Messages of this gateway to itself, as elector and as candidate.
+    /// Messages between this gateway's own elector and candidates, which aren't sent over the network.
     pub(crate) own_messages: VecDeque<MessageBody>,
     pub(crate) actions: Vec<Action>,
 }
 
 impl LeaseManager {
-    /// `incarnation` is Unix time in milliseconds at this process' start; `seed` is another one at each start.
+    /// `incarnation` is the Unix time in milliseconds at the start of this process; `seed` must differ at each start.
     pub fn new(
         parameters: LeaseParameters,
         incarnation: u64,
@@ -54,21 +54,21 @@
         now: Timestamp,
     ) -> LeaseManager {
         let peer_count = parameters.name_hashes.len();
-        let silence = parameters.startup_wait;
-        // A grant lasts no longer than the silence that would follow a start, by the same clock.
-        let longest_lease = silence / (1.0 + parameters.clock_drift_ratio);
-        let epoch_floor = Epoch(incarnation.saturating_add((silence.0 / 1000).max(0) as u64));
+        let startup_wait = parameters.startup_wait;
+        // By the same clock, a grant must expire before this elector would grant again after a restart.
+        let longest_lease = startup_wait / (1.0 + parameters.clock_drift_ratio);
+        let epoch_floor = Epoch(incarnation.saturating_add((startup_wait.0 / 1000).max(0) as u64));
         let elector = Elector::new(
             &parameters.leases,
-            now + silence,
+            now + startup_wait,
             epoch_floor,
             longest_lease,
         );
         let electorate = parameters.electorate.clone();
         let digest = electorate_digest(&electorate.electors, &parameters.name_hashes);
         let mut rng = WyRand::new_seed(seed);
-        let next_gossip = now + parameters.heartbeat_interval * rng.generate::<f64>();
-        // In a small fleet all candidates are among the first.
+        let next_gossip_at = now + parameters.heartbeat_interval * rng.generate::<f64>();
+        // In a small fleet, electors keep all candidates. In a large one, a candidate counts as a late one until an elector reports its place.
         let candidates_before = match peer_count {
             0..=MAX_CANDIDATES => 0,
             _ => MAX_CANDIDATES,
@@ -81,11 +81,11 @@
         LeaseManager {
             incarnation,
             rng,
-            quorum: Quorum::new(electorate, peer_count, parameters.local_peer, silence),
+            quorum: Quorum::new(electorate, peer_count, parameters.local_peer, startup_wait),
             electorate_digest: digest,
             elector,
             states,
-            known_leases: KnownLeases::new(next_gossip),
+            known_leases: KnownLeases::new(next_gossip_at),
             peer_incarnations: vec![0; peer_count],
             counters: LeaseCounters::default(),
             is_shutting_down: false,
@@ -95,9 +95,9 @@
         }
     }
 
-    /// Takes an event, and returns what is to be done, in order; the last action is always a timer.
+    /// Handles an event and returns the actions to perform, in order. The last action always sets the timer.
     pub fn handle(&mut self, now: Timestamp, event: Event) -> Vec<Action> {
-        // In a process that stood still, what expired meanwhile is lost before anything else counts.
+        // The process may have stalled, so leases that expired meanwhile are lost before the event is handled.
         self.expire_leases(now);
         self.apply(now, event);
         self.quorum.update(now);
@@ -127,7 +127,7 @@
                 }
             }
             Event::ElectorateChanged(next) => {
-                self.quorum.follow(next);
+                self.quorum.change_electorate(next);
                 self.electorate_digest = electorate_digest(
                     &self.quorum.electorate().electors,
                     &self.parameters.name_hashes,
@@ -141,7 +141,7 @@
             .states
             .values()
             .filter_map(LeaseState::next_deadline)
-            .chain([self.known_leases.next_gossip()])
+            .chain([self.known_leases.next_gossip_at()])
             .min();
         let after = next.map_or(self.parameters.heartbeat_interval, |next| next - now);
         self.actions.push(Action::SetTimer {
@@ -149,15 +149,15 @@
         });
     }
 
-    /// The epoch in which this gateway may act right now, or none if it may not. To be called immediately before each act, with a fresh
-    /// reading of a clock that never steps, so that a deposed holder does not act on. A holder whose renewals are late stops although
-    /// nobody else has the lease yet.
+    /// The epoch under which this gateway may act now; `None` if it doesn't hold the lease. Callers check this immediately before each
+    /// operation, with a fresh reading of a clock that never steps, so that a former holder doesn't act. A holder whose renewals are
+    /// late stops even if no other gateway has the lease yet.
     pub fn may_act(&self, now: Timestamp, lease: LeaseName) -> Option<Epoch> {
         let held = self.states.get(&lease)?.held()?;
         (now < held.expires_at).then_some(held.epoch)
     }
 
-    /// Who holds a lease, as far as this gateway knows. For status only.
+    /// The holder of a lease as far as this gateway knows, possibly outdated or expired; only for status reports.
     pub fn holder(&self, now: Timestamp, lease: LeaseName) -> Option<KnownHolder> {
         let held = self.states.get(&lease).and_then(LeaseState::held);
         match held.filter(|held| now < held.expires_at) {
@@ -170,15 +170,15 @@
         }
     }
 
-    /// Whether this electorate may follow the current one now.
+    /// Checks whether this electorate may replace the current one now.
     ///
     /// # Errors
-    /// It has not the next number, differs by more than one member, or comes before the current one is in force.
+    /// Its number isn't the next one, it doesn't differ by exactly one member, or the current electorate isn't in force yet.
     pub fn check_electorate_change(&self, next: &Electorate) -> Result<(), ConfigurationError> {
         self.quorum.check_successor(next)
     }
 
-    /// The electorate that counts.
+    /// The current electorate and whether it is in force.
     pub fn electorate(&self) -> ElectorateStatus<'_> {
         ElectorateStatus {
             electorate: self.quorum.electorate(),
@@ -186,12 +186,12 @@
         }
     }
 
-    /// Counters since the start.
+    /// The counters since this process started.
     pub fn counters(&self) -> LeaseCounters {
         self.counters
     }
 
-    /// Whether all that was held has been given up, and each release was sent twice: a process that shuts down may end.
+    /// Whether a started shutdown may complete: every lease has been given up, and each release has been sent twice.
     pub fn is_shutdown_complete(&self) -> bool {
         let is_released =
             |state: &LeaseState| state.repeated_release.is_none() && state.held().is_none();
--- a/crates/lease/src/message.rs
+++ b/crates/lease/src/message.rs
@@ -1,4 +1,4 @@
-//! Messages between gateways about leases. The order of fields and variants is the order on the wire.
+//! Messages between gateways about leases. The order of fields and variants is part of the wire format.
 
 use std::fmt;
 
@@ -6,7 +6,7 @@
 
 use crate::LeaseName;
 
-/// The fencing token of a holder: each that follows has a higher one.
+/// A fencing token. Each holder of a lease has a higher epoch than the holders before it.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -21,18 +21,17 @@
 /// A message between two gateways.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
-    /// Of the sender's process: Unix time in milliseconds at its start.
+    /// The start of the sender's process, as Unix time in milliseconds.
     pub incarnation: u64,
     /// The number of the sender's electorate.
     pub electorate_number: u32,
-    /// A checksum of its members: two that are configured with different electorates under one number count no grants of each
-    /// other.
+    /// A checksum of that electorate's members. Gateways with different members under the same number drop each other's messages.
     pub electorate_digest: u8,
-    /// What it says.
+    /// The request, reply or notification.
     pub body: MessageBody,
 }
 
-/// Which proposal a reply is about.
+/// Identifies the proposal that a reply answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProposalId {
     /// The requester's epoch.
@@ -41,39 +40,39 @@
     pub requester_tag: u16,
 }
 
-/// What a gateway knows of a lease's holder.
+/// The holder of a lease as known to the sender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRecord {
-    /// The lease.
+    /// The held lease.
     pub lease: LeaseName,
     /// The holder's epoch.
     pub epoch: Epoch,
-    /// The holder by the hash of its name; 0 if it is unknown.
+    /// The hash of the holder's name; 0 if the holder is unknown.
     pub holder_hash: u32,
-    /// For how long the lease lasts, by the sender's knowledge, in milliseconds.
+    /// How long the lease still lasts as far as the sender knows; 0 if it has expired.
     pub remaining_ms: u16,
 }
 
-/// What a message says.
+/// The kinds of lease messages, each about one lease except `KnownLeases`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MessageBody {
-    /// To an elector: would it grant the lease in this epoch?
+    /// Asks an elector to promise the lease to the sender in this epoch.
     Prepare {
         /// The lease.
         lease: LeaseName,
         /// The proposed epoch.
         epoch: Epoch,
-        /// The epoch of a holder that has transferred the lease to the sender.
+        /// The epoch of the holder that transferred the lease to the sender; `None` without a transfer.
         transferred_epoch: Option<Epoch>,
     },
-    /// The elector would, and grants no older epoch from now on.
+    /// The elector promises the lease in the proposed epoch, and rejects proposals with older epochs from now on.
     Promised {
         /// The lease.
         lease: LeaseName,
         /// The proposal.
         proposal: ProposalId,
     },
-    /// To an elector: grant the lease, or renew the grant.
+    /// Asks an elector to grant the lease, or to renew its grant.
     Acquire {
         /// The lease.
         lease: LeaseName,
@@ -81,7 +80,7 @@
         epoch: Epoch,
         /// 1 for the first grant; renewals have higher numbers.
         round: u16,
-        /// The lease's duration in milliseconds.
+        /// For how long the grant is to last.
         lease_ms: u16,
     },
     /// The elector has granted the lease.
@@ -90,12 +89,12 @@
         lease: LeaseName,
         /// The proposal.
         proposal: ProposalId,
-        /// The round that is answered.
+        /// The round of the answered request.
         round: u16,
-        /// The candidate that is next in line, by the hash of its name.
+        /// The hash of the next candidate's name; `None` if none is known or this round doesn't report it.
         next_candidate_hash: Option<u32>,
     },
-    /// The elector grants nothing now.
+    /// The elector gives no promise or grant now.
     Rejected {
         /// The lease.
         lease: LeaseName,
@@ -103,36 +102,36 @@
         proposal: ProposalId,
         /// The newest epoch that the elector knows of.
         epoch: Epoch,
-        /// For how long another gateway holds the lease, in milliseconds.
+        /// How long the grant of another gateway still lasts; 0 without such a grant.
         remaining_ms: u16,
-        /// How many candidates are in line before the requester.
+        /// How many candidates rank before the requester.
         candidates_before: u8,
-        /// The holder by the hash of its name; 0 if there is none.
+        /// The hash of the name of the gateway with that grant; 0 without one.
         holder_hash: u32,
     },
-    /// The holder gives the lease up.
+    /// The holder gives up the lease, or a candidate returns the grants of a failed acquisition.
     Release {
         /// The lease.
         lease: LeaseName,
         /// The holder's epoch.
         epoch: Epoch,
     },
-    /// The holder gives the lease up in favour of the receiver.
+    /// The holder gives up the lease and asks the receiver to acquire it.
     Transfer {
         /// The lease.
         lease: LeaseName,
         /// The holder's epoch.
         epoch: Epoch,
     },
-    /// Who holds what, as far as the sender knows.
+    /// Gossip: the holders that the sender knows of.
     KnownLeases {
-        /// At most `codec::MAX_KNOWN_LEASES`.
+        /// At most `codec::MAX_KNOWN_LEASES` of them.
         records: Vec<LeaseRecord>,
     },
 }
 
 impl MessageBody {
-    /// The highest epoch that the message names; 0 if it names none.
+    /// The highest epoch in the message; 0 if there is none.
     pub(crate) fn highest_epoch(&self) -> Epoch {
         match self {
             MessageBody::Prepare {
--- a/crates/lease/src/message_handling.rs
+++ b/crates/lease/src/message_handling.rs
@@ -1,5 +1,5 @@
-//! What a message changes. One of an earlier process, of an unknown gateway, or under an electorate that cannot be counted with changes
-//! nothing.
+//! Checks and handles received messages. Messages from an earlier process, from an unknown gateway, or under an incompatible electorate
+//! are dropped.
 
 use harrierdock_types::{PeerId, TimeDelta, Timestamp};
 
@@ -7,16 +7,16 @@
 use crate::lease_state::{Phase, FIRST_ROUND};
 use crate::{Epoch, KnownHolder, LeaseManager, LeaseName, Message, MessageBody, ProposalId};
 
-/// How far ahead an epoch or a start may be, in milliseconds: a year. One garbled number must not use up all epochs there are. A fleet
-/// whose own clock is a year behind holds nothing.
+/// How far an epoch or an incarnation may be ahead of this gateway's incarnation: a year. Without this bound, one corrupt number could use
+/// up all epochs. A gateway whose clock is more than a year behind therefore drops all messages.
 const MAX_AHEAD_MS: u64 = 366 * 86_400_000;
 
-/// Whole milliseconds, as far as they fit.
+/// Converts to whole milliseconds, clamped to the range of `u16`.
 pub(crate) fn duration_to_ms(span: TimeDelta) -> u16 {
     (span.0 / 1000).clamp(0, i64::from(u16::MAX)) as u16
 }
 
-/// Milliseconds of a wait, one more than whole ones: who comes back too early comes in vain. 0 if there is nothing to wait for.
+/// Converts a wait to milliseconds, rounded up so that the receiver doesn't retry too early. 0 without a wait.
 fn wait_to_ms(span: TimeDelta) -> u16 {
     if span > TimeDelta::ZERO {
         duration_to_ms(span).saturating_add(1)
@@ -29,14 +29,14 @@
     TimeDelta(i64::from(ms) * 1000)
 }
 
-/// An incarnation in 16 bits, for replies. Two starts of one gateway differ by their epochs as well: a later process asks for newer ones
-/// only.
+/// Folds an incarnation into 16 bits, for replies. A collision between two processes of one gateway is harmless, since the later process
+/// proposes only newer epochs.
 pub(crate) fn requester_tag(incarnation: u64) -> u16 {
     (incarnation ^ (incarnation >> 16) ^ (incarnation >> 32)) as u16
 }
 
 impl LeaseManager {
-    /// Checks a message of another gateway, and handles it if it counts.
+    /// Checks a message from another gateway, and handles it if it is valid.
     pub(crate) fn receive(&mut self, now: Timestamp, from: PeerId, message: Message) {
         let latest = self.incarnation.saturating_add(MAX_AHEAD_MS);
         if !self.record_incarnation(from, message.incarnation, latest) {
@@ -47,7 +47,7 @@
             self.counters.implausible_messages += 1;
             return;
         }
-        if !self.is_countable(&message) {
+        if !self.has_compatible_electorate(&message) {
             self.counters.incompatible_messages += 1;
             return;
         }
@@ -56,7 +56,8 @@
         self.handle_body(now, from, message.incarnation, message.body);
     }
 
-    /// Grants and promises of an earlier process went with it. Returns whether the sender's process is the newest known, and plausible.
+    /// Returns whether the sender's incarnation is plausible and no older than the newest one known. The state of an earlier process was
+    /// lost with that process, so its messages don't count.
     fn record_incarnation(&mut self, from: PeerId, incarnation: u64, latest: u64) -> bool {
         match self.peer_incarnations.get_mut(from.0) {
             Some(newest)
@@ -71,19 +72,19 @@
         }
     }
 
-    /// Whether the sender's electorate can be counted together with this gateway's.
-    fn is_countable(&self, message: &Message) -> bool {
-        // Known leases are no grants: they announce an electorate even where grants do not fit any more.
+    /// Whether grants under the sender's electorate count together with grants under this gateway's.
+    fn has_compatible_electorate(&self, message: &Message) -> bool {
+        // Gossip contains no grants. It has to pass so that gateways learn each other's electorate number across several changes.
         let is_gossip = matches!(message.body, MessageBody::KnownLeases { .. });
         if !self.quorum.is_compatible(message.electorate_number) && !is_gossip {
             return false;
         }
-        // Two gateways may be configured with different electorates under one number.
+        // By mistake, two gateways may be configured with different electorates under the same number.
         message.electorate_number != self.quorum.electorate().number
             || message.electorate_digest == self.electorate_digest
     }
 
-    /// Handles a message that counts, or one of this gateway to itself.
+    /// Handles a checked message, or a message of this gateway to itself.
     pub(crate) fn handle_body(
         &mut self,
         now: Timestamp,
@@ -125,12 +126,12 @@
                 for record in records {
                     self.elector.learn_epoch(record.lease, record.epoch);
                     if let Some(holder) = self.parameters.peer_by_name_hash(record.holder_hash) {
-                        let heard = KnownHolder {
+                        let reported = KnownHolder {
                             holder,
                             epoch: record.epoch,
                             expires_at: now + ms_to_duration(record.remaining_ms),
                         };
-                        self.record_holder(record.lease, heard);
+                        self.record_holder(record.lease, reported);
                     }
                 }
             }
@@ -179,7 +180,7 @@
         match self.elector.acquire(now, lease, request) {
             ElectorReply::NoReply => {}
             ElectorReply::Accepted => {
-                // Reported every other time: it changes seldom.
+                // The next candidate changes rarely, so only every second round reports it to another gateway.
                 let reports_candidate =
                     requester.peer == self.parameters.local_peer || round % 2 == 1;
                 let next_candidate_hash = reports_candidate
@@ -232,14 +233,14 @@
         );
     }
 
-    /// The next candidate by this elector: itself if it waits, or whom it has heard to wait.
+    /// The name hash of the next candidate that this elector knows: its own gateway if that waits for the lease, else the first by rank.
     fn next_candidate_hash(&self, now: Timestamp, lease: LeaseName, except: PeerId) -> Option<u32> {
         let local_peer = self.parameters.local_peer;
-        let waits = self
+        let is_waiting = self
             .states
             .get(&lease)
             .is_some_and(|s| s.is_candidate && matches!(s.phase, Phase::Waiting { .. }));
-        let next = if waits && local_peer != except {
+        let next = if is_waiting && local_peer != except {
             local_peer
         } else {
             let timeout = self.candidate_timeouts().next;
--- a/crates/lease/src/replies.rs
+++ b/crates/lease/src/replies.rs
@@ -1,4 +1,4 @@
-//! What electors' replies change in a proposal of this gateway.
+//! Handles the electors' replies to this gateway's proposals.
 
 use std::collections::{BTreeSet, VecDeque};
 
@@ -53,7 +53,7 @@
         }
     }
 
-    /// The reply, if it is an elector's and about a proposal of this process.
+    /// Returns the reply if an elector sent it and it answers a proposal of this process.
     fn own_reply(&self, from: PeerId, lease: LeaseName, proposal: ProposalId) -> Option<Reply> {
         let is_own = proposal.requester_tag == requester_tag(self.incarnation);
         (is_own && self.quorum.is_elector(from)).then_some(Reply {
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Keeps the next candidate that an elector reports with a grant.
+    /// Records the next candidate that an elector reports with a grant.
     fn record_successor(&mut self, reply: &Reply, number: u16, candidate_hash: Option<u32>) {
         let candidate = candidate_hash
             .and_then(|hash| self.parameters.peer_by_name_hash(hash))
@@ -124,11 +124,11 @@
                 if *epoch == reply.epoch && round.number == number =>
             {
                 round.grants.insert(reply.from);
-                // The lease may have expired while its last grant was under way.
+                // The lease may have expired while the grant that completes the quorum was in transit.
                 let is_in_time = now < round.sent_at + lease_duration;
                 if self.quorum.is_reached(&round.grants) && is_in_time {
                     let round = round.clone();
-                    self.begin_holding(reply, round);
+                    self.start_holding(reply, round);
                 }
             }
             Phase::Held(held) if held.epoch == reply.epoch => {
@@ -146,7 +146,7 @@
         }
     }
 
-    fn begin_holding(&mut self, reply: &Reply, round: Round) {
+    fn start_holding(&mut self, reply: &Reply, round: Round) {
         let expires_at = round.sent_at + self.parameters.holder_lease_duration();
         let renew_at = round.sent_at + self.parameters.heartbeat_interval;
         let Some(state) = self.states.get_mut(&reply.lease) else {
@@ -156,7 +156,7 @@
             epoch: reply.epoch,
             expires_at,
             renew_at,
-            last_round: round.number,
+            last_round_number: round.number,
             rounds: VecDeque::from([round]),
         });
         state.failures = 0;
@@ -177,8 +177,8 @@
         self.record_holder(reply.lease, known);
     }
 
-    /// The elector's epoch may be no holder's, but the one below which it promises nothing after its start: so it binds this gateway's
-    /// next try, and not its own promises.
+    /// Learns the epoch and holder from a rejection. The epoch may be the elector's floor after its start, which belongs to no holder. So
+    /// it raises the epoch of this gateway's next try, but not the epoch that its own elector requires.
     fn learn_from_rejection(
         &mut self,
         now: Timestamp,
--- a/crates/lease/src/retry_delay.rs
+++ b/crates/lease/src/retry_delay.rs
@@ -1,5 +1,5 @@
-//! When a candidate tries next. Candidates of a large fleet spread over time, so that they neither ask at once nor take grants from each
-//! other.
+//! Computes when a candidate tries next. The candidates of a large fleet spread their tries, so that they neither send requests at once
+//! nor split the grants among themselves.
 
 use harrierdock_types::{PeerId, TimeDelta, Timestamp};
 use nanorand::Rng;
@@ -8,18 +8,18 @@
 use crate::lease_state::Phase;
 use crate::{LeaseManager, LeaseName};
 
-/// Heartbeats between the tries of two candidates: longer than a round on the paths of one site. Each candidate that is gone delays the
-/// next one by this.
+/// The spacing between the tries of consecutive candidates, in heartbeat intervals: longer than a round trip within a site. Each crashed
+/// candidate delays the next one by this spacing.
 pub(crate) const CANDIDATE_SPACING: f64 = 1.0 / 16.0;
-/// Leases between the looks of candidates behind the first.
-const LATER_LOOK_LEASES: f64 = 12.0;
-/// Doublings of the wait after tries that came to nothing.
+/// The mean interval between probes of the candidates behind the next ones, in lease durations.
+const LATER_PROBE_LEASES: f64 = 12.0;
+/// How often the delay after failed tries doubles at most.
 const MAX_DOUBLINGS: u32 = 4;
-/// Looks a lease by a whole fleet whose candidates do not know yet how many are before them.
-const FIRST_LOOKS_PER_LEASE: f64 = 64.0;
+/// How many probes in a lease duration all candidates together send before they know their places.
+const FIRST_PROBES_PER_LEASE: f64 = 64.0;
 
 impl LeaseManager {
-    /// The rank by which every elector orders candidates, lowest first; another order for each lease.
+    /// The rank by which all electors order candidates, lowest first. The order differs from lease to lease.
     pub(crate) fn candidate_rank(&self, lease: LeaseName, peer: PeerId) -> u64 {
         let hash = self.parameters.name_hash(peer).unwrap_or(0);
         let lease_number = match lease {
@@ -34,11 +34,11 @@
     pub(crate) fn candidate_timeouts(&self) -> CandidateTimeouts {
         CandidateTimeouts {
             next: self.parameters.lease_duration * 4.0,
-            later: self.parameters.lease_duration * (2.0 * LATER_LOOK_LEASES),
+            later: self.parameters.lease_duration * (2.0 * LATER_PROBE_LEASES),
         }
     }
 
-    /// By how much this candidate's try is later than that of the first in line.
+    /// Draws this candidate's delay behind the first one: a spacing for each one before it, and up to half a spacing at random.
     pub(crate) fn draw_spacing(&mut self, lease: LeaseName) -> TimeDelta {
         let local_peer = self.parameters.local_peer;
         let electors = self.quorum.electors();
@@ -55,28 +55,28 @@
         self.parameters.heartbeat_interval * (CANDIDATE_SPACING * (before as f64 + 0.5 * draw))
     }
 
-    /// The delay of a candidate that knows to be far behind in line: all such together look about once a lease.
+    /// Draws the delay of a candidate that is far behind the first ones. All of these together probe about once in a lease duration.
     fn draw_distant_delay(&mut self) -> TimeDelta {
         let peers = self.parameters.name_hashes.len() as f64;
         self.parameters.lease_duration * (2.0 * peers * self.rng.generate::<f64>()).max(0.5)
     }
 
-    /// The delay of a candidate that has not heard from an elector how many are before it. All of a large fleet look 64 times a lease in sum, each once:
-    /// nobody knows yet how many they are, and few must not wait long.
+    /// Draws the delay of a candidate to which no elector has reported its place yet. The candidates of a large fleet together send 64
+    /// probes in a lease duration, each candidate one. Their number is unknown yet, and a few candidates must not wait long.
     pub(crate) fn draw_first_delay(&mut self) -> TimeDelta {
         let peers = self.parameters.name_hashes.len() as f64;
-        let leases = (peers / FIRST_LOOKS_PER_LEASE).max(1.0);
+        let leases = (peers / FIRST_PROBES_PER_LEASE).max(1.0);
         self.parameters.lease_duration * (leases * self.rng.generate::<f64>())
     }
 
-    /// Ends what is under way, and sets the next try. `remaining` is for how long another gateway holds the lease.
+    /// Returns to the waiting phase, and schedules the next try. `remaining` is how long another gateway still holds the lease, or zero.
     pub(crate) fn wait(&mut self, now: Timestamp, lease: LeaseName, remaining: TimeDelta) {
         let spacing = self.draw_spacing(lease);
         let distant_delay = self.draw_distant_delay();
         let draw = self.rng.generate::<f64>();
         let is_elector = self.quorum.is_elector(self.parameters.local_peer);
         let lease_duration = self.parameters.lease_duration;
-        let unit = self.parameters.heartbeat_interval * CANDIDATE_SPACING;
+        let base_delay = self.parameters.heartbeat_interval * CANDIDATE_SPACING;
         let Some(state) = self.states.get_mut(&lease) else {
             return;
         };
@@ -89,13 +89,13 @@
                     expected_free + lease_duration * before as f64 + spacing
                 }
                 before if before < MAX_CANDIDATES => {
-                    expected_free + lease_duration * (LATER_LOOK_LEASES * (0.5 + draw))
+                    expected_free + lease_duration * (LATER_PROBE_LEASES * (0.5 + draw))
                 }
                 _ => expected_free + distant_delay,
             }
         } else {
             state.failures = (state.failures + 1).min(MAX_DOUBLINGS);
-            now + spacing + unit * (draw * f64::from(1u32 << state.failures))
+            now + spacing + base_delay * (draw * f64::from(1u32 << state.failures))
         };
         state.phase = Phase::Waiting { next_try };
     }
