--- a/crates/fault-injection/src/fleet/judge.rs
+++ b/crates/fault-injection/src/fleet/judge.rs
@@ -47,8 +47,8 @@
 /// The times, in Unix seconds, in which a gateway held a duty, by its own lines.
 fn holdings(gateway: &Gateway, duty: &str, end: f64) -> Vec<(f64, f64)> {
     let (holds, ended) = (
-        format!(" fleet: holds {duty},"),
-        format!(" fleet: {duty} ended,"),
+        format!(" fleet: acquired lease {duty},"),
+        format!(" fleet: lost lease {duty},"),
     );
     let mut found: Vec<(f64, f64)> = Vec::new();
     let mut since = None;
--- a/crates/fault-injection/src/fleet/process_group/mod.rs
+++ b/crates/fault-injection/src/fleet/process_group/mod.rs
@@ -101,8 +101,8 @@
 
     /// Whether the running incarnation holds a lease by its own log; none if it logged nothing of it.
     fn is_holder(&self, duty: &str) -> Option<bool> {
-        let acquired = format!(" fleet: holds {duty},");
-        let ended = format!(" fleet: {duty} ended,");
+        let acquired = format!(" fleet: acquired lease {duty},");
+        let ended = format!(" fleet: lost lease {duty},");
         let mut newest_first = self.process.as_ref()?.lease_log.iter().rev();
         let last = newest_first.find(|line| line.contains(&acquired) || line.contains(&ended))?;
         Some(last.contains(&acquired))
--- a/crates/gateway/src/lease/message_version.rs
+++ b/crates/gateway/src/lease/message_version.rs
@@ -1,25 +1,25 @@
-//! Faults that are injected in one gateway, to show that the others bear them: another version of the
-//! messages, and a clock that runs at another rate.
+//! Faults injected into one gateway, to test that the other gateways tolerate them: another message version, and a clock that runs too
+//! fast or too slow.
 
 use harrierdock_lease::codec;
 use harrierdock_types::{TimeDelta, Timestamp};
 
 use crate::config::lease::InjectedFaults;
 
-/// Where the version stands in a message.
+/// The offset of the format version in a message.
 const VERSION_BYTE: usize = 1;
 
-/// The version of messages that a gateway writes and reads.
+/// The message version that this gateway sends and accepts.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct MessageVersion(u8);
 
 impl MessageVersion {
-    /// The current version, or the one configured.
+    /// The injected version, or the current one without injected faults.
     pub(super) fn new(faults: Option<&InjectedFaults>) -> MessageVersion {
-        MessageVersion(faults.map_or(codec::FORMAT_VERSION, |o| o.message_version))
+        MessageVersion(faults.map_or(codec::FORMAT_VERSION, |faults| faults.message_version))
     }
 
-    /// Exchanges the current version and the configured one in a message, whichever way it goes.
+    /// Swaps the current version and the injected one in a message, sent or received.
     pub(super) fn convert(self, message: &mut [u8]) {
         if self.0 == codec::FORMAT_VERSION {
             return;
@@ -34,7 +34,7 @@
     }
 }
 
-/// The clock that the leases go by.
+/// The clock used for leases. An injected fault makes it run at another rate than the event loop's clock.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LeaseClock {
     start: Timestamp,
@@ -42,15 +42,15 @@
 }
 
 impl LeaseClock {
-    /// A clock that runs at the right rate, or at the one configured.
+    /// A clock that runs at the injected rate, or at the event loop's rate without injected faults.
     pub(super) fn new(start: Timestamp, faults: Option<&InjectedFaults>) -> LeaseClock {
         LeaseClock {
             start,
-            rate: faults.map_or(1.0, |o| o.clock_rate),
+            rate: faults.map_or(1.0, |faults| faults.clock_rate),
         }
     }
 
-    /// The lease clock's time when the event loop's is `now`.
+    /// The time of the lease clock when the event loop's clock shows `now`.
     pub(super) fn at(self, now: Timestamp) -> Timestamp {
         if self.rate == 1.0 {
             return now;
@@ -58,7 +58,7 @@
         self.start + (now - self.start) * self.rate
     }
 
-    /// How long a time by this clock is by the event loop's.
+    /// Converts a duration on the lease clock to one on the event loop's clock.
     pub(super) fn to_loop_time(self, delta: TimeDelta) -> TimeDelta {
         delta / self.rate
     }
--- a/crates/gateway/src/lease/mod.rs
+++ b/crates/gateway/src/lease/mod.rs
@@ -1,4 +1,4 @@
-//! Leases: rights that one gateway of a fleet holds at a time.
+//! This gateway's part in the leases of its fleet. At most one gateway holds each lease at a time.
 
 mod message_version;
 pub(crate) mod participant;
--- a/crates/gateway/src/lease/participant.rs
+++ b/crates/gateway/src/lease/participant.rs
@@ -1,5 +1,5 @@
-//! This gateway's part in the leases: messages of peers are decoded for `harrierdock-lease`, and its actions become requests to
-//! the dispatcher and log lines. Opens no socket and reads no clock.
+//! Connects `harrierdock-lease` to the gateway: decodes messages of peers for it, and translates its actions into log lines and requests to
+//! the dispatcher. Opens no socket and reads no clock.
 
 use harrierdock_lease::{
     codec, Action, DecodeError, Epoch, Event, LeaseManager, LeaseName, LeaseParameters, LossReason,
@@ -9,77 +9,78 @@
 use super::message_version::{LeaseClock, MessageVersion};
 use crate::config::lease::{LeaseConfig, LeaseConfigError};
 
-/// Binary messages, about leases or rollout votes, begin with this byte or a higher one. No text does.
+/// The first byte of a binary message, about leases or rollout votes, is at least this one. Text in UTF-8 never contains such a byte.
 pub(crate) const FIRST_LEASE_BYTE: u8 = 0xF5;
-/// How often it is logged that messages could not be read.
-const UNREADABLE_LOG_INTERVAL: TimeDelta = TimeDelta(10_000_000);
+/// The minimum time between two log lines about undecodable messages.
+const UNDECODABLE_LOG_INTERVAL: TimeDelta = TimeDelta(10_000_000);
 
-/// What the dispatcher is asked to do.
+/// A request to the dispatcher.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum LeaseAction {
     /// Send a message to a peer.
     Send {
-        /// The peer.
+        /// The receiver.
         to: PeerId,
-        /// The message.
+        /// The encoded message.
         bytes: Vec<u8>,
     },
-    /// Note that this gateway holds a lease from now on.
+    /// Record that this gateway holds a lease from now on.
     Acquired {
-        /// The lease.
+        /// The acquired lease.
         lease: LeaseName,
-        /// Its epoch.
+        /// The epoch to send along with operations under the lease.
         epoch: Epoch,
     },
-    /// Note that this gateway holds a lease no more.
+    /// Record that this gateway no longer holds a lease.
     Lost {
-        /// The lease.
+        /// The lost lease.
         lease: LeaseName,
     },
-    /// Set the timer, in place of an earlier one.
+    /// Set the timer to this time, replacing the previous timer.
     SetTimer(Timestamp),
 }
 
-/// Messages that could not be read and are not logged yet.
+/// Counts undecodable messages, and limits how often they are logged.
 #[derive(Default)]
-struct UnreadableMessages {
-    count: u64,
+struct UndecodableMessages {
+    /// Messages since the last log line.
+    unlogged_count: u64,
     logged_at: Option<Timestamp>,
 }
 
-impl UnreadableMessages {
-    /// Counts a message, and logs how many there were if it is time. A line in a while suffices for a garbled path or a gateway
-    /// of another version.
-    fn log(&mut self, now: Timestamp, sender: &str, error: &DecodeError) {
-        self.count += 1;
-        let is_time = self
+impl UndecodableMessages {
+    /// Counts a message, and logs the count if the last log line is old enough. One line per interval is enough to notice a faulty
+    /// path or a gateway of another version.
+    fn record(&mut self, now: Timestamp, sender: &str, error: &DecodeError) {
+        self.unlogged_count += 1;
+        let is_log_due = self
             .logged_at
-            .is_none_or(|at| now - at >= UNREADABLE_LOG_INTERVAL);
-        if is_time {
-            let count = std::mem::take(&mut self.count);
+            .is_none_or(|at| now - at >= UNDECODABLE_LOG_INTERVAL);
+        if is_log_due {
+            let count = std::mem::take(&mut self.unlogged_count);
             self.logged_at = Some(now);
             tracing::warn!(
-                "fleet: {count} messages refused lately, the last from {sender}: {error}"
+                "fleet: refused {count} undecodable messages since the last such line, the latest from {sender}: {error}"
             );
         }
     }
 }
 
-/// Who takes part, by which settings.
+/// What `LeaseParticipant::start` needs.
 pub(crate) struct Participation<'a> {
-    /// The settings of the leases.
+    /// The lease settings as configured.
     pub(crate) settings: &'a LeaseConfig,
-    /// The same, checked and parsed.
+    /// The same settings, checked and parsed.
     pub(crate) parameters: LeaseParameters,
     /// This gateway's name.
     pub(crate) name: &'a str,
-    /// The seed of its random numbers.
+    /// Combined with the start time to seed the random delays.
     pub(crate) seed: u64,
 }
 
 /// This gateway's part in the leases.
 pub(crate) struct LeaseParticipant {
-    /// The deadline of the timer.
+    /// When the timer fires; `None` if it isn't set. The dispatcher sets this.
     pub(crate) timer_deadline: Option<Timestamp>,
     manager: LeaseManager,
     settings: LeaseConfig,
@@ -87,11 +88,11 @@
     local_peer: PeerId,
     clock: LeaseClock,
     message_version: MessageVersion,
-    unreadable: UnreadableMessages,
+    undecodable: UndecodableMessages,
 }
 
 impl LeaseParticipant {
-    /// Takes part from now on, as a candidate for the configured leases if this gateway is an elector.
+    /// Starts to take part. If this gateway is an elector, it becomes a candidate for all configured leases.
     pub(crate) fn start(
         now: Timestamp,
         participation: Participation<'_>,
@@ -106,7 +107,7 @@
         let local_peer = parameters.local_peer;
         let leases = parameters.leases.clone();
         let is_elector = parameters.electorate.electors.contains(&local_peer);
-        // Unix time in milliseconds, because timestamps begin with Unix time.
+        // Timestamps count microseconds of Unix time from the process' start on, so this is Unix time in milliseconds.
         let incarnation = (now.0 / 1000) as u64;
         let mut participant = LeaseParticipant {
             timer_deadline: None,
@@ -116,7 +117,7 @@
             local_peer,
             clock: LeaseClock::new(now, faults),
             message_version: MessageVersion::new(faults),
-            unreadable: UnreadableMessages::default(),
+            undecodable: UndecodableMessages::default(),
         };
         let mut actions = participant.handle(now, Event::TimerFired);
         for lease in leases.into_iter().filter(|_| is_elector) {
@@ -131,7 +132,7 @@
         (participant, actions)
     }
 
-    /// The electors besides this gateway.
+    /// The electors other than this gateway.
     pub(crate) fn other_electors(&self) -> Vec<PeerId> {
         self.manager
             .electorate()
@@ -143,22 +144,22 @@
             .collect()
     }
 
-    /// The epoch in which this gateway may act under a lease right now. To be asked immediately before the bytes of each act are
-    /// written: a gateway that was stalled or partitioned cannot know otherwise that its lease has expired.
+    /// The epoch under which this gateway may act now; `None` if it doesn't hold the lease. Callers check this immediately before they
+    /// write the bytes of an operation. A gateway that was stalled or partitioned learns only here that its lease has expired.
     pub(crate) fn may_act(&self, now: Timestamp, lease: LeaseName) -> Option<Epoch> {
         self.manager.may_act(self.clock.at(now), lease)
     }
 
-    /// Converts a message to or from the version that this gateway writes and reads.
+    /// Converts a message between the current version and the one that this gateway sends and accepts.
     pub(crate) fn convert_version(&self, message: &mut [u8]) {
         self.message_version.convert(message);
     }
 
-    /// Handles a message of a peer.
+    /// Decodes and handles a message from a peer.
     ///
     /// # Errors
     ///
-    /// It cannot be read, and changes nothing.
+    /// The message can't be decoded, and nothing changes.
     pub(crate) fn handle_message(
         &mut self,
         now: Timestamp,
@@ -168,12 +169,12 @@
         let message = codec::decode(bytes).inspect_err(|error| {
             let sender = self.settings.gateways.get(from.0);
             let sender = sender.map_or("?", String::as_str);
-            self.unreadable.log(now, sender, error);
+            self.undecodable.record(now, sender, error);
         })?;
         Ok(self.handle(now, Event::MessageReceived { from, message }))
     }
 
-    /// Tells the leases what has happened, and returns what is to be done.
+    /// Passes an event to the lease manager and returns the resulting requests to the dispatcher, in order.
     pub(crate) fn handle(&mut self, now: Timestamp, event: Event) -> Vec<LeaseAction> {
         let actions = self.manager.handle(self.clock.at(now), event);
         actions
@@ -189,7 +190,7 @@
                 bytes: codec::encode(&message),
             },
             Action::Acquired { lease, epoch } => {
-                tracing::info!("fleet: holds {lease}, epoch {epoch}");
+                tracing::info!("fleet: acquired lease {lease}, epoch {epoch}");
                 LeaseAction::Acquired { lease, epoch }
             }
             Action::Lost {
@@ -206,11 +207,11 @@
         }
     }
 
-    /// Applies settings that were read again. Only the electorate may change while the gateway runs.
+    /// Applies reloaded settings. Only the electorate may change while the gateway runs.
     ///
     /// # Errors
     ///
-    /// The electorate does not fit; the former one stays.
+    /// The electorate is invalid or can't replace the current one yet. The current one stays in use.
     pub(crate) fn reload(
         &mut self,
         now: Timestamp,
@@ -218,7 +219,7 @@
     ) -> Result<Vec<LeaseAction>, LeaseConfigError> {
         if settings.differs_beyond_electorate(&self.settings) {
             tracing::warn!(
-                "fleet: what is told beside the electorate counts from the next start on only"
+                "fleet: lease settings other than the electorate have changed and take effect only after a restart"
             );
         }
         if settings.electorate == self.settings.electorate
@@ -229,7 +230,7 @@
         let next = settings.electorate(&self.name)?;
         self.manager.check_electorate_change(&next)?;
         tracing::info!(
-            "fleet: electorate {} begins: {}",
+            "fleet: changed to electorate {}: {}",
             next.number,
             settings.electorate.join(" ")
         );
@@ -256,9 +257,9 @@
         Ok(actions)
     }
 
-    /// The counters and the holders that are known here, for the log.
+    /// Formats the lease counters and the known holders for the log.
     pub(crate) fn counts(&self, now: Timestamp) -> String {
-        let counts = self.manager.counters();
+        let counters = self.manager.counters();
         let holder_of = |lease: &str| -> Option<&str> {
             let holder = self
                 .manager
@@ -274,24 +275,26 @@
             .collect();
         format!(
             "fleet: taken={} handed-on={} lapsed={} outdated={} unlike={} absurd={}{holders}",
-            counts.acquired,
-            counts.transferred,
-            counts.expired,
-            counts.outdated_messages,
-            counts.incompatible_messages,
-            counts.implausible_messages
+            counters.acquired,
+            counters.transferred,
+            counters.expired,
+            counters.outdated_messages,
+            counters.incompatible_messages,
+            counters.implausible_messages
         )
     }
 }
 
 fn log_loss(lease: &LeaseName, epoch: Epoch, reason: LossReason) {
     match reason {
-        LossReason::Transferred => tracing::info!("fleet: {lease} ended, epoch {epoch}: handed on"),
+        LossReason::Transferred => {
+            tracing::info!("fleet: lost lease {lease}, epoch {epoch}: transferred")
+        }
         LossReason::Expired => {
-            tracing::warn!("fleet: {lease} ended, epoch {epoch}: not renewed in time");
+            tracing::warn!("fleet: lost lease {lease}, epoch {epoch}: not renewed in time");
         }
         LossReason::Superseded => {
-            tracing::warn!("fleet: {lease} ended, epoch {epoch}: a later one is known");
+            tracing::warn!("fleet: lost lease {lease}, epoch {epoch}: a newer epoch is known");
         }
     }
 }
