--- a/crates/gateway/src/lease/participant.rs
+++ b/crates/gateway/src/lease/participant.rs
@@ -66,7 +66,7 @@
     }
 }
 
-/// What `LeaseParticipant::start` needs.
+/// The parameters of `LeaseParticipant::start`.
 pub(crate) struct Participation<'a> {
     /// The lease settings as configured.
     pub(crate) settings: &'a LeaseConfig,
@@ -107,7 +107,7 @@
         let local_peer = parameters.local_peer;
         let leases = parameters.leases.clone();
         let is_elector = parameters.electorate.electors.contains(&local_peer);
-        // Timestamps count microseconds of Unix time from the process' start on, so this is Unix time in milliseconds.
+        // Timestamps start at Unix time in microseconds, so this is Unix time in milliseconds.
         let incarnation = (now.0 / 1000) as u64;
         let mut participant = LeaseParticipant {
             timer_deadline: None,
@@ -179,11 +179,11 @@
         let actions = self.manager.handle(self.clock.at(now), event);
         actions
             .into_iter()
-            .map(|action| self.translate(now, action))
+            .map(|action| self.translate_action(now, action))
             .collect()
     }
 
-    fn translate(&self, now: Timestamp, action: Action) -> LeaseAction {
+    fn translate_action(&self, now: Timestamp, action: Action) -> LeaseAction {
         match action {
             Action::Send { to, message } => LeaseAction::Send {
                 to,
--- a/crates/lease/src/candidate.rs
+++ b/crates/lease/src/candidate.rs
@@ -29,24 +29,24 @@
             let held = self.states.get(&lease).and_then(LeaseState::held);
             if let Some(epoch) = held.filter(|h| now >= h.expires_at).map(|h| h.epoch) {
                 self.counters.expired += 1;
-                self.lose(now, lease, epoch, LossReason::Expired);
+                self.lose_lease(now, lease, epoch, LossReason::Expired);
             }
         }
     }
 
-    fn lose(&mut self, now: Timestamp, lease: LeaseName, epoch: Epoch, reason: LossReason) {
+    fn lose_lease(&mut self, now: Timestamp, lease: LeaseName, epoch: Epoch, reason: LossReason) {
         self.actions.push(Action::Lost {
             lease,
             epoch,
             reason,
         });
         let successor = match reason {
-            LossReason::Transferred => self.successor(lease),
+            LossReason::Transferred => self.choose_successor(lease),
             LossReason::Expired | LossReason::Superseded => None,
         };
         self.send_release(lease, epoch, successor);
         let send_at = now + self.parameters.heartbeat_interval * REPEATED_RELEASE_HEARTBEATS;
-        self.wait(now, lease, TimeDelta::ZERO);
+        self.return_to_waiting(now, lease, TimeDelta::ZERO);
         if let Some(state) = self.states.get_mut(&lease) {
             state.repeated_release = Some(RepeatedRelease {
                 send_at,
@@ -64,8 +64,8 @@
         }
     }
 
-    /// Picks the gateway to transfer the lease to among the reported candidates: an elector if there is one, else the lowest rank.
-    fn successor(&self, lease: LeaseName) -> Option<PeerId> {
+    /// Chooses the gateway to transfer the lease to among the reported candidates: an elector if there is one, else the lowest rank.
+    fn choose_successor(&self, lease: LeaseName) -> Option<PeerId> {
         let successors = &self.states.get(&lease)?.successors;
         successors
             .iter()
@@ -119,13 +119,13 @@
             Some(Phase::Held(held)) => {
                 let epoch = held.epoch;
                 self.counters.transferred += 1;
-                self.lose(now, lease, epoch, LossReason::Transferred);
+                self.lose_lease(now, lease, epoch, LossReason::Transferred);
             }
             Some(Phase::Acquiring { epoch, .. }) => {
                 let epoch = *epoch;
                 self.abandon_acquisition(now, lease, epoch, TimeDelta::ZERO);
             }
-            _ => self.wait(now, lease, TimeDelta::ZERO),
+            _ => self.return_to_waiting(now, lease, TimeDelta::ZERO),
         }
     }
 
@@ -138,7 +138,7 @@
         remaining: TimeDelta,
     ) {
         self.send_to_electors(&MessageBody::Release { lease, epoch });
-        self.wait(now, lease, remaining);
+        self.return_to_waiting(now, lease, remaining);
     }
 
     /// Handles a newer epoch, reported by the receiver of an operation. A lease held in an older epoch is lost.
@@ -146,7 +146,7 @@
         self.elector.learn_epoch(lease, newest);
         let held = self.states.get(&lease).and_then(LeaseState::held);
         if let Some(epoch) = held.map(|held| held.epoch).filter(|epoch| *epoch < newest) {
-            self.lose(now, lease, epoch, LossReason::Superseded);
+            self.lose_lease(now, lease, epoch, LossReason::Superseded);
         }
     }
 
@@ -249,7 +249,7 @@
                 self.handle_probe_timeout(now, lease);
             }
             Phase::Preparing { deadline, .. } if *deadline <= now => {
-                self.wait(now, lease, remaining);
+                self.return_to_waiting(now, lease, remaining);
             }
             Phase::Acquiring {
                 epoch, deadline, ..
@@ -318,8 +318,10 @@
         let grant = self.elector.grant_in_force(now, lease);
         let no_grants_until = self.elector.no_grants_until();
         match grant.filter(|grant| grant.holder != local_peer) {
-            Some(grant) => self.wait(now, lease, grant.expires_at - now),
-            None if now < no_grants_until => self.wait(now, lease, no_grants_until - now),
+            Some(grant) => self.return_to_waiting(now, lease, grant.expires_at - now),
+            None if now < no_grants_until => {
+                self.return_to_waiting(now, lease, no_grants_until - now)
+            }
             None => self.prepare(now, lease, None),
         }
     }
--- a/crates/lease/src/configuration.rs
+++ b/crates/lease/src/configuration.rs
@@ -86,7 +86,7 @@
     /// The first invalid setting.
     pub fn parameters(&self) -> Result<LeaseParameters, ConfigurationError> {
         self.check_names()?;
-        let local_peer = self.peer(&self.own_name);
+        let local_peer = self.find_peer(&self.own_name);
         let local_peer = local_peer.ok_or_else(|| ConfigurationError::UnknownOwnName {
             name: self.own_name.clone(),
         })?;
@@ -122,7 +122,7 @@
         let mut electors: Vec<PeerId> = Vec::with_capacity(count);
         for name in &self.electorate {
             let elector = self
-                .peer(name)
+                .find_peer(name)
                 .ok_or_else(|| ConfigurationError::UnknownElector { name: name.clone() })?;
             if electors.contains(&elector) {
                 return Err(ConfigurationError::DuplicateElector { name: name.clone() });
@@ -136,7 +136,7 @@
         })
     }
 
-    fn peer(&self, name: &str) -> Option<PeerId> {
+    fn find_peer(&self, name: &str) -> Option<PeerId> {
         self.peer_names
             .iter()
             .position(|listed| listed == name)
--- a/crates/lease/src/elector.rs
+++ b/crates/lease/src/elector.rs
@@ -109,7 +109,7 @@
 /// The grants and promises of one elector.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Elector {
-    /// Until then, a grant from before this start may still be valid, and a new one could make a second holder. The cost: if all
+    /// Before this time, a grant from before this start may still be valid, and a new one could make a second holder. The cost: if all
     /// electors restart at once, no lease has a holder for one lease duration.
     no_grants_until: Timestamp,
     /// Proposals need a higher epoch. So an epoch can't be reused after all electors that knew it have restarted.
--- a/crates/lease/src/fencing.rs
+++ b/crates/lease/src/fencing.rs
@@ -1,5 +1,6 @@
 //! Checks fencing tokens at the receiver of a holder's operations. The check needs neither a lease nor a clock: it keeps the highest epoch
-//! of each lease and refuses older ones. So an operation has no effect if its sender lost the lease before the operation arrived.
+//! of each lease and refuses older ones. So a former holder's operation is refused after one of a newer holder, even if the sender
+//! checked its lease just before sending.
 
 use std::collections::BTreeMap;
 
--- a/crates/lease/src/manager.rs
+++ b/crates/lease/src/manager.rs
@@ -68,7 +68,8 @@
         let digest = electorate_digest(&electorate.electors, &parameters.name_hashes);
         let mut rng = WyRand::new_seed(seed);
         let next_gossip_at = now + parameters.heartbeat_interval * rng.generate::<f64>();
-        // In a small fleet, electors keep all candidates. In a large one, a candidate counts as a late one until an elector reports its place.
+        // In a small fleet, electors keep all candidates. In a large one, a candidate assumes the last place until an elector reports
+        // its place.
         let candidates_before = match peer_count {
             0..=MAX_CANDIDATES => 0,
             _ => MAX_CANDIDATES,
--- a/crates/lease/src/replies.rs
+++ b/crates/lease/src/replies.rs
@@ -20,7 +20,7 @@
     pub(crate) fn handle_reply(&mut self, now: Timestamp, from: PeerId, body: MessageBody) {
         match body {
             MessageBody::Promised { lease, proposal } => {
-                if let Some(reply) = self.own_reply(from, lease, proposal) {
+                if let Some(reply) = self.reply_to_own_proposal(from, lease, proposal) {
                     self.handle_promise(now, &reply);
                 }
             }
@@ -30,7 +30,7 @@
                 round,
                 next_candidate_hash,
             } => {
-                if let Some(reply) = self.own_reply(from, lease, proposal) {
+                if let Some(reply) = self.reply_to_own_proposal(from, lease, proposal) {
                     self.record_successor(&reply, round, next_candidate_hash);
                     self.handle_grant(now, &reply, round);
                 }
@@ -45,7 +45,7 @@
             } => {
                 let remaining = ms_to_duration(remaining_ms);
                 self.learn_from_rejection(now, lease, epoch, remaining, holder_hash);
-                if let Some(reply) = self.own_reply(from, lease, proposal) {
+                if let Some(reply) = self.reply_to_own_proposal(from, lease, proposal) {
                     self.handle_rejection(now, &reply, remaining, usize::from(candidates_before));
                 }
             }
@@ -54,7 +54,12 @@
     }
 
     /// Returns the reply if an elector sent it and it answers a proposal of this process.
-    fn own_reply(&self, from: PeerId, lease: LeaseName, proposal: ProposalId) -> Option<Reply> {
+    fn reply_to_own_proposal(
+        &self,
+        from: PeerId,
+        lease: LeaseName,
+        proposal: ProposalId,
+    ) -> Option<Reply> {
         let is_own = proposal.requester_tag == requester_tag(self.incarnation);
         (is_own && self.quorum.is_elector(from)).then_some(Reply {
             from,
@@ -221,7 +226,7 @@
                 if remaining == TimeDelta::ZERO {
                     self.prepare(now, lease, None);
                 } else {
-                    self.wait(now, lease, remaining);
+                    self.return_to_waiting(now, lease, remaining);
                 }
             }
             Phase::Preparing {
@@ -234,7 +239,7 @@
                 state.remaining = state.remaining.max(remaining);
                 if rejections.len() + promises.len() >= elector_count {
                     let remaining = state.remaining;
-                    self.wait(now, lease, remaining);
+                    self.return_to_waiting(now, lease, remaining);
                 }
             }
             Phase::Acquiring {
--- a/crates/lease/src/retry_delay.rs
+++ b/crates/lease/src/retry_delay.rs
@@ -70,7 +70,12 @@
     }
 
     /// Returns to the waiting phase, and schedules the next try. `remaining` is how long another gateway still holds the lease, or zero.
-    pub(crate) fn wait(&mut self, now: Timestamp, lease: LeaseName, remaining: TimeDelta) {
+    pub(crate) fn return_to_waiting(
+        &mut self,
+        now: Timestamp,
+        lease: LeaseName,
+        remaining: TimeDelta,
+    ) {
         let spacing = self.draw_spacing(lease);
         let distant_delay = self.draw_distant_delay();
         let draw = self.rng.generate::<f64>();
