--- a/crates/gateway/tests/sockets/main.rs
+++ b/crates/gateway/tests/sockets/main.rs
@@ -1,5 +1,5 @@
-//! Starts the built gateway and speaks to it over sockets, with stand-ins for servers, discovery, the platform
-//! and a peer. Ports are the system's choice; every wait is for an event, and bounded.
+//! Tests of the built gateway over sockets, with stand-ins for endpoints, discovery, the rollout platform and a peer.
+//! The system chooses the ports. Every wait is for an event and has a time limit.
 
 mod attempts;
 mod client_requests;
