--- a/crates/event-loop/src/buffer_pool.rs
+++ b/crates/event-loop/src/buffer_pool.rs
@@ -1,33 +1,33 @@
-//! Buffers of one size that are used again and again.
+//! A pool of reusable buffers of one size.
 
 use harrierdock_http::BUFFER_BYTES;
 
 use crate::io_context::ResourceClass;
 
-/// A pooled buffer. One without capacity stands for none.
+/// A pooled buffer. Capacity 0 means that no buffer is held.
 pub type Buffer = Vec<u8>;
 
-/// The share of the memory limit that buffers may take, in percent.
+/// The share of the memory limit for buffers, in percent.
 const BUFFER_PERCENT: usize = 60;
-/// The share of the buffers that downstream connections may hold, in percent. The rest is for attempts and answers, so that
-/// requests cannot leave them without one.
+/// The share of the buffers that downstream connections may hold, in percent. The rest is reserved for attempts and
+/// responses, so that incoming requests cannot use up all buffers.
 const DOWNSTREAM_PERCENT: usize = 66;
-/// Buffers that are kept for reuse; those beyond go back to the system.
+/// Maximum number of free buffers kept for reuse; further ones are deallocated.
 const MAX_SPARE_BUFFERS: usize = 64;
 const MEGABYTE: usize = 1 << 20;
 
 /// A pool of buffers of `BUFFER_BYTES` each.
 pub struct BufferPool {
     spare: Vec<Buffer>,
-    /// Buffers that are in use.
+    /// Number of acquired buffers.
     pub in_use: usize,
-    /// How often a buffer came back in another state than it was acquired in.
+    /// Number of released buffers whose capacity changed or that were not acquired.
     pub violations: u64,
     max: usize,
 }
 
 impl BufferPool {
-    /// A pool within this memory limit.
+    /// Creates a pool with its share of a memory limit in megabytes.
     pub fn new(memory_limit_mb: usize) -> BufferPool {
         let bytes = memory_limit_mb.saturating_mul(MEGABYTE) / 100 * BUFFER_PERCENT;
         BufferPool {
@@ -55,17 +55,20 @@
         )
     }
 
-    /// Puts a buffer back and leaves none in its place. A buffer without capacity is ignored.
+    /// Returns a buffer to the pool and leaves a buffer of capacity 0. Ignores one that already has capacity 0.
     pub fn release(&mut self, buffer: &mut Buffer) {
         if buffer.capacity() == 0 {
             return;
         }
         let mut buffer = std::mem::take(buffer);
-        let is_as_acquired = buffer.capacity() == BUFFER_BYTES && self.in_use > 0;
-        debug_assert!(is_as_acquired, "a buffer is released as it was acquired");
-        self.violations += u64::from(!is_as_acquired);
+        let is_valid = buffer.capacity() == BUFFER_BYTES && self.in_use > 0;
+        debug_assert!(
+            is_valid,
+            "a released buffer must be acquired and of its original capacity"
+        );
+        self.violations += u64::from(!is_valid);
         self.in_use = self.in_use.saturating_sub(1);
-        if is_as_acquired && self.spare.len() < MAX_SPARE_BUFFERS {
+        if is_valid && self.spare.len() < MAX_SPARE_BUFFERS {
             buffer.clear();
             self.spare.push(buffer);
         }
--- a/crates/event-loop/src/clock.rs
+++ b/crates/event-loop/src/clock.rs
@@ -1,4 +1,4 @@
-//! The machine's clocks.
+//! A monotonic clock with Unix timestamps.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
@@ -6,23 +6,23 @@
 
 const MICROS_PER_MILLISECOND: i64 = 1000;
 
-/// A monotonic clock that is set to Unix time once, at its start. Steps of Unix time after that do not move it, and a point in
-/// Unix time that is given twice is one timestamp.
+/// A monotonic clock that is set to Unix time once, at its start. Later steps of the system clock do not affect it, and the
+/// same Unix time always converts to the same timestamp.
 #[derive(Clone, Copy)]
 pub struct Clock {
     source: fn() -> Instant,
     started: Instant,
-    /// Never near zero: to the policy a time near zero is one at which trouble was just seen.
+    /// Unix time at the start. It must not be near zero, because the policy treats a time near zero as a recent failure.
     started_at: Timestamp,
 }
 
 impl Clock {
-    /// Starts a clock that follows the machine's monotonic one.
+    /// Starts a clock on the system's monotonic clock.
     pub fn start() -> Clock {
         Clock::with_source(Instant::now)
     }
 
-    /// Starts a clock that reads `source`. Tests hold up a gateway between two readings with one of their own.
+    /// Starts a clock on `source`. Tests use a source of their own to simulate a stall between two readings.
     pub fn with_source(source: fn() -> Instant) -> Clock {
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -34,7 +34,7 @@
         }
     }
 
-    /// The current time.
+    /// The current time since the Unix epoch.
     pub fn now(&self) -> Timestamp {
         self.at((self.source)())
     }
@@ -46,7 +46,7 @@
         self.started_at + time_delta(after_start) - time_delta(before_start)
     }
 
-    /// The timestamp of a point in Unix time, in milliseconds.
+    /// Converts Unix time in milliseconds to a timestamp.
     pub fn at_unix_ms(&self, unix_ms: i64) -> Timestamp {
         Timestamp(unix_ms.saturating_mul(MICROS_PER_MILLISECOND))
     }
--- a/crates/event-loop/src/connection.rs
+++ b/crates/event-loop/src/connection.rs
@@ -1,5 +1,5 @@
-//! A TCP connection that calls back when it is ready, with a buffer for input and one for output. A buffer is held only while
-//! something is in it.
+//! A TCP connection with a readiness callback, an input buffer and an output buffer. A buffer is held only while it contains
+//! data.
 
 use std::cell::Cell;
 use std::io::{self, ErrorKind, Write};
@@ -17,17 +17,17 @@
 use crate::interest::StreamSource;
 use crate::io_context::{IoContext, ResourceClass};
 
-/// How much input is discarded at once.
+/// Bytes of input discarded per read.
 const DISCARD_BYTES: usize = 4096;
-/// How often input is discarded before a connection is closed, so that a client that keeps sending holds up nobody.
+/// Maximum number of discarding reads before a connection is closed, so that a client that keeps sending blocks no others.
 const MAX_DISCARDS: usize = 16;
 
-/// What a read came to.
+/// The result of one read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadResult {
     /// Bytes were read.
     Data,
-    /// There is nothing to read now.
+    /// No input is available now.
     WouldBlock,
     /// The buffer is full, or none is available.
     NoBuffer,
@@ -37,24 +37,24 @@
     Failed,
 }
 
-/// What a write came to.
+/// The result of one write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteResult {
     /// All output was written.
     Complete,
-    /// The socket takes no more now.
+    /// The socket accepts no more output now.
     Partial,
     /// The connection broke.
     Failed,
 }
 
-/// The loop cannot watch a stream.
+/// A stream could not be registered with the event loop.
 #[derive(Debug, Error)]
-#[error("the loop cannot watch a connection: {source}")]
+#[error("cannot register a connection with the event loop: {source}")]
 pub struct RegisterError {
     /// The stream, which is still open.
     pub stream: Rc<TcpStream>,
-    /// Why.
+    /// The error of the event loop.
     #[source]
     pub source: calloop::Error,
 }
@@ -65,9 +65,9 @@
     }
 }
 
-/// Answers on a stream that the loop does not watch, and closes it. What the client has sent so far is discarded, so that the
-/// close does not reset the connection before the response is read. Nothing blocks: a response that does not fit into the
-/// socket's buffer is cut.
+/// Responds on a stream that is not registered with the event loop, and closes its sending side. Input received so far is
+/// discarded, so that closing does not reset the connection before the response is read. Never blocks: a response that does
+/// not fit into the socket's send buffer is truncated.
 pub fn respond_and_close(stream: &TcpStream, response: &[u8]) {
     let mut discarded = [0_u8; DISCARD_BYTES];
     for _ in 0..MAX_DISCARDS {
@@ -76,31 +76,31 @@
             _ => break,
         }
     }
-    // The client has gone if either fails.
+    // If either call fails, the client has disconnected.
     let _ = send(stream, response, SendFlags::DONTWAIT | SendFlags::NOSIGNAL);
     let _ = stream.shutdown(Shutdown::Write);
 }
 
-/// A TCP connection in the loop. It has to be closed with `close`, which releases its buffers and descriptor.
+/// A TCP connection registered with the event loop. Must be closed with `close`, which releases its buffers and descriptor.
 pub struct Connection {
     stream: Rc<TcpStream>,
     interest: Rc<Cell<Interest>>,
     token: RegistrationToken,
     class: ResourceClass,
-    /// What was read and not yet consumed.
+    /// Received bytes that are not consumed yet.
     pub input: Buffer,
-    /// What is to be written.
+    /// Bytes to write, including those already written.
     pub output: Buffer,
-    /// Bytes of the output that are written.
+    /// Number of bytes of `output` already written.
     written: usize,
 }
 
 impl Connection {
-    /// Registers a stream that is open already.
+    /// Registers a connected stream with the event loop.
     ///
     /// # Errors
     ///
-    /// The loop cannot watch the socket. The error holds the stream.
+    /// The event loop cannot register the socket. The error holds the stream.
     pub fn register<D>(
         context: &mut IoContext<D>,
         stream: TcpStream,
@@ -133,11 +133,11 @@
         })
     }
 
-    /// Begins to connect. The callback comes once the connection is up or has failed.
+    /// Starts to connect. The callback runs once the connection is established or has failed.
     ///
     /// # Errors
     ///
-    /// There is no socket to be had, or the connection fails at once.
+    /// No socket can be created, or the connection fails immediately.
     pub fn connect<D>(
         context: &mut IoContext<D>,
         address: SocketAddr,
@@ -157,16 +157,16 @@
         Ok(connection)
     }
 
-    /// Whether a connection that became writable has come up.
+    /// Checks whether a connection that became writable is established.
     ///
     /// # Errors
     ///
-    /// Why it has not.
+    /// The error of the connection attempt.
     pub fn check_connected(&self) -> io::Result<()> {
         self.stream.take_error()?.map_or(Ok(()), Err)
     }
 
-    /// Reads once into the input buffer, so that a busy socket gives way to the others.
+    /// Reads once into the input buffer, so that a busy socket does not starve others.
     pub fn read<D>(&mut self, context: &mut IoContext<D>) -> ReadResult {
         if self.input.capacity() == 0 {
             let Some(buffer) = context.buffers.acquire(self.class) else {
@@ -188,13 +188,13 @@
         result
     }
 
-    /// Reads once and discards what was read. Needs no buffer.
+    /// Reads once and discards the input. Needs no pooled buffer.
     pub fn discard_input<D>(&mut self, context: &mut IoContext<D>) -> ReadResult {
         let received = recv(&self.stream, &mut context.discard[..], RecvFlags::empty());
         read_result(received.map(|(count, _)| count))
     }
 
-    /// Releases the buffers that hold nothing.
+    /// Releases the empty buffers.
     pub fn release_empty_buffers<D>(&mut self, context: &mut IoContext<D>) {
         if self.input.is_empty() {
             context.buffers.release(&mut self.input);
@@ -216,7 +216,7 @@
         Some(&mut self.output)
     }
 
-    /// Writes the output, as much of it as the socket takes.
+    /// Writes output until it is empty or the socket would block.
     pub fn flush<D>(&mut self, context: &mut IoContext<D>) -> WriteResult {
         while self.written < self.output.len() {
             match (&*self.stream).write(&self.output[self.written..]) {
@@ -233,7 +233,7 @@
         WriteResult::Complete
     }
 
-    /// Whether an idle connection is still open, with nothing received on it.
+    /// Whether an idle connection is still open and has no unread input.
     pub fn is_open_and_quiet(&self) -> bool {
         let mut byte = [0_u8; 1];
         let peeked = recv(
@@ -244,28 +244,28 @@
         matches!(peeked, Err(error) if error.kind() == ErrorKind::WouldBlock)
     }
 
-    /// Sets what the connection waits for.
+    /// Sets which kinds of readiness run the callback.
     pub fn set_interest<D>(&self, context: &IoContext<D>, readable: bool, writable: bool) {
         let before = self.interest.replace(Interest { readable, writable });
         if (before.readable, before.writable) != (readable, writable) {
             if let Err(error) = context.handle.update(&self.token) {
-                tracing::warn!("a socket cannot be watched: {error}");
+                tracing::warn!("cannot update the event loop registration of a socket: {error}");
             }
         }
     }
 
-    /// Whether the connection waits for input.
+    /// Whether the callback runs when input is available.
     pub fn is_reading(&self) -> bool {
         self.interest.get().readable
     }
 
     /// Closes the sending side.
     pub fn shut_down_sending(&self) {
-        // Nothing is lost if the connection is gone already.
+        // Fails only if the connection is already closed.
         let _ = self.stream.shutdown(Shutdown::Write);
     }
 
-    /// Closes the connection and releases what it holds.
+    /// Closes the connection and releases its buffers and descriptor.
     pub fn close<D>(mut self, context: &mut IoContext<D>) {
         context.handle.remove(self.token);
         context.buffers.release(&mut self.input);
--- a/crates/event-loop/src/descriptor_budget.rs
+++ b/crates/event-loop/src/descriptor_budget.rs
@@ -1,18 +1,18 @@
-//! How many descriptors connections may hold.
+//! The limit on descriptors of connections.
 
-/// The least number of descriptors for connections, however small the limit.
+/// The minimum number of descriptors for connections, even with a lower process limit.
 const MIN_DESCRIPTORS: usize = 2;
 
-/// The descriptors that connections hold, and how many they may.
+/// Counts the descriptors of connections against their limit.
 pub struct DescriptorBudget {
     in_use: usize,
-    /// The most that were held at once since this was asked last.
+    /// The maximum of `in_use` since the last `take_peak`.
     peak: usize,
     max: usize,
 }
 
 impl DescriptorBudget {
-    /// The budget within a process limit, of which `reserved` are set aside.
+    /// Creates a budget of `process_limit` minus `reserved` descriptors.
     pub fn new(process_limit: usize, reserved: usize) -> DescriptorBudget {
         DescriptorBudget {
             in_use: 0,
@@ -21,23 +21,23 @@
         }
     }
 
-    /// A connection is opened.
+    /// Counts an opened connection.
     pub fn acquire(&mut self) {
         self.in_use += 1;
         self.peak = self.peak.max(self.in_use);
     }
 
-    /// A connection is closed.
+    /// Counts a closed connection.
     pub fn release(&mut self) {
         self.in_use = self.in_use.saturating_sub(1);
     }
 
-    /// Descriptors that connections hold.
+    /// The number of descriptors that connections hold.
     pub fn in_use(&self) -> usize {
         self.in_use
     }
 
-    /// The most descriptors that connections held at once since this was asked last.
+    /// The maximum of `in_use` since the last call. Restarts the maximum at the current value.
     pub fn take_peak(&mut self) -> usize {
         std::mem::replace(&mut self.peak, self.in_use)
     }
--- a/crates/event-loop/src/interest.rs
+++ b/crates/event-loop/src/interest.rs
@@ -1,4 +1,4 @@
-//! A socket in the loop whose interest can be changed from outside.
+//! An event source for a socket with an interest shared with its connection.
 
 use std::cell::Cell;
 use std::io;
@@ -8,7 +8,7 @@
 use calloop::generic::Generic;
 use calloop::{EventSource, Interest, Mode, Poll, PostAction, Readiness, Token, TokenFactory};
 
-/// An event source for a stream. The interest takes effect when the source is registered again.
+/// An event source for a stream. A changed interest takes effect when the source is reregistered.
 pub(crate) struct StreamSource {
     socket: Generic<Rc<TcpStream>>,
     interest: Rc<Cell<Interest>>,
--- a/crates/event-loop/src/io_context.rs
+++ b/crates/event-loop/src/io_context.rs
@@ -1,4 +1,4 @@
-//! What everything on sockets shares: the loop, the clock, buffers and descriptors.
+//! State shared by all sockets: the event loop, the clock, buffers and descriptors.
 
 use calloop::LoopHandle;
 use harrierdock_http::BUFFER_BYTES;
@@ -8,42 +8,42 @@
 use crate::clock::Clock;
 use crate::descriptor_budget::DescriptorBudget;
 
-/// The number of a connection. Never used twice by one program.
+/// The id of a connection, unique within the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnectionId(pub u64);
 
-/// Whose share of buffers and descriptors a connection uses.
+/// The share of buffers and descriptors that a connection counts against.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResourceClass {
-    /// A client's connection. Clients may hold only a part of the buffers.
+    /// A client's connection. Clients may hold only a share of the buffers.
     Downstream,
     /// A connection to an endpoint.
     Upstream,
-    /// One of the few connections for which descriptors are set aside.
+    /// One of the few connections with reserved descriptors.
     Reserved,
 }
 
-/// What everything on sockets shares.
+/// State shared by all sockets of an event loop.
 pub struct IoContext<D: 'static> {
-    /// The loop in which sockets are registered.
+    /// The event loop with which sockets are registered.
     pub handle: LoopHandle<'static, D>,
-    /// The clock.
+    /// The source of all timestamps and deadlines.
     pub clock: Clock,
-    /// The buffers.
+    /// The pool of input and output buffers.
     pub buffers: BufferPool,
-    /// The descriptors.
+    /// The limit on open connections.
     pub descriptors: DescriptorBudget,
-    /// How often no buffer was available.
+    /// How many times no buffer was available.
     pub buffer_shortages: u64,
     /// How many line streams have been opened.
     pub streams_opened: u64,
-    /// Where discarded input goes.
+    /// Scratch buffer for input that is read and discarded.
     pub(crate) discard: Vec<u8>,
     last_connection: u64,
 }
 
 impl<D> IoContext<D> {
-    /// A context in this loop.
+    /// Creates the context of an event loop, and starts its clock.
     pub fn new(
         handle: LoopHandle<'static, D>,
         buffers: BufferPool,
@@ -61,12 +61,12 @@
         }
     }
 
-    /// The current time.
+    /// The current time of the clock.
     pub fn now(&self) -> Timestamp {
         self.clock.now()
     }
 
-    /// A new connection number.
+    /// Allocates a connection id.
     pub fn next_connection_id(&mut self) -> ConnectionId {
         self.last_connection += 1;
         ConnectionId(self.last_connection)
--- a/crates/event-loop/src/lib.rs
+++ b/crates/event-loop/src/lib.rs
@@ -1,7 +1,7 @@
-//! Sockets on calloop, for any program: connections with callbacks, pooled buffers, a descriptor budget, timers, reconnecting
-//! streams of lines, and log lines that never block.
+//! General socket code on calloop: connections with callbacks, pooled buffers, a descriptor budget, timers, streams of lines
+//! that can be reopened, and non-blocking log lines.
 //!
-//! `D` is the data that the loop hands to callbacks. Nothing here knows what a gateway is, and nothing here decides.
+//! `D` is the data that the event loop passes to callbacks. This crate contains no gateway logic and no policy.
 
 #![warn(missing_docs, unreachable_pub)]
 
--- a/crates/event-loop/src/line_stream.rs
+++ b/crates/event-loop/src/line_stream.rs
@@ -1,5 +1,5 @@
-//! A stream of lines from one address, for as long as the program runs. One that breaks, or is silent for longer than its
-//! protocol allows, is to be opened again by its owner.
+//! A long-lived stream of lines from one address. Its owner must reopen it when it disconnects or receives nothing for longer
+//! than its protocol allows.
 
 use std::net::SocketAddr;
 
@@ -12,29 +12,29 @@
 
 const STATUS_OK: u16 = 200;
 
-/// What response a request expects.
+/// The kind of response to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseMode {
     /// One complete response.
     Single,
-    /// A response without end, line by line.
+    /// An unbounded response, read line by line.
     Lines,
 }
 
-/// What has arrived.
+/// An event of a stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StreamEvent {
     /// The body of a complete response.
     Response(Vec<u8>),
-    /// A line, without its end.
+    /// A line without its line break.
     Line(Vec<u8>),
-    /// The request was refused, with this status if one can be read.
+    /// The response status is not 200. `None` if its head is malformed.
     Refused(Option<u16>),
-    /// The connection is gone.
+    /// The connection was closed.
     Disconnected,
 }
 
-/// A stream of lines.
+/// A stream of lines with at most one connection at a time.
 pub struct LineStream {
     address: SocketAddr,
     name: &'static str,
@@ -43,16 +43,20 @@
     reader: MessageReader,
     mode: ResponseMode,
     last_input_at: Timestamp,
-    /// Since when the last input is only part of a line or response.
+    /// When the current incomplete line or response started. `None` if there is none.
     partial_since: Option<Timestamp>,
     opened_at: Timestamp,
-    /// How long a healthy stream may be silent.
-    max_silence: TimeDelta,
+    /// The longest time without input on a healthy stream.
+    inactivity_timeout: TimeDelta,
 }
 
 impl LineStream {
-    /// A stream that is still to be opened. `name` is what log lines call it.
-    pub fn new(name: &'static str, address: SocketAddr, max_silence: TimeDelta) -> LineStream {
+    /// Creates a stream that is not open yet. Log lines start with `name`.
+    pub fn new(
+        name: &'static str,
+        address: SocketAddr,
+        inactivity_timeout: TimeDelta,
+    ) -> LineStream {
         LineStream {
             address,
             name,
@@ -62,17 +66,17 @@
             mode: ResponseMode::Lines,
             last_input_at: Timestamp(0),
             partial_since: None,
-            opened_at: Timestamp(0) - max_silence,
-            max_silence,
+            opened_at: Timestamp(0) - inactivity_timeout,
+            inactivity_timeout,
         }
     }
 
-    /// The address that it is opened at.
+    /// The address to which the stream connects.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Changes the address. Returns whether it is another one; the stream is then closed and has to be opened.
+    /// Sets the address. If it changes, closes the stream, which must then be reopened, and returns true.
     pub fn set_address<D>(&mut self, context: &mut IoContext<D>, address: SocketAddr) -> bool {
         if self.address == address {
             return false;
@@ -83,36 +87,36 @@
         true
     }
 
-    /// Whether there is a connection, be it up or still coming up.
+    /// Whether a connection is established or being established.
     pub fn is_open(&self) -> bool {
         self.connection.is_some()
     }
 
-    /// Whether it was last opened less than this long ago.
+    /// Whether the stream was last opened less than `interval` ago.
     pub fn was_opened_within(&self, now: Timestamp, interval: TimeDelta) -> bool {
         now - self.opened_at < interval
     }
 
-    /// Whether it has been silent for too long, has not come up within the connect timeout, or has left a line or response
-    /// incomplete for that long.
+    /// Whether the stream has received nothing for too long, has not connected within the connect timeout, or has had an
+    /// incomplete line or response for longer than that timeout.
     pub fn is_unresponsive(&self, now: Timestamp, connect_timeout: TimeDelta) -> bool {
-        let max_silence = if self.is_connected {
-            self.max_silence
+        let inactivity_timeout = if self.is_connected {
+            self.inactivity_timeout
         } else {
             connect_timeout
         };
-        let is_silent = now - self.last_input_at >= max_silence;
+        let is_inactive = now - self.last_input_at >= inactivity_timeout;
         let is_stalled = self
             .partial_since
             .is_some_and(|since| now - since > connect_timeout);
-        let is_unresponsive = self.is_open() && (is_silent || is_stalled);
+        let is_unresponsive = self.is_open() && (is_inactive || is_stalled);
         if is_unresponsive {
             tracing::warn!("{}: unresponsive, reopened", self.name);
         }
         is_unresponsive
     }
 
-    /// Opens the stream anew with this request.
+    /// Closes the current connection, reconnects and sends a request.
     pub fn open<D>(
         &mut self,
         context: &mut IoContext<D>,
@@ -133,7 +137,7 @@
         }
     }
 
-    /// Writes a request: the first, or one after a complete response.
+    /// Writes a request: the first one, or the next one after a complete response.
     pub fn request<D>(&mut self, context: &mut IoContext<D>, target: &str, mode: ResponseMode) {
         let Some(connection) = &mut self.connection else {
             return;
@@ -151,7 +155,7 @@
         }
     }
 
-    /// Closes the connection.
+    /// Closes the connection, if there is one.
     pub fn close<D>(&mut self, context: &mut IoContext<D>) {
         self.is_connected = false;
         self.partial_since = None;
@@ -160,7 +164,7 @@
         }
     }
 
-    /// Reads what has arrived. After `Disconnected` the connection is closed.
+    /// Writes pending output and reads input. The connection is closed after `Disconnected`.
     pub fn handle_readiness<D>(
         &mut self,
         context: &mut IoContext<D>,
@@ -177,7 +181,7 @@
         events
     }
 
-    /// Returns whether the connection is still of use.
+    /// Transfers pending output and input. Returns whether the connection can still be used.
     fn transfer<D>(
         &mut self,
         context: &mut IoContext<D>,
@@ -207,7 +211,7 @@
         is_readable && is_open
     }
 
-    /// Returns whether the connection has come up.
+    /// Records that the connection is established. Returns false if the connection attempt failed.
     fn note_connected(&mut self) -> bool {
         if self.is_connected {
             return true;
@@ -241,7 +245,7 @@
         self.partial_since = is_partial.then(|| self.partial_since.unwrap_or(self.last_input_at));
     }
 
-    /// Returns whether the input is readable and the response goes on.
+    /// Parses input into events. Returns whether the input is well-formed and the response continues.
     fn parse_input(&mut self, events: &mut Vec<StreamEvent>) -> bool {
         let Some(connection) = &mut self.connection else {
             return false;
--- a/crates/event-loop/src/logging.rs
+++ b/crates/event-loop/src/logging.rs
@@ -1,5 +1,5 @@
-//! Log lines on standard error, plain or as JSON. A slow or absent reader blocks nobody: lines wait in a bounded queue, and
-//! those that find it full are dropped and counted.
+//! Log lines on standard error, plain or as JSON. A slow or absent reader never blocks the process: lines wait in a bounded
+//! queue, and are dropped and counted when it is full.
 
 use std::collections::VecDeque;
 use std::fmt;
@@ -31,7 +31,7 @@
     Json,
 }
 
-/// A word that names no format.
+/// The rejected name of an unknown log format.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("'{0}' is neither plain nor json")]
 pub struct UnknownFormat(String);
@@ -48,7 +48,7 @@
     }
 }
 
-/// A pipe that is writable takes this many bytes without blocking.
+/// A writable pipe accepts this many bytes without blocking.
 const MAX_LINE_BYTES: usize = 4096;
 const MAX_QUEUED_LINES: usize = 256;
 
@@ -62,7 +62,7 @@
     dropped: 0,
 });
 
-/// Starts logging for the whole program. A second start changes nothing.
+/// Starts logging for the whole process. Further calls have no effect.
 pub fn start(level: Level, format: Format) {
     let own_targets = filter_fn(|metadata| metadata.target().starts_with("harrierdock"));
     let layer = tracing_subscriber::fmt::layer()
@@ -82,12 +82,12 @@
         .try_init();
 }
 
-/// How many lines have been dropped so far.
+/// The number of lines dropped since the start of the process.
 pub fn dropped_lines() -> u64 {
     QUEUE.lock().map_or(0, |queue| queue.dropped)
 }
 
-/// Writes queued lines, as many as standard error takes without blocking.
+/// Writes queued lines until standard error would block.
 pub fn flush() {
     let Ok(mut queue) = QUEUE.lock() else {
         return;
@@ -109,7 +109,7 @@
     poll(&mut watched, Some(&no_wait)).is_ok() && watched[0].revents().contains(PollFlags::OUT)
 }
 
-/// One event's line while it is written. It is queued when it is dropped.
+/// The log line of one event, queued on drop.
 struct Line(Vec<u8>);
 
 impl Write for Line {
@@ -144,7 +144,7 @@
     }
 }
 
-/// Seconds since 1970, level, text: `1764600000.123 info n0 serves on 127.0.0.1:8443`.
+/// The plain format, with Unix time in seconds, level and text: `1764600000.123 info n0 serves on 127.0.0.1:8443`.
 struct PlainFormat;
 
 impl<S, N> FormatEvent<S, N> for PlainFormat
--- a/crates/event-loop/src/request_exchange.rs
+++ b/crates/event-loop/src/request_exchange.rs
@@ -1,7 +1,7 @@
-//! One request on a connection of its own, and its response.
+//! One request and its response on a dedicated connection.
 //!
-//! The request is written only once the connection is up, at the moment before its bytes go out, so that its sender can check
-//! then whether it still may be sent.
+//! The request is written only once the connection is established, right before it is sent, so that the caller can check at
+//! that moment whether it may still be sent.
 
 use std::net::SocketAddr;
 
@@ -11,25 +11,25 @@
 use crate::connection::{Connection, ReadResult, WriteResult};
 use crate::io_context::{IoContext, ResourceClass};
 
-/// What has become of an exchange.
+/// The progress of an exchange.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ExchangeEvent {
-    /// The connection is up: now is the time to write the request, or to close.
+    /// The connection is established: the caller must write the request or close.
     Connected,
-    /// Nothing new.
+    /// The exchange continues without an event.
     Pending,
     /// The response has arrived.
     Responded {
-        /// Its status.
+        /// The status code of the response.
         status: u16,
-        /// Its body.
+        /// The body with its transfer coding removed.
         body: Vec<u8>,
     },
-    /// The connection broke, or the response is unreadable.
+    /// The connection broke, or the response is malformed.
     Failed,
 }
 
-/// A request on a connection of its own.
+/// A request on a dedicated connection with reserved descriptors.
 pub struct RequestExchange {
     address: SocketAddr,
     connection: Connection,
@@ -39,7 +39,7 @@
 }
 
 impl RequestExchange {
-    /// Begins to connect. `None` if no connection can be had.
+    /// Starts to connect. `None` if the connection fails immediately.
     pub fn connect<D>(
         context: &mut IoContext<D>,
         address: SocketAddr,
@@ -71,7 +71,7 @@
         self.flush(context) != WriteResult::Failed
     }
 
-    /// What has become of the exchange, now that its connection is ready for something.
+    /// Advances the exchange when its connection is readable or writable.
     pub fn handle_readiness<D>(
         &mut self,
         context: &mut IoContext<D>,
@@ -89,7 +89,7 @@
         self.read_response(context)
     }
 
-    /// Closes the connection.
+    /// Closes the connection, whether or not a response has arrived.
     pub fn close<D>(self, context: &mut IoContext<D>) {
         self.connection.close(context);
     }
@@ -114,9 +114,9 @@
     fn read_response<D>(&mut self, context: &mut IoContext<D>) -> ExchangeEvent {
         let read = self.connection.read(context);
         let progress = self.reader.read_response(&mut self.connection.input);
-        let ends_here =
+        let is_ended_by_close =
             read == ReadResult::EndOfStream && progress.is_ok() && self.reader.end_of_input();
-        if progress == Ok(Progress::Complete) || ends_here {
+        if progress == Ok(Progress::Complete) || is_ended_by_close {
             return self.response();
         }
         match read {
--- a/crates/event-loop/src/timer_queue.rs
+++ b/crates/event-loop/src/timer_queue.rs
@@ -4,7 +4,7 @@
 
 use harrierdock_types::Timestamp;
 
-/// Timers of any number of kinds. `T` says what a timer is for.
+/// A queue of timers. `T` identifies the kind of a timer.
 pub struct TimerQueue<T>(BTreeSet<(Timestamp, T)>);
 
 impl<T> Default for TimerQueue<T> {
@@ -14,7 +14,7 @@
 }
 
 impl<T: Ord> TimerQueue<T> {
-    /// Sets a timer. One of the same kind and deadline is set only once.
+    /// Sets a timer. Setting the same kind and deadline again has no effect.
     pub fn set(&mut self, deadline: Timestamp, timer: T) {
         self.0.insert((deadline, timer));
     }
@@ -24,7 +24,7 @@
         self.0.remove(&(deadline, timer));
     }
 
-    /// The earliest deadline.
+    /// The earliest deadline; `None` without timers.
     pub fn next_deadline(&self) -> Option<Timestamp> {
         self.0.first().map(|(deadline, _)| *deadline)
     }
--- a/crates/http/src/chunked.rs
+++ b/crates/http/src/chunked.rs
@@ -1,10 +1,10 @@
-//! The chunked transfer coding (RFC 9112, section 7.1), removed in place.
+//! In-place decoding of the chunked transfer coding (RFC 9112, section 7.1).
 
 use crate::ParseError;
 
-/// The longest extension of a size line, and the longest trailer line, that is skipped.
+/// The maximum length of a chunk extension and of a trailer line; both are skipped.
 const MAX_SKIPPED_LINE_BYTES: usize = 1024;
-/// The most hexadecimal digits of a chunk's size.
+/// The maximum number of hexadecimal digits in a chunk's size.
 const MAX_SIZE_DIGITS: usize = 8;
 
 /// What the next byte belongs to.
@@ -26,17 +26,17 @@
 #[derive(Debug, Default)]
 pub(crate) struct ChunkedDecoder {
     state: State,
-    /// Bytes of the current chunk that are still to come.
+    /// Bytes of the current chunk that have not arrived.
     remaining: usize,
     size_digits: usize,
     line_bytes: usize,
 }
 
-/// How far a body has been decoded.
+/// The result of decoding the bytes received so far.
 pub(crate) struct Decoded {
-    /// Where the decoded body ends in the buffer.
+    /// The end of the decoded body in the buffer.
     pub(crate) end: usize,
-    /// Whether all of the body has arrived; what follows it belongs to the next message.
+    /// Whether the whole body has arrived; bytes after it belong to the next message.
     pub(crate) is_complete: bool,
 }
 
@@ -51,7 +51,7 @@
         let mut written = from;
         while read < bytes.len() && self.state != State::Complete {
             if self.state != State::Data {
-                self.step(bytes[read])?;
+                self.process_framing_byte(bytes[read])?;
                 read += 1;
                 continue;
             }
@@ -72,8 +72,8 @@
         })
     }
 
-    /// Takes one byte of the framing.
-    fn step(&mut self, byte: u8) -> Result<(), ParseError> {
+    /// Processes one byte of the framing.
+    fn process_framing_byte(&mut self, byte: u8) -> Result<(), ParseError> {
         self.state = match (self.state, byte) {
             (State::Size, digit)
                 if digit.is_ascii_hexdigit() && self.size_digits < MAX_SIZE_DIGITS =>
--- a/crates/http/src/error.rs
+++ b/crates/http/src/error.rs
@@ -1,26 +1,26 @@
-//! Why a message cannot be read.
+//! Errors of message parsing.
 
 use thiserror::Error;
 
 /// Why a message cannot be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ParseError {
-    /// It is no HTTP/1 message, or two readers could disagree about where it ends.
+    /// Not an HTTP/1 message, or one whose end two parsers could disagree on.
     #[error("malformed message")]
     Malformed,
-    /// Its head is longer than `MAX_HEAD_BYTES` or has too many fields.
+    /// The head is longer than `MAX_HEAD_BYTES` or has too many fields.
     #[error("head too large")]
     HeadTooLarge,
-    /// Its body is longer than `MAX_BODY_BYTES`.
+    /// The body is longer than `MAX_BODY_BYTES`.
     #[error("body too large")]
     BodyTooLarge,
-    /// Its body has a transfer coding other than chunked.
+    /// The transfer coding of the body is not chunked.
     #[error("unknown transfer coding")]
     UnknownCoding,
 }
 
 impl ParseError {
-    /// The status that answers a request with this error.
+    /// The status code of the response to a request with this error.
     pub fn status(self) -> u16 {
         match self {
             ParseError::Malformed => 400,
--- a/crates/http/src/head.rs
+++ b/crates/http/src/head.rs
@@ -1,4 +1,4 @@
-//! Message heads, and what they say of the body that follows.
+//! Message heads, and the body framing that they declare.
 
 use httparse::{Header, Status, EMPTY_HEADER};
 
@@ -11,43 +11,43 @@
 const FIELD_EXPECT: &str = "expect";
 const FIELD_TRANSFER_ENCODING: &str = "transfer-encoding";
 
-/// The header fields of a message, as they were written.
+/// The header fields of a message, in their original order and spelling.
 pub struct HeaderFields<'b> {
     fields: [Header<'b>; MAX_FIELDS],
     count: usize,
 }
 
-/// Where a body ends.
+/// How the end of a body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// After this many bytes.
+    /// The body has this many bytes.
     Length(usize),
-    /// After its last chunk.
+    /// The body ends with its last chunk.
     Chunked,
-    /// With the connection.
+    /// The body ends when the connection is closed.
     UntilEnd,
 }
 
-/// The head of a request.
+/// The parsed head of a request. It borrows from the receive buffer.
 pub struct RequestHead<'b> {
-    /// The method.
+    /// The method, in the client's spelling.
     pub method: &'b str,
     /// The request target, in origin or absolute form.
     pub target: &'b str,
-    /// The header fields.
+    /// The header fields, without the first line.
     pub fields: HeaderFields<'b>,
-    /// The size of the head in bytes.
+    /// The size in bytes, including the empty line at the end.
     pub size: usize,
     minor_version: u8,
 }
 
-/// The head of a response.
+/// The parsed head of a response. It borrows from the receive buffer.
 pub struct ResponseHead<'b> {
-    /// The status code.
+    /// The status code, with 1xx for an interim response.
     pub status: u16,
-    /// The header fields.
+    /// The header fields, without the first line.
     pub fields: HeaderFields<'b>,
-    /// The size of the head in bytes.
+    /// The size in bytes, including the empty line at the end.
     pub size: usize,
     minor_version: u8,
 }
@@ -70,11 +70,11 @@
             .map(|field| field.value)
     }
 
-    /// The value of a field that may be given once, trimmed; `None` if it is not given.
+    /// The trimmed value of a field that may appear at most once; `None` if it is absent.
     ///
     /// # Errors
     ///
-    /// `Malformed` if it is given twice or is not UTF-8.
+    /// `Malformed` if the field appears twice or is not UTF-8.
     pub fn single(&self, name: &str) -> Result<Option<&'b str>, ParseError> {
         let mut values = self.values(name);
         let Some(value) = values.next() else {
@@ -87,7 +87,7 @@
         Ok(Some(text.trim()))
     }
 
-    /// Whether a field that holds a list has this token, in any case.
+    /// Whether a comma-separated field contains this token, ignoring case.
     pub fn has_token(&self, name: &str, token: &str) -> bool {
         let is_token = |part: &[u8]| part.trim_ascii().eq_ignore_ascii_case(token.as_bytes());
         self.values(name)
@@ -100,8 +100,8 @@
             && (is_default || self.has_token(FIELD_CONNECTION, "keep-alive"))
     }
 
-    /// Where the fields say that the body ends. Whatever two readers could take differently (both kinds of length, two
-    /// lengths, a coding that is not plainly chunked) is refused, so that no request can be smuggled behind another.
+    /// The body framing that the fields declare. Ambiguous framing (both a coding and a length, two lengths, a coding other
+    /// than chunked) is rejected, to prevent request smuggling.
     fn framing(&self, minor_version: u8) -> Result<Option<Framing>, ParseError> {
         let coding = self.single(FIELD_TRANSFER_ENCODING)?;
         let length = self.single(FIELD_CONTENT_LENGTH)?;
@@ -128,7 +128,7 @@
     }
 }
 
-/// Parses a head into the fields' storage and returns them with the head's size. `None` while the head is incomplete.
+/// Parses a head, and returns its fields and its size in bytes. `None` while the head is incomplete.
 fn parse_fields<'b>(
     parse: impl FnOnce(&mut [Header<'b>]) -> httparse::Result<usize>,
 ) -> Result<Option<(HeaderFields<'b>, usize)>, ParseError> {
@@ -147,7 +147,7 @@
 }
 
 impl<'b> RequestHead<'b> {
-    /// Parses the head at the front of the bytes. `None` while it is incomplete.
+    /// Parses the head at the start of `bytes`. `None` while the head is incomplete.
     ///
     /// # Errors
     ///
@@ -173,7 +173,7 @@
         }))
     }
 
-    /// Where the body ends.
+    /// How the end of the body is determined.
     ///
     /// # Errors
     ///
@@ -185,7 +185,7 @@
             .unwrap_or(Framing::Length(0)))
     }
 
-    /// Whether the client wants the connection kept open.
+    /// Whether the client requests a persistent connection.
     pub fn keeps_alive(&self) -> bool {
         self.fields.keeps_alive(self.minor_version)
     }
@@ -219,7 +219,7 @@
 }
 
 impl<'b> ResponseHead<'b> {
-    /// Parses the head at the front of the bytes. `None` while it is incomplete.
+    /// Parses the head at the start of `bytes`. `None` while the head is incomplete.
     ///
     /// # Errors
     ///
@@ -242,12 +242,12 @@
         }))
     }
 
-    /// Whether the final response is still to come (1xx).
+    /// Whether this is an interim response (1xx), which a final one follows.
     pub fn is_interim(&self) -> bool {
         (100..200).contains(&self.status)
     }
 
-    /// Where the body ends.
+    /// How the end of the body is determined.
     ///
     /// # Errors
     ///
--- a/crates/http/src/message_reader.rs
+++ b/crates/http/src/message_reader.rs
@@ -1,7 +1,7 @@
-//! Follows one message as its bytes arrive.
+//! Parses one message incrementally as its bytes arrive.
 //!
-//! The head stays at the front of the caller's buffer. The body follows it with its transfer coding removed. Behind them may
-//! stand the beginning of the next message.
+//! The head stays at the front of the caller's buffer. The body follows it with its transfer coding removed. The start of the
+//! next message may follow the body.
 
 use std::ops::Range;
 
@@ -12,11 +12,11 @@
 /// How much of a message has arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Progress {
-    /// More is to come.
+    /// The message is incomplete.
     Incomplete,
-    /// More is to come, and the sender waits for `100 Continue` before it sends it.
+    /// The head has arrived, and the client waits for `100 Continue` before it sends the body.
     ExpectsContinue,
-    /// All of it.
+    /// The whole message has arrived.
     Complete,
 }
 
@@ -28,11 +28,11 @@
     Complete,
 }
 
-/// The state of reading one message. The bytes themselves stay with the caller.
+/// The parser state of one message. The caller owns the buffer with the bytes.
 #[derive(Debug, Default)]
 pub struct MessageReader {
     stage: Stage,
-    /// Bytes in which the end of the head has been searched for.
+    /// Number of bytes already searched for the end of the head.
     scanned: usize,
     head_end: usize,
     body_end: usize,
@@ -43,7 +43,7 @@
 }
 
 impl MessageReader {
-    /// Whether nothing of a message has arrived.
+    /// Whether no byte of a message has arrived.
     pub fn is_untouched(&self, bytes: &[u8]) -> bool {
         self.is_in_head() && bytes.is_empty()
     }
@@ -53,7 +53,7 @@
         matches!(self.stage, Stage::Head)
     }
 
-    /// Whether only the end of the connection ends the body, so that a truncated one cannot be told from a complete one.
+    /// Whether the body extends to the end of the connection, so that truncation cannot be detected.
     pub fn is_open_ended(&self) -> bool {
         matches!(self.stage, Stage::Body(Framing::UntilEnd))
     }
@@ -67,21 +67,21 @@
         }
     }
 
-    /// Where the head stands in the buffer.
+    /// The range of the head in the buffer.
     pub fn head(&self) -> Range<usize> {
         0..self.head_end
     }
 
-    /// Where the body stands in the buffer, as far as it has arrived.
+    /// The range in the buffer of the body received so far.
     pub fn body(&self) -> Range<usize> {
         self.head_end..self.body_end
     }
 
-    /// Reads on in a request.
+    /// Continues to read a request.
     ///
     /// # Errors
     ///
-    /// The message is malformed or too large; the connection is of no more use.
+    /// The message is malformed or too large; the connection cannot be used any more.
     pub fn read_request(&mut self, bytes: &mut Vec<u8>) -> Result<Progress, ParseError> {
         if self.is_in_head() {
             if !self.may_have_head(bytes) {
@@ -92,7 +92,7 @@
             };
             let (size, framing) = (head.size, head.framing()?);
             self.expects_continue = head.expects_continue();
-            self.begin_body(size, framing);
+            self.start_body(size, framing);
         }
         let progress = self.read_body(bytes, true)?;
         if progress == Progress::Incomplete && std::mem::take(&mut self.expects_continue) {
@@ -101,25 +101,25 @@
         Ok(progress)
     }
 
-    /// Reads on in a response of limited size. Interim responses (1xx) are skipped.
+    /// Continues to read a response of limited size. Interim responses (1xx) are skipped.
     ///
     /// # Errors
     ///
-    /// The message is malformed or too large; the connection is of no more use.
+    /// The message is malformed or too large; the connection cannot be used any more.
     pub fn read_response(&mut self, bytes: &mut Vec<u8>) -> Result<Progress, ParseError> {
         self.read_response_head_and_body(bytes, true)
     }
 
-    /// Reads on in a response without end, whose lines `next_line` removes.
+    /// Continues to read an unbounded response. `next_line` removes its lines.
     ///
     /// # Errors
     ///
-    /// The message is malformed; the connection is of no more use.
+    /// The message is malformed; the connection cannot be used any more.
     pub fn read_stream(&mut self, bytes: &mut Vec<u8>) -> Result<Progress, ParseError> {
         self.read_response_head_and_body(bytes, false)
     }
 
-    /// Notes that the sender has closed its side, and returns whether the message is complete.
+    /// Records that the sender has closed its sending side, and returns whether the message is complete.
     pub fn end_of_input(&mut self) -> bool {
         if self.is_open_ended() {
             self.stage = Stage::Complete;
@@ -127,7 +127,7 @@
         matches!(self.stage, Stage::Complete)
     }
 
-    /// Removes the next line of the body and returns it without its end.
+    /// Removes the next line of the body and returns it without its line break.
     pub fn next_line(&mut self, bytes: &mut Vec<u8>) -> Option<Vec<u8>> {
         let length = bytes[self.body()].iter().position(|byte| *byte == b'\n')?;
         let mut line: Vec<u8> = bytes
@@ -138,7 +138,7 @@
         Some(line)
     }
 
-    /// Removes the message; what was sent behind it stays.
+    /// Removes the message from the buffer; bytes after it stay.
     pub fn consume(&mut self, bytes: &mut Vec<u8>) {
         bytes.drain(..self.body_end);
         *self = MessageReader::default();
@@ -160,13 +160,13 @@
             if head.is_interim() {
                 self.skip_interim(bytes, size)?;
             } else {
-                self.begin_body(size, framing);
+                self.start_body(size, framing);
             }
         }
         self.read_body(bytes, is_limited)
     }
 
-    /// Skips an interim response. Their total is limited, so that a final response comes at some time.
+    /// Skips an interim response. The total size of interim responses is limited, so that a server cannot send them forever.
     fn skip_interim(&mut self, bytes: &mut Vec<u8>, size: usize) -> Result<(), ParseError> {
         bytes.drain(..size);
         self.scanned = 0;
@@ -177,7 +177,7 @@
         Ok(())
     }
 
-    /// Whether the head is worth parsing: an empty line has arrived, or the head is too large. Each byte is searched once.
+    /// Whether to parse the head: an empty line has arrived, or the head is too large. Each byte is searched only once.
     fn may_have_head(&mut self, bytes: &[u8]) -> bool {
         let from = self.scanned.saturating_sub(2);
         self.scanned = bytes.len();
@@ -187,7 +187,7 @@
         has_empty_line || bytes.len() >= MAX_HEAD_BYTES
     }
 
-    fn begin_body(&mut self, head_size: usize, framing: Framing) {
+    fn start_body(&mut self, head_size: usize, framing: Framing) {
         self.head_end = head_size;
         self.body_end = head_size;
         self.stage = Stage::Body(framing);
--- a/crates/http/src/write.rs
+++ b/crates/http/src/write.rs
@@ -1,9 +1,9 @@
-//! Writes messages onto a buffer.
+//! Writes messages to a buffer.
 
 use std::fmt::Display;
 use std::io::Write;
 
-fn reason(status: u16) -> &'static str {
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         100 => "Continue",
         200 => "OK",
@@ -30,10 +30,13 @@
 
 /// Writes the first line of a response.
 pub fn status_line(out: &mut Vec<u8>, status: u16) {
-    line(out, format_args!("HTTP/1.1 {status} {}", reason(status)));
+    line(
+        out,
+        format_args!("HTTP/1.1 {status} {}", reason_phrase(status)),
+    );
 }
 
-/// Writes a header field.
+/// Writes a header field as `name: value`.
 pub fn field(out: &mut Vec<u8>, name: &str, value: impl Display) {
     line(out, format_args!("{name}: {value}"));
 }
@@ -44,19 +47,19 @@
     out.extend_from_slice(b"\r\n");
 }
 
-/// Ends a head with the body's length, and writes the body.
+/// Completes the head with `Content-Length`, and writes the body.
 pub fn body(out: &mut Vec<u8>, body: &[u8]) {
     field(out, "Content-Length", body.len());
     out.extend_from_slice(b"\r\n");
     out.extend_from_slice(body);
 }
 
-/// Ends a head that no body follows.
+/// Completes the head of a message without a body.
 pub fn end_of_head(out: &mut Vec<u8>) {
     out.extend_from_slice(b"\r\n");
 }
 
-/// Writes the interim response that lets the client send its body.
+/// Writes `100 Continue`, after which the client sends the body.
 pub fn continue_response(out: &mut Vec<u8>) {
     status_line(out, 100);
     end_of_head(out);
