--- a/crates/gateway/tests/sockets/discovery.rs
+++ b/crates/gateway/tests/sockets/discovery.rs
@@ -122,7 +122,7 @@
             client.request(client_request("draft", "a1", 9000)),
             "200 one settled a1"
         );
-        // The list expires after half of the maximum delay of a change (`must_ask_in`).
+        // In poll mode a cached list expires after 3 s, half of the notification deadline of 6 s.
         thread::sleep(Duration::from_millis(3100).saturating_sub(started_at.elapsed()));
         assert_eq!(
             client.request(client_request("draft", "a2", 9000)),
