--- a/crates/flow-export/src/settings.rs
+++ b/crates/flow-export/src/settings.rs
@@ -179,8 +179,8 @@
         TimeDelta::from_millis(i64::from(self.active_timeout_ms))
     }
 
-    /// How many descriptors the export holds: one for each collector and for the file.
-    pub fn descriptors(&self) -> usize {
+    /// File descriptors that the export needs: one for each collector and one for the file.
+    pub fn descriptor_count(&self) -> usize {
         self.collectors.len() + usize::from(self.file.is_some())
     }
 
--- a/crates/gateway/src/config/extension.rs
+++ b/crates/gateway/src/config/extension.rs
@@ -98,7 +98,7 @@
         let flows = self
             .flows
             .as_ref()
-            .map_or(0, FlowExportSettings::descriptors);
+            .map_or(0, FlowExportSettings::descriptor_count);
         let leases = self.leases.as_ref().map_or(0, |_| LEASE_DESCRIPTORS);
         sites + flows + leases
     }
--- a/crates/ipfix/src/decoded.rs
+++ b/crates/ipfix/src/decoded.rs
@@ -56,7 +56,7 @@
     /// 10 for IPFIX, 9 for NetFlow v9.
     pub version: u16,
     /// When the message was exported, in Unix seconds.
-    pub export_time: u32,
+    pub export_time_s: u32,
     /// The sequence number of the message's first record (IPFIX) or of the message (NetFlow v9).
     pub sequence_number: u32,
     /// The observation domain, or the source of NetFlow v9.
--- a/crates/ipfix/src/reader.rs
+++ b/crates/ipfix/src/reader.rs
@@ -260,7 +260,7 @@
     };
     Ok(Message {
         version,
-        export_time: rest.u32()?,
+        export_time_s: rest.u32()?,
         sequence_number: rest.u32()?,
         observation_domain: rest.u32()?,
         records: Vec::new(),
--- a/crates/ipfix/src/writer.rs
+++ b/crates/ipfix/src/writer.rs
@@ -202,15 +202,15 @@
 
     /// Takes the finished messages, stamped with the export time in Unix seconds and, for NetFlow v9, the exporter's uptime in
     /// milliseconds.
-    pub fn take_messages(&mut self, export_time: u32, uptime_ms: u32) -> Vec<EncodedMessage> {
+    pub fn take_messages(&mut self, export_time_s: u32, uptime_ms: u32) -> Vec<EncodedMessage> {
         let mut finished = std::mem::take(&mut self.finished);
         for message in &mut finished {
             let octets = &mut message.octets;
             match self.format {
-                WireFormat::Ipfix => octets[4..8].copy_from_slice(&export_time.to_be_bytes()),
+                WireFormat::Ipfix => octets[4..8].copy_from_slice(&export_time_s.to_be_bytes()),
                 WireFormat::NetflowV9 => {
                     octets[4..8].copy_from_slice(&uptime_ms.to_be_bytes());
-                    octets[8..12].copy_from_slice(&export_time.to_be_bytes());
+                    octets[8..12].copy_from_slice(&export_time_s.to_be_bytes());
                 }
             }
         }
