--- a/crates/flow-metering/src/counters.rs
+++ b/crates/flow-metering/src/counters.rs
@@ -1,24 +1,24 @@
-//! The counters of a flow.
+//! The counters of a flow over an interval.
 
 use harrierdock_types::TimeDelta;
 
 use crate::Observation;
 
-/// Buckets of the duration histogram, by the ratio to the latency objective: up to 1/8, 1/4, 1/2, 1, 2, 4, 8, and beyond.
+/// Buckets of the duration histogram, by ratio to the latency objective: up to 1/8, 1/4, 1/2, 1, 2, 4, 8, and above 8.
 pub const DURATION_BUCKETS: usize = 8;
 
-/// The counts of a flow over an interval.
+/// Counts of the attempts or requests of a flow.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FlowCounters {
-    /// Attempts or requests.
+    /// All attempts or requests.
     pub count: u64,
-    /// Attempts after their request's first one.
+    /// Attempts after the first one of their request.
     pub retries: u64,
-    /// Those that took longer than the latency objective.
+    /// Attempts or requests that took longer than the latency objective.
     pub late: u64,
     /// The sum of all durations, in microseconds.
     pub duration_us: u64,
-    /// How many took how long, by ratio to the latency objective.
+    /// Counts by ratio of duration to latency objective, in the buckets of [`DURATION_BUCKETS`].
     pub duration_histogram: [u64; DURATION_BUCKETS],
     /// Octets of request bodies.
     pub request_octets: u64,
@@ -27,7 +27,7 @@
 }
 
 impl FlowCounters {
-    /// Counts one observation.
+    /// Counts an observation.
     pub fn add(&mut self, observation: &Observation) {
         let duration = observation.duration;
         let objective = observation.latency_objective;
@@ -36,7 +36,7 @@
         self.retries += u64::from(observation.is_retry);
         self.late += u64::from(duration > objective);
         self.duration_us = self.duration_us.saturating_add(duration_us);
-        self.duration_histogram[bucket(duration, objective)] += 1;
+        self.duration_histogram[histogram_bucket(duration, objective)] += 1;
         self.request_octets = self
             .request_octets
             .saturating_add(observation.request_octets);
@@ -45,7 +45,7 @@
             .saturating_add(observation.response_octets);
     }
 
-    /// Adds the counts of another interval. A count that would wrap stays at the largest number.
+    /// Adds the counts of another interval. A count that would overflow stays at the maximum.
     pub fn merge(&mut self, other: &FlowCounters) {
         let pairs = [
             (&mut self.count, other.count),
@@ -68,9 +68,9 @@
     }
 }
 
-fn bucket(duration: TimeDelta, latency_objective: TimeDelta) -> usize {
+fn histogram_bucket(duration: TimeDelta, latency_objective: TimeDelta) -> usize {
     let eighth = (latency_objective.0 / 8).max(1);
     (0..DURATION_BUCKETS - 1)
-        .find(|n| duration.0 <= eighth << n)
+        .find(|doublings| duration.0 <= eighth << doublings)
         .unwrap_or(DURATION_BUCKETS - 1)
 }
--- a/crates/flow-metering/src/flow.rs
+++ b/crates/flow-metering/src/flow.rs
@@ -1,4 +1,4 @@
-//! What is observed, the key under which it is counted, and a flow: the counters of one key over an interval.
+//! Observations, the flow keys that they are counted under, and flows.
 
 use harrierdock_types::{BuildId, TimeDelta, Timestamp};
 
@@ -7,48 +7,48 @@
 /// What a flow counts: attempts at endpoints, or requests of clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum RecordKind {
-    /// Attempts at endpoints.
+    /// Attempts, each of which goes to one endpoint.
     Attempt = 0,
-    /// Requests of clients.
+    /// Requests, each of which takes any number of attempts.
     Request = 1,
 }
 
 impl RecordKind {
-    /// All kinds, each at the index of its number.
+    /// All kinds; the index of each is its discriminant.
     pub const ALL: [RecordKind; 2] = [RecordKind::Attempt, RecordKind::Request];
 }
 
-/// How an attempt (the first eight) or a request (the others) ended.
+/// How an attempt (the first eight variants) or a request (the other variants) ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum FlowOutcome {
-    /// The endpoint answered.
+    /// The endpoint responded without an error.
     Succeeded = 0,
-    /// The endpoint answered with an error.
+    /// The endpoint responded with an error.
     ServerError = 1,
-    /// The endpoint rejected the attempt with the promise of no effect.
+    /// The endpoint rejected the attempt, which had no effect.
     Rejected = 2,
-    /// The attempt's time was up.
+    /// The attempt's timeout expired.
     TimedOut = 3,
-    /// No connection came up.
+    /// No connection to the endpoint was established.
     ConnectFailed = 4,
-    /// The connection broke.
+    /// The connection broke before the response was complete.
     Reset = 5,
     /// The gateway cancelled the attempt.
     Cancelled = 6,
     /// The attempt was dropped before its first byte.
     NotSent = 7,
-    /// The request was answered.
+    /// The gateway returned a successful response.
     RequestSucceeded = 8,
-    /// The request was rejected with the promise of no effect.
+    /// The request was rejected and had no effect.
     RequestRejected = 9,
-    /// The request ended with unknown effect.
+    /// The request failed; its effect is unknown.
     RequestFailed = 10,
-    /// The client disconnected before the answer.
+    /// The client disconnected before the response.
     ClientDisconnected = 11,
 }
 
 impl FlowOutcome {
-    /// All outcomes, each at the index of its number.
+    /// All outcomes; the index of each is its discriminant.
     pub const ALL: [FlowOutcome; 12] = [
         FlowOutcome::Succeeded,
         FlowOutcome::ServerError,
@@ -68,65 +68,65 @@
 /// Which sites a request went through.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum FlowPath {
-    /// Received and answered at the local site.
+    /// Received from a client and served at the local site.
     Local = 0,
-    /// Forwarded to the other site.
+    /// Received from a client and forwarded to the other site.
     Forwarded = 1,
-    /// Received from the other site.
+    /// Received from the other site and served at the local site.
     Inbound = 2,
 }
 
-/// One attempt or request that ended.
+/// A finished attempt or request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Observation {
-    /// Whether it is an attempt or a request.
+    /// Whether this is an attempt or a request.
     pub kind: RecordKind,
-    /// The build that served it; 0 where there is none.
+    /// The build of the attempt's endpoint; 0 if it has none, and for requests.
     pub build: BuildId,
-    /// The build's rollout stage.
+    /// The build's rollout stage; 0 for requests and for all builds but the newest.
     pub stage: u8,
-    /// The request class's number; 255 for all from there on.
+    /// The request class's index; 255 for that class and all later ones.
     pub class: u8,
-    /// How it ended.
+    /// How the attempt or request ended.
     pub outcome: FlowOutcome,
-    /// Which sites it went through.
+    /// Which sites the request went through.
     pub path: FlowPath,
-    /// The number of an attempt's endpoint; none for requests.
+    /// The id of an attempt's endpoint; `None` for requests.
     pub endpoint: Option<u32>,
-    /// Whether it is an attempt after the request's first one.
+    /// Whether this is an attempt after the request's first one.
     pub is_retry: bool,
-    /// How long it took.
+    /// The time from start to end.
     pub duration: TimeDelta,
     /// The request class's latency objective.
     pub latency_objective: TimeDelta,
-    /// Octets of the request's body.
+    /// Octets of the request body.
     pub request_octets: u64,
-    /// Octets of the response's body.
+    /// Octets of the response body.
     pub response_octets: u64,
 }
 
-/// What the counters of a flow have in common.
+/// The properties shared by all attempts or requests that a flow counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct FlowKey {
-    /// Whether attempts or requests are counted.
+    /// Whether the flow counts attempts or requests.
     pub kind: RecordKind,
-    /// The build; 0 where there is none.
+    /// The build of the attempts' endpoints; 0 if they have none, and for requests.
     pub build: BuildId,
-    /// The build's rollout stage.
+    /// The build's rollout stage; 0 for requests, for all builds but the newest, and in flows aggregated over stages.
     pub stage: u8,
-    /// The request class's number; 255 for all from there on.
+    /// The request class's index; 255 for that class and all later ones.
     pub class: u8,
-    /// How they ended.
+    /// How the attempts or requests ended.
     pub outcome: FlowOutcome,
-    /// Which sites they went through.
+    /// Which sites the requests went through.
     pub path: FlowPath,
-    /// The endpoint's number; none for all endpoints that have no flow of their own.
+    /// The id of the attempts' endpoint; `None` for requests and for endpoints without a flow of their own.
     pub endpoint: Option<u32>,
 }
 
 impl FlowKey {
-    /// The key of an observation, with the endpoint that it is to be counted under.
-    pub fn of(observation: &Observation, endpoint: Option<u32>) -> FlowKey {
+    /// Returns the key of an observation, with `endpoint` in place of the observed endpoint.
+    pub fn from_observation(observation: &Observation, endpoint: Option<u32>) -> FlowKey {
         FlowKey {
             kind: observation.kind,
             build: observation.build,
@@ -138,8 +138,8 @@
         }
     }
 
-    /// The key as one number, different for each key.
-    pub fn packed(&self) -> u128 {
+    /// Packs the key into a number that is unique to it.
+    pub fn to_u128(&self) -> u128 {
         let endpoint = self.endpoint.map_or(0, |id| u128::from(id) + 1);
         let low = (self.kind as u128) << 24
             | u128::from(self.stage) << 16
@@ -150,15 +150,15 @@
     }
 }
 
-/// The counters of one key over an interval.
+/// The counters of one flow key over an interval.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Flow {
-    /// What is counted.
+    /// Which attempts or requests are counted.
     pub key: FlowKey,
-    /// The counts.
+    /// The counters over the interval.
     pub counters: FlowCounters,
-    /// When the interval starts.
+    /// The start of the interval.
     pub start: Timestamp,
-    /// When the interval ends.
+    /// The end of the interval.
     pub end: Timestamp,
 }
--- a/crates/flow-metering/src/flow_table.rs
+++ b/crates/flow-metering/src/flow_table.rs
@@ -1,6 +1,6 @@
-//! A hash table by flow key: open addressing over small slots that point into dense rows.
+//! A hash table by flow key: open addressing over small slots that hold the indexes of dense rows.
 //!
-//! Iterating and draining cost what is in the table, and a lookup costs one hash and mostly one probe.
+//! Iterating takes time proportional to the number of keys. A lookup takes one hash and usually one probe.
 
 use crate::FlowKey;
 
@@ -22,7 +22,7 @@
 
     fn new(key: &FlowKey, row: usize) -> Slot {
         Slot {
-            tag: tag(hash(key)),
+            tag: hash_tag(hash_key(key)),
             row: row as u32,
         }
     }
@@ -32,15 +32,15 @@
     }
 }
 
-/// Where a key was looked for.
+/// The result of looking up a key.
 enum Lookup {
-    /// The slot that holds the key.
+    /// The index of the slot that holds the key.
     Occupied(usize),
-    /// The empty slot in which the key belongs.
+    /// The index of the empty slot where the key would be inserted.
     Vacant(usize),
 }
 
-/// A table of values by flow key. Rows are in the order of insertion, but a removal moves the last row into the gap.
+/// A hash table of values by flow key. Rows are in insertion order, except that a removal moves the last row into the free one.
 pub struct FlowTable<T> {
     slots: Vec<Slot>,
     rows: Vec<(FlowKey, T)>,
@@ -52,9 +52,9 @@
     }
 }
 
-/// Multiplies both halves of the key and folds the product.
-fn hash(key: &FlowKey) -> u64 {
-    let packed = key.packed();
+/// Hashes a key by multiplying its two halves and folding the product.
+fn hash_key(key: &FlowKey) -> u64 {
+    let packed = key.to_u128();
     let low = packed as u64 ^ 0x9e37_79b9_7f4a_7c15;
     let high = (packed >> 64) as u64 ^ 0xd6e8_feb8_6659_fd93;
     let product = u128::from(low) * u128::from(high | 1);
@@ -62,12 +62,13 @@
     folded.wrapping_mul(0xff51_afd7_ed55_8ccd) ^ folded >> 32
 }
 
-fn tag(hash: u64) -> u32 {
+/// Returns the hash's high bits, which a slot stores to skip most comparisons of keys.
+fn hash_tag(hash: u64) -> u32 {
     (hash >> 32) as u32
 }
 
 impl<T> FlowTable<T> {
-    /// An empty table.
+    /// Creates an empty table.
     pub fn new() -> FlowTable<T> {
         FlowTable {
             slots: vec![Slot::EMPTY; INITIAL_SLOTS],
@@ -75,12 +76,12 @@
         }
     }
 
-    /// How many keys the table holds.
+    /// Returns the number of keys.
     pub fn len(&self) -> usize {
         self.rows.len()
     }
 
-    /// Whether the table holds no key.
+    /// Returns whether the table is empty.
     pub fn is_empty(&self) -> bool {
         self.rows.is_empty()
     }
@@ -90,9 +91,9 @@
     }
 
     fn find(&self, key: &FlowKey) -> Lookup {
-        let hash = hash(key);
+        let hash = hash_key(key);
         let mask = self.mask();
-        let tag = tag(hash);
+        let tag = hash_tag(hash);
         let mut index = hash as usize & mask;
         loop {
             let slot = self.slots[index];
@@ -106,12 +107,12 @@
         }
     }
 
-    /// Whether the table holds the key.
+    /// Returns whether the table contains `key`.
     pub fn contains(&self, key: &FlowKey) -> bool {
         matches!(self.find(key), Lookup::Occupied(_))
     }
 
-    /// The value of a key.
+    /// Returns the value of a key.
     pub fn get_mut(&mut self, key: &FlowKey) -> Option<&mut T> {
         match self.find(key) {
             Lookup::Occupied(index) => {
@@ -122,9 +123,9 @@
         }
     }
 
-    /// Sets the value of a key, and returns the value that it had.
+    /// Sets the value of a key, and returns the previous value.
     pub fn insert(&mut self, key: FlowKey, value: T) -> Option<T> {
-        // At most half of the slots are in use, so that probes stay short.
+        // At most half of the slots are used, to keep probe sequences short.
         if (self.rows.len() + 1) * 2 > self.slots.len() {
             self.grow();
         }
@@ -158,7 +159,7 @@
         };
         let row = self.slots[index].row as usize;
         self.vacate(index);
-        // The last row moves into the gap, so its slot has to point there.
+        // `swap_remove` moves the last row to index `row`, so the slot of that row is updated.
         let last = self.rows.len() - 1;
         if row != last {
             if let Lookup::Occupied(moved) = self.find(&self.rows[last].0) {
@@ -168,13 +169,13 @@
         Some(self.rows.swap_remove(row).1)
     }
 
-    /// Empties a slot, and shifts back the slots after it that were displaced by it, so that no tombstone is needed.
+    /// Empties a slot, and shifts back the later slots that it displaced, so that no tombstone is needed.
     fn vacate(&mut self, mut index: usize) {
         let mask = self.mask();
         let mut next = (index + 1) & mask;
         while !self.slots[next].is_empty() {
             let row = self.slots[next].row as usize;
-            let preferred = hash(&self.rows[row].0) as usize & mask;
+            let preferred = hash_key(&self.rows[row].0) as usize & mask;
             if (next.wrapping_sub(preferred) & mask) >= (next.wrapping_sub(index) & mask) {
                 self.slots[index] = self.slots[next];
                 index = next;
@@ -184,12 +185,12 @@
         self.slots[index] = Slot::EMPTY;
     }
 
-    /// All keys with their values, in the order of the rows.
+    /// Iterates over all keys and values in row order.
     pub fn iter(&self) -> impl Iterator<Item = &(FlowKey, T)> {
         self.rows.iter()
     }
 
-    /// Removes all keys, and returns them with their values in the order of the rows.
+    /// Removes and returns all keys and values, in row order.
     pub fn drain(&mut self) -> Vec<(FlowKey, T)> {
         self.slots.fill(Slot::EMPTY);
         std::mem::take(&mut self.rows)
--- a/crates/flow-metering/src/heavy_hitters.rs
+++ b/crates/flow-metering/src/heavy_hitters.rs
@@ -1,21 +1,21 @@
-//! The most frequent of many items, by a space-saving sketch (Metwally, Agrawal, El Abbadi 2005).
+//! The most frequent of many items, found by the space-saving algorithm (Metwally, Agrawal, El Abbadi 2005).
 //!
-//! The number of counters is fixed. An item without one takes over the lowest counter, and that counter's count is its error. An
-//! item with more than the total divided by the number of counters is certain to have a counter.
+//! The number of counters is fixed. An item without a counter takes over the lowest one, and overestimates by that counter's value.
+//! An item observed more often than the total divided by the number of counters always has a counter.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A sketch of the most frequent items.
+/// A space-saving sketch of the most frequent items.
 pub struct HeavyHitters {
     capacity: usize,
     counts: BTreeMap<u32, u64>,
-    /// The items by their counts, the lowest first.
+    /// Counts with their items, lowest count first.
     by_count: BTreeSet<(u64, u32)>,
     total: u64,
 }
 
 impl HeavyHitters {
-    /// A sketch with so many counters, one at least.
+    /// Creates a sketch with `capacity` counters; 0 is raised to 1.
     pub fn new(capacity: usize) -> HeavyHitters {
         HeavyHitters {
             capacity: capacity.max(1),
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Counts one item, and returns whether it was among the heavy hitters already or a counter was free for it.
+    /// Counts an item. Returns whether it already had a counter or a counter was free.
     pub fn observe(&mut self, item: u32) -> bool {
         self.total += 1;
         if let Some(count) = self.counts.get(&item).copied() {
@@ -41,7 +41,7 @@
             self.counts.remove(&evicted);
             self.set_count(item, lowest + 1);
         }
-        // Taking over the lowest counter doesn't show yet that an item is frequent.
+        // A single observation that takes over the lowest counter does not make an item frequent.
         false
     }
 
@@ -50,12 +50,13 @@
         self.by_count.insert((count, item));
     }
 
-    /// An item's count: never too low, and too high by the total divided by the number of counters at most.
+    /// Returns an item's estimated count; `None` without a counter. It is never too low, and too high by at most the total
+    /// divided by the number of counters.
     pub fn count(&self, item: u32) -> Option<u64> {
         self.counts.get(&item).copied()
     }
 
-    /// How many items were observed in all.
+    /// Returns the number of observations of all items.
     pub fn total(&self) -> u64 {
         self.total
     }
--- a/crates/flow-metering/src/meter.rs
+++ b/crates/flow-metering/src/meter.rs
@@ -1,4 +1,4 @@
-//! The metering process: the live flows of a gateway, and when each of them is exported.
+//! The metering process: counts observations in live flows, and exports each flow at its active timeout.
 
 use harrierdock_types::{TimeDelta, Timestamp};
 
@@ -6,18 +6,18 @@
     Flow, FlowCounters, FlowKey, FlowTable, HeavyHitters, Observation, RecordKind, TimerWheel,
 };
 
-/// How many endpoints have flows of their own.
+/// The largest number of endpoints that have flows of their own.
 pub const MAX_METERED_ENDPOINTS: usize = 64;
-/// How many keys may be live before endpoints share the flow of their build.
+/// Beyond this number of live flows, new flows do not distinguish endpoints and rollout stages.
 pub const MAX_FLOW_KEYS: usize = 4096;
-/// Ticks of the timer wheel in one active timeout, so that flows expire spread over it.
+/// Ticks of the timer wheel per active timeout; more than one, so that flows do not all expire at once.
 const TICKS_PER_ACTIVE_TIMEOUT: f64 = 4.0;
-/// Two active timeouts, and the ticks by which a timer may be late.
+/// Slots for two active timeouts, plus the ticks by which a timer may be late.
 const WHEEL_SLOTS: usize = 2 * TICKS_PER_ACTIVE_TIMEOUT as usize + 2;
-/// Active timeouts without an observation after which a flow ends.
+/// A flow is removed after this many successive active timeouts without an observation.
 const IDLE_ACTIVE_TIMEOUTS: u32 = 2;
 
-/// A count for each [`RecordKind`], at the index of its number.
+/// A count for each [`RecordKind`], indexed by its discriminant.
 type CountsByKind = [u64; RecordKind::ALL.len()];
 
 /// The counters of a live flow since its last export.
@@ -28,7 +28,7 @@
 }
 
 impl LiveFlow {
-    fn export(&self, key: FlowKey, end: Timestamp) -> Flow {
+    fn to_flow(&self, key: FlowKey, end: Timestamp) -> Flow {
         Flow {
             key,
             counters: self.counters,
@@ -49,7 +49,7 @@
 }
 
 impl FlowMeter {
-    /// A meter that exports a flow in progress after each active timeout.
+    /// Creates a meter that exports each flow once per active timeout.
     pub fn new(now: Timestamp, active_timeout: TimeDelta) -> FlowMeter {
         let tick = active_timeout / TICKS_PER_ACTIVE_TIMEOUT;
         FlowMeter {
@@ -62,31 +62,31 @@
         }
     }
 
-    /// How many were observed since the start, by kind, ignored ones among them.
+    /// Returns the attempts and requests observed since the start, by kind, including ignored ones.
     pub fn observed(&self) -> [u64; RecordKind::ALL.len()] {
         self.observed
     }
 
-    /// How many were counted in no flow because there were too many keys, by kind.
+    /// Returns the attempts and requests that no flow counted because there were too many keys, by kind.
     pub fn ignored(&self) -> [u64; RecordKind::ALL.len()] {
         self.ignored
     }
 
-    /// How many flows are live.
+    /// Returns the number of live flows.
     pub fn len(&self) -> usize {
         self.flows.len()
     }
 
-    /// Whether no flow is live.
+    /// Returns whether there is no live flow.
     pub fn is_empty(&self) -> bool {
         self.flows.is_empty()
     }
 
-    /// Counts one attempt or request that ended.
+    /// Counts a finished attempt or request.
     pub fn observe(&mut self, now: Timestamp, observation: &Observation) {
         let kind = observation.kind as usize;
         self.observed[kind] += 1;
-        let Some(key) = self.admit(observation) else {
+        let Some(key) = self.select_key(observation) else {
             self.ignored[kind] += 1;
             return;
         };
@@ -106,12 +106,13 @@
         self.timers.schedule(now + self.active_timeout, key);
     }
 
-    /// The key to count under, with less detail while there are too many keys; none if even that doesn't fit.
-    fn admit(&mut self, observation: &Observation) -> Option<FlowKey> {
+    /// Returns the key to count an observation under, without endpoint and stage if there are too many keys. Returns `None` if
+    /// there is no space for that key either.
+    fn select_key(&mut self, observation: &Observation) -> Option<FlowKey> {
         let endpoint = observation.endpoint.filter(|endpoint| {
             self.heavy_endpoints.observe(*endpoint) && self.flows.len() < MAX_FLOW_KEYS
         });
-        let key = FlowKey::of(observation, endpoint);
+        let key = FlowKey::from_observation(observation, endpoint);
         if self.flows.contains(&key) || self.flows.len() < MAX_FLOW_KEYS {
             return Some(key);
         }
@@ -120,11 +121,11 @@
             stage: 0,
             ..key
         };
-        let is_admitted = self.flows.contains(&coarse_key) || self.flows.len() < 2 * MAX_FLOW_KEYS;
-        is_admitted.then_some(coarse_key)
+        let has_space = self.flows.contains(&coarse_key) || self.flows.len() < 2 * MAX_FLOW_KEYS;
+        has_space.then_some(coarse_key)
     }
 
-    /// Takes the flows whose active timeout has passed, each with the interval since its last export.
+    /// Takes the flows whose active timeout has passed. Each covers the interval since its last export.
     pub fn take_expired(&mut self, now: Timestamp) -> Vec<Flow> {
         let mut exported = Vec::new();
         for key in self.timers.advance(now) {
@@ -132,7 +133,7 @@
                 continue;
             };
             if flow.counters.count > 0 {
-                exported.push(flow.export(key, now));
+                exported.push(flow.to_flow(key, now));
                 flow.counters = FlowCounters::default();
                 flow.idle_timeouts = 0;
             } else {
@@ -148,21 +149,21 @@
         exported
     }
 
-    /// Takes everything that is not exported yet, ordered by key, and ends all flows.
+    /// Removes all flows, and returns those with counts not exported yet, ordered by key.
     pub fn take_all(&mut self, now: Timestamp) -> Vec<Flow> {
         let mut exported: Vec<Flow> = self
             .flows
             .drain()
             .into_iter()
             .filter(|(_, flow)| flow.counters.count > 0)
-            .map(|(key, flow)| flow.export(key, now))
+            .map(|(key, flow)| flow.to_flow(key, now))
             .collect();
         exported.sort_by_key(|flow| flow.key);
         self.timers.clear();
         exported
     }
 
-    /// When flows may expire next.
+    /// Returns the next time at which flows may expire.
     pub fn next_expiry(&self) -> Timestamp {
         self.timers.next_tick()
     }
--- a/crates/flow-metering/src/pending_flows.rs
+++ b/crates/flow-metering/src/pending_flows.rs
@@ -1,18 +1,18 @@
-//! The flows that wait for one collector.
+//! The flows not yet sent to one collector.
 //!
-//! A flow joins the one that waits under the same key, and that one's interval widens. When there are too many keys, endpoints are
-//! aggregated into their build, and then stages. Only what doesn't fit even then is dropped, and counted.
+//! A new flow is merged into the pending flow of the same key, whose interval is extended. With too many keys, the flows of all
+//! endpoints of a build are aggregated, and then those of all stages. A flow that still does not fit is dropped and counted.
 
 use std::collections::BTreeMap;
 
 use crate::{Flow, FlowKey, RecordKind};
 
-/// What was dropped because too many keys waited.
+/// Totals of the flows dropped for lack of space, at shutdown, or because their collector was removed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DroppedFlows {
-    /// Attempts and requests, by kind.
+    /// Attempts and requests counted by the dropped flows, by kind.
     pub counts: [u64; RecordKind::ALL.len()],
-    /// The flows that counted them.
+    /// The number of dropped flows.
     pub flows: u64,
 }
 
@@ -23,7 +23,7 @@
     }
 }
 
-/// How far keys are aggregated.
+/// Which parts of the keys are left out.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Aggregation {
     None,
@@ -48,7 +48,7 @@
     }
 }
 
-/// A bounded table of the flows that wait for one collector.
+/// A bounded table of the flows not yet sent to one collector.
 pub struct PendingFlows {
     max_keys: usize,
     aggregation: Aggregation,
@@ -57,7 +57,7 @@
 }
 
 impl PendingFlows {
-    /// An empty table of so many keys at most, one at least.
+    /// Creates an empty table of at most `max_keys` keys; 0 is raised to 1.
     pub fn new(max_keys: usize) -> PendingFlows {
         PendingFlows {
             max_keys: max_keys.max(1),
@@ -67,22 +67,22 @@
         }
     }
 
-    /// How many flows wait.
+    /// Returns the number of pending flows.
     pub fn len(&self) -> usize {
         self.flows.len()
     }
 
-    /// Whether no flow waits.
+    /// Returns whether no flow is pending.
     pub fn is_empty(&self) -> bool {
         self.flows.is_empty()
     }
 
-    /// All that was dropped so far.
+    /// Returns the totals of all dropped flows.
     pub fn dropped(&self) -> DroppedFlows {
         self.dropped
     }
 
-    /// Adds a flow, or returns one that could not be sent.
+    /// Adds a new flow, or one that was taken out and could not be sent.
     pub fn add(&mut self, flow: Flow) {
         loop {
             let key = self.aggregation.apply(flow.key);
@@ -93,7 +93,7 @@
                 self.flows.insert(key, Flow { key, ..flow });
                 return;
             }
-            // Each step of aggregation is taken once until the table is empty again, so the loop ends.
+            // The aggregation only increases until the table is empty again, so the loop ends.
             match self.aggregation {
                 Aggregation::None => self.aggregate(Aggregation::Endpoints),
                 Aggregation::Endpoints => self.aggregate(Aggregation::EndpointsAndStages),
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Merges a flow into the one that waits under a key. Returns false if there is none.
+    /// Merges a flow into the pending flow of a key. Returns false if there is none.
     fn merge(&mut self, key: FlowKey, flow: &Flow) -> bool {
         let Some(pending) = self.flows.get_mut(&key) else {
             return false;
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Takes the first flow, in the order of keys.
+    /// Removes and returns the first flow in key order.
     pub fn pop_first(&mut self) -> Option<Flow> {
         let first = self.flows.pop_first().map(|(_, flow)| flow);
         if self.flows.is_empty() {
@@ -135,7 +135,7 @@
         first
     }
 
-    /// Drops all flows that wait, and counts them as dropped.
+    /// Drops all pending flows.
     pub fn drop_all(&mut self) {
         for flow in std::mem::take(&mut self.flows).into_values() {
             self.dropped.add(&flow);
--- a/crates/flow-metering/src/timer_wheel.rs
+++ b/crates/flow-metering/src/timer_wheel.rs
@@ -1,8 +1,8 @@
-//! A timer wheel: a timer goes into the slot of the tick in which it expires, and each tick empties one slot.
+//! A timer wheel: each timer is in the slot of the tick at which it expires, and each tick empties one slot.
 
 use harrierdock_types::{TimeDelta, Timestamp};
 
-/// Timers by the tick in which they expire.
+/// Timers, grouped by the tick at which they expire.
 pub struct TimerWheel<T> {
     slots: Vec<Vec<T>>,
     tick: TimeDelta,
@@ -11,7 +11,7 @@
 }
 
 impl<T> TimerWheel<T> {
-    /// A wheel of so many slots, two at least, each one tick long. A timer beyond the wheel's span expires in its last slot.
+    /// Creates a wheel of `slots` slots (at least 2), each one `tick` long. A timer beyond the wheel's span expires with the last slot.
     pub fn new(now: Timestamp, tick: TimeDelta, slots: usize) -> TimerWheel<T> {
         let tick = tick.max(TimeDelta(1));
         TimerWheel {
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Sets a timer. Within the wheel's span it never expires early, and late by less than a tick.
+    /// Adds a timer. Within the wheel's span it never expires early, and less than a tick late.
     pub fn schedule(&mut self, deadline: Timestamp, timer: T) {
         let remaining = (deadline - self.next_tick).0.max(0);
         let last_slot = self.slots.len() as i64 - 1;
@@ -31,7 +31,7 @@
         self.slots[slot].push(timer);
     }
 
-    /// Advances to this point in time, and returns all timers that have expired.
+    /// Advances to `now`, and returns all expired timers.
     pub fn advance(&mut self, now: Timestamp) -> Vec<T> {
         let mut expired = Vec::new();
         for _ in 0..self.slots.len() {
@@ -42,7 +42,7 @@
             self.current_slot = (self.current_slot + 1) % self.slots.len();
             self.next_tick = self.next_tick + self.tick;
         }
-        // After a full round every timer has expired; ticks missed beyond it are skipped.
+        // After a full round all timers have expired, so the remaining missed ticks are skipped.
         if self.next_tick <= now {
             let missed = (now - self.next_tick).0 / self.tick.0 + 1;
             self.next_tick = self.next_tick + TimeDelta(self.tick.0.saturating_mul(missed));
@@ -50,7 +50,7 @@
         expired
     }
 
-    /// When the next tick is.
+    /// Returns the time of the next tick.
     pub fn next_tick(&self) -> Timestamp {
         self.next_tick
     }
