--- a/crates/ipfix/src/decoded.rs
+++ b/crates/ipfix/src/decoded.rs
@@ -1,32 +1,32 @@
 //! Decoded messages and their records.
 
-/// Stands for the enterprise of scope fields of NetFlow v9, whose types are a number space of their own.
+/// Pseudo enterprise number of NetFlow v9 scope fields, whose type numbers are independent of element ids.
 pub const NETFLOW_V9_SCOPE: u32 = u32::MAX;
 
 /// One field of a decoded record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FieldValue {
-    /// The enterprise that defines the element: 0 for IANA's registry, [`NETFLOW_V9_SCOPE`] for a scope field of NetFlow v9.
+    /// The enterprise number of the element: 0 for IANA's registry, [`NETFLOW_V9_SCOPE`] for a NetFlow v9 scope field.
     pub enterprise: u32,
-    /// The element's number.
+    /// The information element's id, or the type of a NetFlow v9 scope field.
     pub element_id: u16,
-    /// The value as it was sent.
+    /// The encoded value.
     pub octets: Vec<u8>,
 }
 
-/// One decoded record, field by field.
+/// A decoded data record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DataRecord {
-    /// The number of the record's template.
+    /// The id of the record's template.
     pub template_id: u16,
-    /// How many of the first fields are scope fields.
+    /// The number of scope fields, which come first.
     pub scope_field_count: u16,
-    /// The fields, in the template's order.
+    /// The fields, in template order.
     pub fields: Vec<FieldValue>,
 }
 
 impl DataRecord {
-    /// The octets of one element.
+    /// Returns the encoded value of an element; `None` if the record lacks it.
     pub fn octets(&self, enterprise: u32, element_id: u16) -> Option<&[u8]> {
         self.fields
             .iter()
@@ -34,15 +34,19 @@
             .map(|field| &field.octets[..])
     }
 
-    /// An element as a number; none if it has more than eight octets.
+    /// Returns an element's value as a number; `None` if the record lacks it or it has more than eight octets.
     pub fn number(&self, enterprise: u32, element_id: u16) -> Option<u64> {
         let octets = self
             .octets(enterprise, element_id)
             .filter(|octets| octets.len() <= 8)?;
-        Some(octets.iter().fold(0, |n, o| n << 8 | u64::from(*o)))
+        Some(
+            octets
+                .iter()
+                .fold(0, |number, octet| number << 8 | u64::from(*octet)),
+        )
     }
 
-    /// An element as text, without the zeros that NetFlow v9 pads it with.
+    /// Returns an element's value as text, without the zero padding of NetFlow v9; `None` if the record lacks it.
     pub fn text(&self, enterprise: u32, element_id: u16) -> Option<String> {
         let octets = self.octets(enterprise, element_id)?;
         let text = String::from_utf8_lossy(octets);
@@ -50,19 +54,19 @@
     }
 }
 
-/// A decoded message.
+/// A decoded IPFIX or NetFlow v9 message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
     /// 10 for IPFIX, 9 for NetFlow v9.
     pub version: u16,
-    /// When the message was exported, in Unix seconds.
+    /// The export time, in seconds since 1970.
     pub export_time_s: u32,
-    /// The sequence number of the message's first record (IPFIX) or of the message (NetFlow v9).
+    /// The number of data records (IPFIX) or messages (NetFlow v9) that the exporter sent before this message, modulo 2^32.
     pub sequence_number: u32,
-    /// The observation domain, or the source of NetFlow v9.
+    /// The observation domain id of IPFIX, or the source id of NetFlow v9.
     pub observation_domain: u32,
-    /// The data records.
+    /// The decoded data records, in message order.
     pub records: Vec<DataRecord>,
-    /// How many sets were skipped because their template has not been received.
+    /// The number of data sets skipped because their template is unknown.
     pub unknown_set_count: usize,
 }
--- a/crates/ipfix/src/encoding.rs
+++ b/crates/ipfix/src/encoding.rs
@@ -4,17 +4,17 @@
 use crate::wire_format::ENTERPRISE_BIT;
 use crate::{DataType, InformationElement, Template, Value, WireFormat, NETFLOW_V9_STRING_OCTETS};
 
-/// Leaves the rest of a message of the largest size to its headers and to other fields.
+/// Leaves 1024 octets of the largest message for headers and other fields.
 const MAX_STRING_OCTETS: usize = u16::MAX as usize - 1024;
-/// The first octet of a variable-length field whose length follows in two more.
+/// First octet of a variable-length field whose length is in the next two octets.
 const LONG_LENGTH_MARKER: u8 = 255;
 /// The scope type "System" of NetFlow v9 (RFC 3954, section 6.1).
 const NETFLOW_V9_SYSTEM_SCOPE: u16 = 1;
-/// The octets of a field specifier of NetFlow v9, in which options templates state their lengths.
+/// Size of a NetFlow v9 field specifier. NetFlow v9 options templates state their field counts as octets of specifiers.
 const NETFLOW_V9_SPECIFIER_OCTETS: u16 = 4;
 
 impl WireFormat {
-    /// The length that a template states for an element.
+    /// Returns the length that a template states for an element, in octets.
     fn field_length(self, element: &InformationElement) -> u16 {
         match (self, element.data_type) {
             (WireFormat::NetflowV9, DataType::String) => NETFLOW_V9_STRING_OCTETS,
@@ -47,7 +47,7 @@
             NETFLOW_V9_SPECIFIER_OCTETS * template.scope_field_count,
         );
         put_u16(buffer, NETFLOW_V9_SPECIFIER_OCTETS * others.len() as u16);
-        // The scope types of NetFlow v9 are few: "System" stands for whatever scope the IPFIX template has.
+        // NetFlow v9 has no scope types for information elements, so every scope field gets the type "System".
         for field in scope {
             put_u16(buffer, NETFLOW_V9_SYSTEM_SCOPE);
             put_u16(buffer, self.field_length(field));
@@ -58,7 +58,7 @@
     }
 
     fn put_specifier(self, buffer: &mut Vec<u8>, element: &InformationElement) {
-        // NetFlow v9 has no enterprise numbers and takes an element with the enterprise bit for a large type.
+        // NetFlow v9 has no enterprise numbers, so the enterprise bit becomes part of the field type.
         let enterprise_bit = match element.enterprise {
             Some(_) => ENTERPRISE_BIT,
             None => 0,
@@ -107,8 +107,7 @@
     }
 }
 
-/// Appends a number of one to eight octets. One too large for its field is written as the largest that fits, so that it
-/// doesn't wrap.
+/// Appends a number in one to eight octets. A number too large for them is written as the largest that fits, not wrapped.
 fn put_number(buffer: &mut Vec<u8>, number: u64, octets: u16) {
     let max = if octets == 8 {
         u64::MAX
@@ -119,7 +118,7 @@
     buffer.extend_from_slice(&encoded[8 - usize::from(octets)..]);
 }
 
-/// The longest prefix of a text within so many octets that ends at a character's end.
+/// Returns the longest prefix of at most `max_octets` octets that ends at a character boundary.
 fn truncate_text(text: &str, max_octets: usize) -> &str {
     let mut end = text.len().min(max_octets);
     while !text.is_char_boundary(end) {
--- a/crates/ipfix/src/error.rs
+++ b/crates/ipfix/src/error.rs
@@ -1,25 +1,25 @@
-//! What cannot be decoded or encoded.
+//! Errors of decoding and encoding.
 
 use thiserror::Error;
 
 /// Why a message cannot be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum DecodeError {
-    /// The version is neither that of IPFIX nor that of NetFlow v9.
+    /// The version number is neither 10 (IPFIX) nor 9 (NetFlow v9).
     #[error("Version({0})")]
     UnsupportedVersion(u16),
-    /// The message ends before the length that it states, or is longer than that.
+    /// A stated length doesn't match the octets of the message, set or field.
     #[error("Length")]
     WrongLength,
     /// A template or set is malformed.
     #[error("Form")]
     Malformed,
-    /// There are more templates, fields or observation domains than are kept.
+    /// The message exceeds the limit of templates, fields or observation domains.
     #[error("TooMany")]
     LimitExceeded,
 }
 
-/// A template or record fits no message of the given size.
+/// A template or record is larger than the maximum message size.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("the record fits no message")]
+#[error("the record is larger than the maximum message size")]
 pub struct RecordTooLarge;
--- a/crates/ipfix/src/file.rs
+++ b/crates/ipfix/src/file.rs
@@ -9,34 +9,34 @@
 pub enum FileEnd {
     /// The last message is complete.
     Complete,
-    /// The last message is cut short; it begins at this octet of the file.
+    /// The last message is incomplete; it starts at this octet of the file.
     TruncatedAt(usize),
 }
 
-/// The complete messages of a file.
+/// A file, split into its messages.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SplitFile<'a> {
-    /// The messages, in the file's order.
+    /// The complete messages, in file order.
     pub messages: Vec<&'a [u8]>,
-    /// How the file ends.
+    /// Whether the last message is complete.
     pub end: FileEnd,
 }
 
-/// No message begins where one should.
+/// A file holds something other than an IPFIX message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("no IPFIX message at octet {offset}")]
 pub struct FileError {
-    /// The octet of the file at which a message should begin.
+    /// The octet of the file at which a message was expected.
     pub offset: usize,
-    /// What is there instead.
+    /// Why the octets there are no message.
     #[source]
     pub source: DecodeError,
 }
 
-/// Splits a file into its messages, and reports whether the last one is complete.
+/// Splits the content of a file into its messages. An incomplete last message is no error.
 ///
 /// # Errors
-/// The octet at which no message begins where one should.
+/// The file holds something other than IPFIX messages.
 pub fn split_file(file: &[u8]) -> Result<SplitFile<'_>, FileError> {
     let mut offset = 0;
     let mut messages = Vec::new();
--- a/crates/ipfix/src/information_element.rs
+++ b/crates/ipfix/src/information_element.rs
@@ -1,21 +1,21 @@
-//! Information elements: what a field of a record means, and how many octets it takes.
+//! Information elements: the meaning, type and length of a record's field.
 
-/// The enterprise number reserved for documentation (RFC 5612), under which the gateway's own elements are defined.
+/// The enterprise number reserved for documentation (RFC 5612), under which the gateway's enterprise-specific elements are defined.
 pub const ENTERPRISE_NUMBER: u32 = 32_473;
-/// The length in a template of a field whose records carry its length (RFC 7011, section 7).
+/// The length that a template states for a variable-length field, whose length is in each record (RFC 7011, section 7).
 pub const VARIABLE_LENGTH: u16 = 65_535;
 
-/// Abstract data types (RFC 7012, section 3.1), with their numbers in type records (RFC 5610, section 3.1).
+/// Abstract data types (RFC 7012, section 3.1). The discriminants are their numbers in type records (RFC 5610, section 3.1).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum DataType {
-    /// A number of one octet.
+    /// An unsigned number of one octet.
     Unsigned8 = 1,
-    /// A number of two octets.
+    /// An unsigned number of two octets.
     Unsigned16 = 2,
-    /// A number of four octets.
+    /// An unsigned number of four octets.
     Unsigned32 = 3,
-    /// A number of eight octets.
+    /// An unsigned number of eight octets.
     Unsigned64 = 4,
     /// UTF-8 text.
     String = 13,
@@ -23,7 +23,7 @@
     DateTimeMilliseconds = 15,
 }
 
-/// Data type semantics (RFC 7012, section 3.2), with their numbers in type records (RFC 5610, section 3.6).
+/// Data type semantics (RFC 7012, section 3.2). The discriminants are their numbers in type records (RFC 5610, section 3.6).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Semantics {
@@ -39,25 +39,25 @@
     Identifier = 4,
 }
 
-/// An information element, of IANA's registry or of an enterprise.
+/// An information element, either from IANA's registry or enterprise-specific.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InformationElement {
-    /// The enterprise that defines the element; none for IANA's registry.
+    /// The number of the enterprise that defines the element; `None` for IANA's registry.
     pub enterprise: Option<u32>,
-    /// The element's number, from 1 to 32,767.
+    /// The element's id, from 1 to 32,767.
     pub id: u16,
     /// The element's registered name.
     pub name: &'static str,
-    /// The type of its values.
+    /// The abstract data type of the element's values.
     pub data_type: DataType,
-    /// What its values stand for.
+    /// The semantics of the element's values.
     pub semantics: Semantics,
-    /// IANA's number of the unit (informationElementUnits, 345): 0 none, 2 octets, 4 seconds, 5 milliseconds.
+    /// IANA's number of the unit (informationElementUnits, 345): 0 for none, 2 octets, 4 seconds, 5 milliseconds.
     pub units: u16,
 }
 
 impl InformationElement {
-    /// The length in octets in an IPFIX template; [`VARIABLE_LENGTH`] for text.
+    /// Returns the length that an IPFIX template states, in octets; [`VARIABLE_LENGTH`] for text.
     pub const fn length(&self) -> u16 {
         match self.data_type {
             DataType::Unsigned8 => 1,
--- a/crates/ipfix/src/lib.rs
+++ b/crates/ipfix/src/lib.rs
@@ -1,7 +1,7 @@
 //! IPFIX (RFC 7011) and NetFlow v9 (RFC 3954) messages: encodes templates, options templates and data records, and decodes them.
 //!
-//! A file of IPFIX messages (RFC 5655) is a sequence of such messages. This package opens no socket or file, and does not decide
-//! what is exported.
+//! A file of IPFIX messages (RFC 5655) is a sequence of such messages. This package does no I/O; its callers choose the templates and
+//! records.
 
 #![warn(missing_docs, unreachable_pub)]
 
--- a/crates/ipfix/src/octets.rs
+++ b/crates/ipfix/src/octets.rs
@@ -1,27 +1,28 @@
-//! Reads numbers off the front of a slice of octets, and appends them to a buffer.
+//! Reads big-endian numbers from the front of a slice, and appends them to a buffer.
 
 use crate::DecodeError;
 
-/// The octets that are not read yet.
+/// The octets not read yet.
 pub(crate) struct Octets<'a>(pub(crate) &'a [u8]);
 
 impl<'a> Octets<'a> {
     pub(crate) fn take(&mut self, count: usize) -> Result<&'a [u8], DecodeError> {
-        let (taken, rest) = self
+        let (front, rest) = self
             .0
             .split_at_checked(count)
             .ok_or(DecodeError::WrongLength)?;
         self.0 = rest;
-        Ok(taken)
+        Ok(front)
     }
 
     pub(crate) fn u16(&mut self) -> Result<u16, DecodeError> {
-        self.take(2).map(|b| u16::from_be_bytes([b[0], b[1]]))
+        self.take(2)
+            .map(|octets| u16::from_be_bytes([octets[0], octets[1]]))
     }
 
     pub(crate) fn u32(&mut self) -> Result<u32, DecodeError> {
         self.take(4)
-            .map(|b| u32::from_be_bytes([b[0], b[1], b[2], b[3]]))
+            .map(|octets| u32::from_be_bytes([octets[0], octets[1], octets[2], octets[3]]))
     }
 
     pub(crate) fn is_empty(&self) -> bool {
--- a/crates/ipfix/src/reader.rs
+++ b/crates/ipfix/src/reader.rs
@@ -1,4 +1,4 @@
-//! Decodes messages by the templates received before them. Any input ends in records or an error.
+//! Decodes messages with the templates received so far. Arbitrary input is decoded or rejected with an error.
 
 use std::collections::BTreeMap;
 
@@ -16,9 +16,9 @@
 const MAX_FIELDS_PER_TEMPLATE: usize = 256;
 const MAX_DOMAINS: usize = 64;
 const TEMPLATE_HEADER_OCTETS: usize = 4;
-/// The octets of a field specifier of NetFlow v9, in which options templates state their lengths.
+/// Size of a NetFlow v9 field specifier. NetFlow v9 options templates state their field counts as octets of specifiers.
 const NETFLOW_V9_SPECIFIER_OCTETS: u16 = 4;
-/// The first octet of a variable-length field whose length follows in two more.
+/// First octet of a variable-length field whose length is in the next two octets.
 const LONG_LENGTH_MARKER: usize = 255;
 
 #[derive(Clone)]
@@ -29,7 +29,7 @@
 }
 
 impl FieldSpecifier {
-    /// The fewest octets that the field takes in a record.
+    /// Returns the minimum size of the field in a record.
     fn min_octets(&self) -> usize {
         if self.length == VARIABLE_LENGTH {
             1
@@ -60,23 +60,24 @@
     fields: Vec<FieldSpecifier>,
 }
 
-/// How many fields a template record announces.
+/// The field counts that a template record states.
 struct FieldCounts {
     all: usize,
     scope: u16,
 }
 
-/// Decodes the messages of one exporter, and keeps a bounded number of its templates.
+/// Decodes the messages of one exporter, and stores a bounded number of its templates.
 #[derive(Default)]
 pub struct MessageReader {
+    /// Templates by observation domain and template id.
     templates: BTreeMap<u32, BTreeMap<u16, ReceivedTemplate>>,
 }
 
 impl MessageReader {
-    /// The length in octets of the IPFIX message at the start of the octets; none while there are too few to tell.
+    /// Returns the length of the IPFIX message that starts at the first octet; `None` if there are fewer than four octets.
     ///
     /// # Errors
-    /// No IPFIX message begins here.
+    /// The octets are not the start of an IPFIX message.
     pub fn message_length(octets: &[u8]) -> Result<Option<usize>, DecodeError> {
         let mut header = Octets(octets);
         let (Ok(version), Ok(length)) = (header.u16(), header.u16()) else {
@@ -89,18 +90,21 @@
         }
     }
 
-    /// Removes all templates, as a collector that has restarted.
+    /// Removes all templates, as a restart of the collector does.
     pub fn clear_templates(&mut self) {
         self.templates.clear();
     }
 
-    /// Decodes one whole message, IPFIX or NetFlow v9.
+    /// Decodes one complete IPFIX or NetFlow v9 message.
     ///
     /// # Errors
-    /// The first fault in the message; templates read before it are kept.
+    /// The first error in the message. Templates read before it stay stored.
     pub fn read(&mut self, octets: &[u8]) -> Result<Message, DecodeError> {
         let mut rest = Octets(octets);
-        let Preamble { format, announced } = read_preamble(&mut rest, octets.len())?;
+        let Preamble {
+            format,
+            stated_count,
+        } = read_preamble(&mut rest, octets.len())?;
         let mut message = read_header(&mut rest, format)?;
         let mut template_count = 0;
         while !rest.is_empty() {
@@ -112,8 +116,9 @@
             let set = Octets(rest.take(body_length)?);
             match format.set_kind(set_id) {
                 Some(SetKind::Data(template_id)) => {
-                    let announced = announced.map(|all| all.saturating_sub(template_count));
-                    self.read_data(&mut message, template_id, set, announced)?
+                    let stated_count =
+                        stated_count.map(|count| count.saturating_sub(template_count));
+                    self.read_data(&mut message, template_id, set, stated_count)?
                 }
                 Some(kind) => {
                     let domain = message.observation_domain;
@@ -125,7 +130,7 @@
         Ok(message)
     }
 
-    /// Reads a set of templates and returns how many it holds.
+    /// Reads a set of templates, and returns the number of template records in it.
     fn read_templates(
         &mut self,
         domain: u32,
@@ -137,7 +142,7 @@
         if !self.templates.contains_key(&domain) && self.templates.len() >= MAX_DOMAINS {
             return Err(DecodeError::LimitExceeded);
         }
-        // Fewer octets than a template's header are padding.
+        // A rest shorter than a template header is padding.
         while set.len() >= TEMPLATE_HEADER_OCTETS {
             let template_id = set.u16()?;
             if template_id < FIRST_DATA_SET_ID {
@@ -159,32 +164,32 @@
                 continue;
             }
             let template = read_template(&mut set, format, &counts)?;
-            self.keep_template(domain, template_id, template)?;
+            self.store_template(domain, template_id, template)?;
         }
         Ok(count)
     }
 
-    fn keep_template(
+    fn store_template(
         &mut self,
         domain: u32,
         template_id: u16,
         template: ReceivedTemplate,
     ) -> Result<(), DecodeError> {
-        let kept = self.templates.entry(domain).or_default();
-        if !kept.contains_key(&template_id) && kept.len() >= MAX_TEMPLATES_PER_DOMAIN {
+        let templates = self.templates.entry(domain).or_default();
+        if !templates.contains_key(&template_id) && templates.len() >= MAX_TEMPLATES_PER_DOMAIN {
             return Err(DecodeError::LimitExceeded);
         }
-        kept.insert(template_id, template);
+        templates.insert(template_id, template);
         Ok(())
     }
 
-    /// Reads a set of data records. `announced` is how many the message holds in all, where its header says it.
+    /// Reads a set of data records. `stated_count` is the number of data records in the whole message, if its header states it.
     fn read_data(
         &self,
         message: &mut Message,
         template_id: u16,
         mut set: Octets,
-        announced: Option<usize>,
+        stated_count: Option<usize>,
     ) -> Result<(), DecodeError> {
         let template = self
             .templates
@@ -195,13 +200,13 @@
             return Ok(());
         };
         let min_octets: usize = template.fields.iter().map(FieldSpecifier::min_octets).sum();
-        // Records of a template of empty fields would never use up the set.
+        // A template of empty fields would make the loop below endless.
         if min_octets == 0 {
             return Err(DecodeError::Malformed);
         }
         while set.len() >= min_octets {
-            // Records as short as the padding behind them are told from it by their number.
-            let are_all_read = announced.is_some_and(|all| message.records.len() >= all);
+            // A record can be as short as the padding after it, so the stated count separates the two.
+            let are_all_read = stated_count.is_some_and(|count| message.records.len() >= count);
             if are_all_read && is_padding(&set) {
                 break;
             }
@@ -219,31 +224,31 @@
     }
 }
 
-/// Whether the rest of a set of NetFlow v9 can be the padding at its end.
+/// Returns whether the rest of a NetFlow v9 set can be padding.
 fn is_padding(rest: &Octets) -> bool {
     rest.len() < NETFLOW_V9_ALIGNMENT_OCTETS && rest.0.iter().all(|octet| *octet == 0)
 }
 
-/// How a message begins.
+/// The first fields of a message header.
 struct Preamble {
     format: WireFormat,
-    /// How many records, templates among them, the header of NetFlow v9 announces.
-    announced: Option<usize>,
+    /// The number of data and template records that a NetFlow v9 header states; `None` for IPFIX.
+    stated_count: Option<usize>,
 }
 
-/// Reads the version, and the length of an IPFIX message or the record count of NetFlow v9.
+/// Reads the version, and the length (IPFIX) or record count (NetFlow v9) after it.
 fn read_preamble(rest: &mut Octets, message_octets: usize) -> Result<Preamble, DecodeError> {
     let version = rest.u16()?;
     let length_or_count = usize::from(rest.u16()?);
     match version {
         IPFIX_VERSION if length_or_count == message_octets => Ok(Preamble {
             format: WireFormat::Ipfix,
-            announced: None,
+            stated_count: None,
         }),
         IPFIX_VERSION => Err(DecodeError::WrongLength),
         NETFLOW_V9_VERSION => Ok(Preamble {
             format: WireFormat::NetflowV9,
-            announced: Some(length_or_count),
+            stated_count: Some(length_or_count),
         }),
         version => Err(DecodeError::UnsupportedVersion(version)),
     }
@@ -253,7 +258,7 @@
     let version = match format {
         WireFormat::Ipfix => IPFIX_VERSION,
         WireFormat::NetflowV9 => {
-            // The uptime of the exporter.
+            // The exporter's uptime, which is not used.
             rest.u32()?;
             NETFLOW_V9_VERSION
         }
@@ -326,7 +331,7 @@
         WireFormat::Ipfix if has_enterprise_bit => set.u32()?,
         WireFormat::Ipfix => 0,
         WireFormat::NetflowV9 if is_scope => NETFLOW_V9_SCOPE,
-        // NetFlow v9 has no enterprise numbers: large types are taken for the gateway's own elements.
+        // NetFlow v9 has no enterprise numbers; types with the enterprise bit are the gateway's enterprise-specific elements.
         WireFormat::NetflowV9 if has_enterprise_bit => ENTERPRISE_NUMBER,
         WireFormat::NetflowV9 => 0,
     };
--- a/crates/ipfix/src/template.rs
+++ b/crates/ipfix/src/template.rs
@@ -1,22 +1,22 @@
-//! Templates, and the values that fill their fields.
+//! Templates, and the values of their fields.
 
 use crate::InformationElement;
 
-/// A template, or an options template if some of its first fields are scope fields.
+/// A template; an options template if it has scope fields.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Template {
-    /// The template's number, from 256 on.
+    /// The template's id, at least 256.
     pub id: u16,
-    /// How many of the first fields are scope fields.
+    /// The number of scope fields, which come first.
     pub scope_field_count: u16,
-    /// The fields of each record, in order.
+    /// The fields of a record, in order.
     pub fields: Vec<InformationElement>,
 }
 
-/// The value of one field.
+/// The value of a field to encode.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Value {
-    /// The value of a field of a numeric type, or a time in milliseconds since 1970.
+    /// The value of a numeric field, or a time in milliseconds since 1970.
     Number(u64),
     /// The value of a text field.
     Text(String),
--- a/crates/ipfix/src/wire_format.rs
+++ b/crates/ipfix/src/wire_format.rs
@@ -1,6 +1,6 @@
-//! The two wire formats and the numbers in which they differ.
+//! The two wire formats, and their sizes and numbers.
 
-/// NetFlow v9 records carry no lengths: text takes this many octets there, padded with zeros.
+/// Size of a text field in NetFlow v9, which has no variable-length fields. Shorter text is padded with zeros.
 pub const NETFLOW_V9_STRING_OCTETS: u16 = 32;
 
 /// NetFlow v9 pads each set to a multiple of this many octets.
@@ -10,12 +10,12 @@
 pub(crate) const IPFIX_HEADER_OCTETS: usize = 16;
 pub(crate) const NETFLOW_V9_HEADER_OCTETS: usize = 20;
 pub(crate) const SET_HEADER_OCTETS: usize = 4;
-/// The lowest number of a data set, which is that of its template.
+/// The lowest id of a data set. A data set has the id of its template.
 pub(crate) const FIRST_DATA_SET_ID: u16 = 256;
-/// The bit of an element's number that marks an element of an enterprise.
+/// The bit of an element id that marks an enterprise-specific element.
 pub(crate) const ENTERPRISE_BIT: u16 = 0x8000;
 
-/// Which of the two formats a message has.
+/// The wire format of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WireFormat {
     /// IPFIX (RFC 7011).
@@ -29,7 +29,7 @@
 pub(crate) enum SetKind {
     Templates,
     OptionsTemplates,
-    /// Records of the template of this number.
+    /// Data records of the template with this id.
     Data(u16),
 }
 
--- a/crates/ipfix/src/writer.rs
+++ b/crates/ipfix/src/writer.rs
@@ -9,40 +9,40 @@
 const MIN_MESSAGE_OCTETS: usize = 512;
 const MAX_MESSAGE_OCTETS: usize = 65_535;
 
-/// A finished message.
+/// An encoded message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EncodedMessage {
-    /// The message.
+    /// The message, header included.
     pub octets: Vec<u8>,
-    /// How many data records it holds.
+    /// The number of data records in the message.
     pub record_count: u32,
 }
 
-/// The set at the end of the message under way.
+/// The last set of the current message, to which records can still be added.
 #[derive(Clone, Copy)]
 struct OpenSet {
     offset: usize,
     id: u16,
 }
 
-/// Collects records into messages. Sequence numbers count data records in IPFIX (RFC 7011, section 3.1, modulo 2^32) and
-/// messages in NetFlow v9.
+/// Collects records into messages. Sequence numbers count data records in IPFIX (RFC 7011, section 3.1) and messages in
+/// NetFlow v9, modulo 2^32.
 pub struct MessageWriter {
     format: WireFormat,
     observation_domain: u32,
     max_message_octets: usize,
     sequence_number: u32,
-    /// The message under way; empty, or a header with sets after it.
+    /// The current message: empty, or a header followed by sets.
     message: Vec<u8>,
     open_set: Option<OpenSet>,
     record_count: u32,
-    /// Data and template records of the message under way, which NetFlow v9 counts in its header.
+    /// Data and template records of the current message, for the count in a NetFlow v9 header.
     header_count: u16,
     finished: Vec<EncodedMessage>,
 }
 
 impl MessageWriter {
-    /// A writer whose messages take `max_message_octets` at most, which is raised to 512 and lowered to 65,535.
+    /// Creates a writer of messages of at most `max_message_octets` octets, which is clamped to 512..=65,535.
     pub fn new(
         format: WireFormat,
         observation_domain: u32,
@@ -61,20 +61,20 @@
         }
     }
 
-    /// The next message's sequence number.
+    /// Returns the sequence number of the next message.
     pub fn sequence_number(&self) -> u32 {
         self.sequence_number
     }
 
-    /// Continues the sequence of an earlier writer.
+    /// Sets the sequence number of the next message.
     pub fn set_sequence_number(&mut self, sequence_number: u32) {
         self.sequence_number = sequence_number;
     }
 
-    /// Adds a template. Collectors need it before the records made by it.
+    /// Adds a template. Collectors need it before its first data record.
     ///
     /// # Errors
-    /// The template fits no message.
+    /// The template is larger than the maximum message size.
     pub fn add_template(&mut self, template: &Template) -> Result<(), RecordTooLarge> {
         let octets = self.format.encode_template(template);
         let kind = if template.scope_field_count > 0 {
@@ -85,10 +85,10 @@
         self.append(kind, &octets)
     }
 
-    /// Adds a data record. A missing value, or one of another type than its field's, is written as zero or empty text.
+    /// Adds a data record. A value that is missing or of the wrong type is written as zero or empty text.
     ///
     /// # Errors
-    /// The record fits no message.
+    /// The record is larger than the maximum message size.
     pub fn add_record(
         &mut self,
         template: &Template,
@@ -141,7 +141,7 @@
             id: set_id,
         });
         put_u16(&mut self.message, set_id);
-        // The length, filled in when the set is closed.
+        // Placeholder for the length, which `close_set` fills in.
         put_u16(&mut self.message, 0);
     }
 
@@ -158,7 +158,7 @@
         self.message[offset + 2..offset + 4].copy_from_slice(&length.to_be_bytes());
     }
 
-    /// Finishes the message under way, if there is one.
+    /// Finishes the current message, if it is not empty.
     pub fn flush(&mut self) {
         if self.message.is_empty() {
             return;
@@ -180,7 +180,7 @@
         });
     }
 
-    /// The header with the export time and the uptime left zero.
+    /// Encodes a header, with the export time and uptime set to zero.
     fn encode_header(&self, message_octets: usize, header_count: u16) -> Vec<u8> {
         let mut header = Vec::with_capacity(self.format.header_octets());
         match self.format {
@@ -200,8 +200,8 @@
         header
     }
 
-    /// Takes the finished messages, stamped with the export time in Unix seconds and, for NetFlow v9, the exporter's uptime in
-    /// milliseconds.
+    /// Takes the finished messages, after writing the export time (seconds since 1970) and, for NetFlow v9, the exporter's uptime
+    /// into their headers.
     pub fn take_messages(&mut self, export_time_s: u32, uptime_ms: u32) -> Vec<EncodedMessage> {
         let mut finished = std::mem::take(&mut self.finished);
         for message in &mut finished {
