--- a/crates/flow-export/src/collector.rs
+++ b/crates/flow-export/src/collector.rs
@@ -61,7 +61,7 @@
         folder: &Path,
         observation_domain: u32,
     ) -> Result<Collector, FlowExportError> {
-        let tls = match settings.credentials(folder)? {
+        let tls = match settings.read_credentials(folder)? {
             Some(credentials) => Some(TlsSettings::new(&credentials, server_name(settings))?),
             None => None,
         };
--- a/crates/flow-export/src/error.rs
+++ b/crates/flow-export/src/error.rs
@@ -1,4 +1,4 @@
-//! Why flow export cannot start, or its settings are refused.
+//! Errors of flow export and its settings.
 
 use std::io;
 use std::path::PathBuf;
@@ -7,7 +7,7 @@
 
 use crate::KeyFileError;
 
-/// Why the settings are refused. The message names the field and what it should be.
+/// An invalid setting. The message names the field.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum SettingsError {
     /// The active timeout is too short.
@@ -18,84 +18,84 @@
         /// The lowest value allowed.
         min_ms: u32,
     },
-    /// There are too many collectors.
-    #[error("flows.collectors: more than {max}")]
+    /// The number of collectors exceeds the limit.
+    #[error("flows.collectors: more than {max} collectors")]
     TooManyCollectors {
-        /// How many are allowed.
+        /// The largest number allowed.
         max: usize,
     },
-    /// Two collectors have one name.
-    #[error("flows.collectors[{index}].name: '{name}' is there twice")]
+    /// Two collectors have the same name.
+    #[error("flows.collectors[{index}].name: duplicate name '{name}'")]
     DuplicateCollector {
-        /// The second one's index.
+        /// The index of the second collector.
         index: usize,
-        /// The name.
+        /// The name that both have.
         name: String,
     },
-    /// There are keys without TLS, or TLS without keys.
-    #[error("flows.collectors[{index}].keys: are for the road tls, which needs them")]
-    KeysWithoutTls {
+    /// TLS without key files, or key files without TLS.
+    #[error("flows.collectors[{index}].keys: required with road tls, not allowed otherwise")]
+    KeysAndTransportMismatch {
         /// The collector's index.
         index: usize,
     },
-    /// NetFlow v9 over a stream, in which its messages could not be separated.
-    #[error("flows.collectors[{index}].form: v9 has no lengths of messages, so its road is udp")]
+    /// NetFlow v9 over a stream. Its messages state no length, so the collector could not separate them.
+    #[error("flows.collectors[{index}].form: v9 requires road udp, because its messages state no length")]
     NetflowV9OverStream {
         /// The collector's index.
         index: usize,
     },
     /// The rate limit is too low.
-    #[error("flows.collectors[{index}].octets_a_second: is {min} at the least")]
+    #[error("flows.collectors[{index}].octets_a_second: must be at least {min}")]
     RateLimitTooLow {
         /// The collector's index.
         index: usize,
-        /// The lowest value allowed.
+        /// The lowest value allowed, in octets per second.
         min: u32,
     },
-    /// The message size is out of its range.
-    #[error("flows.collectors[{index}].message_octets: is from {min} to {max}")]
+    /// The maximum message size is out of range.
+    #[error("flows.collectors[{index}].message_octets: must be from {min} to {max}")]
     MessageSizeOutOfRange {
         /// The collector's index.
         index: usize,
-        /// The lowest value allowed.
+        /// The lowest value allowed, in octets.
         min: usize,
-        /// The highest value allowed.
+        /// The highest value allowed, in octets.
         max: usize,
     },
 }
 
-/// Why flow export cannot start or take new settings.
+/// Why flow export cannot start, or cannot apply reloaded settings.
 #[derive(Debug, Error)]
 pub enum FlowExportError {
-    /// The settings no longer ask for export, which only a restart can end.
-    #[error("flows: export ends with the next start only")]
+    /// The reloaded settings disable export, which requires a restart.
+    #[error("flows: stopping the export requires a restart")]
     DisabledWhileRunning,
-    /// A collector's key files cannot be used.
+    /// A collector's key file is unreadable or invalid.
     #[error(transparent)]
     KeyFiles(#[from] KeyFileError),
-    /// The certificate authority cannot be trusted.
+    /// The certificate of the authority is not accepted as a trust root.
     #[error("authority: {0}")]
     Authority(#[source] rustls::Error),
-    /// The certificate and its key cannot be used for TLS.
+    /// The gateway's certificate or key is not accepted by TLS.
     #[error(transparent)]
     Tls(#[from] rustls::Error),
-    /// The flow file cannot be opened.
+    /// The flow file cannot be opened, read or truncated.
     #[error("flows.file.path: {}: {source}", path.display())]
     FlowFile {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// What the system reports.
+        /// The error of the operating system.
         #[source]
         source: io::Error,
     },
     /// The flow file holds something other than IPFIX messages.
-    #[error("flows.file.path: {}: no IPFIX at octet {offset}", path.display())]
+    #[error("flows.file.path: {}: no IPFIX message at octet {offset}", path.display())]
     NotIpfix {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// The octet at which no message begins.
+        /// The octet at which a message was expected.
         offset: usize,
-        /// What is there instead.
+        /// Why the octets there are no message.
         #[source]
         source: harrierdock_ipfix::DecodeError,
     },
--- a/crates/flow-export/src/key_files.rs
+++ b/crates/flow-export/src/key_files.rs
@@ -1,4 +1,4 @@
-//! The PEM files of a TLS client.
+//! The PEM files of TLS connections.
 
 use std::error::Error as StdError;
 use std::io;
@@ -9,18 +9,16 @@
 use serde::Deserialize;
 use thiserror::Error;
 
-/// PEM files, relative to the folder of the file that names them.
+/// PEM files; relative paths start at the folder of the extension file.
 #[derive(Clone, Debug, PartialEq, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-#[schemars(description = "PEM files, relative to this file's folder.")]
 pub struct KeyFiles {
-    /// The certificate of the authority that both sides trust.
-    #[schemars(description = "The certificate of the authority that both sites believe.")]
+    /// Certificate of the authority that both sides of a connection trust.
     pub authority: PathBuf,
-    /// The gateway's own certificate.
+    /// Certificate of this gateway.
     #[schemars(description = "")]
     pub certificate: PathBuf,
-    /// The key of the gateway's own certificate.
+    /// Private key of `certificate`.
     #[schemars(description = "")]
     pub key: PathBuf,
 }
@@ -28,33 +26,33 @@
 /// Why key files cannot be used.
 #[derive(Debug, Error)]
 pub enum KeyFileError {
-    /// A file cannot be read.
+    /// A file is unreadable.
     #[error("{field}: {}: {source}", path.display())]
     Unreadable {
-        /// The field that names the file.
+        /// The settings field that holds the path.
         field: String,
-        /// The file.
+        /// The path, joined with the folder.
         path: PathBuf,
-        /// What the system reports.
+        /// The error of the read.
         #[source]
         source: io::Error,
     },
-    /// A file holds no certificate or key that can be used.
+    /// A file holds no valid certificate or key.
     #[error("{field}.{source}")]
     Unusable {
-        /// The field that names the three files.
+        /// The settings field of the three files.
         field: String,
-        /// Which of the files it is, and why.
+        /// The error, which starts with the name of the invalid file's field.
         #[source]
         source: Box<dyn StdError + Send + Sync>,
     },
 }
 
 impl KeyFiles {
-    /// Reads the three files, which `field` names in the settings, from paths relative to a folder.
+    /// Reads the three files, relative to `folder`. `field` is the settings field, for error messages.
     ///
     /// # Errors
-    /// The first file that cannot be read or used.
+    /// The first unreadable or invalid file.
     pub fn read(&self, folder: &Path, field: &str) -> Result<Credentials, KeyFileError> {
         let read_file = |name: &str, file: &Path| {
             let path = folder.join(file);
--- a/crates/flow-export/src/lib.rs
+++ b/crates/flow-export/src/lib.rs
@@ -1,8 +1,8 @@
-//! Flow export: sends the flows that `harrierdock-flow-metering` has counted to collectors by UDP, TCP or TLS, and writes them to a
-//! file; and reports on such files.
+//! Flow export: sends the flows of `harrierdock-flow-metering` to collectors over UDP, TCP or TLS, writes them to a file, and
+//! reports on such files.
 //!
-//! Nothing here blocks the event loop: sockets are non-blocking and have buffers of their own, and a helper thread writes the file.
-//! All of them make progress whenever [`FlowExporter::export`] is called.
+//! Nothing here blocks the event loop: sockets are non-blocking, and a thread writes the file. Each call of
+//! [`FlowExporter::export`] drives all connections and the file.
 
 #![warn(missing_docs, unreachable_pub)]
 
--- a/crates/flow-export/src/rotating_file.rs
+++ b/crates/flow-export/src/rotating_file.rs
@@ -16,7 +16,7 @@
     file: File,
     octets: u64,
     max_octets: u64,
-    rotated_files: u32,
+    max_rotated_files: u32,
     /// The first message, which holds the templates: each file begins with it, as it can be read by them alone.
     templates: Vec<u8>,
 }
@@ -64,7 +64,7 @@
             file,
             octets,
             max_octets: u64::from(settings.max_megabytes.max(1)) * OCTETS_PER_MEGABYTE,
-            rotated_files: settings.rotated_files,
+            max_rotated_files: settings.max_rotated_files,
             templates: Vec::new(),
         })
     }
@@ -97,21 +97,21 @@
 
     /// Renames this file and the earlier ones, and begins another.
     fn rotate(&mut self) -> io::Result<()> {
-        for number in (1..self.rotated_files).rev() {
+        for number in (1..self.max_rotated_files).rev() {
             // There may be fewer rotated files than are kept.
             let _ = rename(
                 rotated_path(&self.path, number),
                 rotated_path(&self.path, number + 1),
             );
         }
-        if self.rotated_files > 0 {
+        if self.max_rotated_files > 0 {
             rename(&self.path, rotated_path(&self.path, 1))?;
         }
         self.file = OpenOptions::new()
             .append(true)
             .create(true)
             .open(&self.path)?;
-        if self.rotated_files == 0 {
+        if self.max_rotated_files == 0 {
             self.file.set_len(0)?;
         }
         self.octets = 0;
--- a/crates/flow-export/src/settings.rs
+++ b/crates/flow-export/src/settings.rs
@@ -1,6 +1,6 @@
-//! The settings of flow export, as the extension file has them.
+//! The settings of flow export in the extension file.
 //!
-//! Names of containers and descriptions given to `schemars` are those of the published JSON schema.
+//! Their `rename` attributes and doc comments are the names and descriptions of the published JSON schema.
 
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
@@ -15,53 +15,50 @@
 
 const MIN_ACTIVE_TIMEOUT_MS: u32 = 100;
 const MAX_COLLECTORS: usize = 8;
-/// The lowest rate at which a collector still receives every key once in a while.
+/// The lowest rate at which a collector still receives a flow of every key from time to time.
 const MIN_OCTETS_PER_SECOND: u32 = 1024;
-/// From what holds every record to what fits a datagram.
-const MESSAGE_OCTETS: RangeInclusive<usize> = 512..=65_000;
+/// At least the size of the largest record, and at most that of a datagram.
+const DATAGRAM_OCTETS_RANGE: RangeInclusive<usize> = 512..=65_000;
 
-/// Flow export: counts by build, stage, request class, outcome and path.
+/// Export of flows: counts of attempts and requests by build, rollout stage, request class, outcome and path.
 #[derive(Clone, Debug, PartialEq, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, rename = "FlowsTold")]
-#[schemars(description = "Flow export: sums by release, stage, request class, outcome and road.")]
 pub struct FlowExportSettings {
-    /// After how many milliseconds a flow in progress is exported.
+    /// Active timeout: the interval at which each flow is exported, in milliseconds.
     #[serde(rename = "active_ms", default = "default_active_timeout_ms")]
-    #[schemars(description = "After how many milliseconds sums that go on are told.")]
     pub active_timeout_ms: u32,
-    /// The observation domain, or the source of NetFlow v9.
+    /// Observation domain id of IPFIX, or source id of NetFlow v9.
     #[serde(rename = "domain", default = "default_observation_domain")]
-    #[schemars(description = "The observation domain, or v9's source.")]
     pub observation_domain: u32,
-    /// Where flows are sent to.
+    /// Collectors to send flows to.
     #[serde(default)]
     #[schemars(description = "")]
     pub collectors: Vec<CollectorSettings>,
-    /// The file that flows are written to.
+    /// File to write flows to.
     #[schemars(description = "")]
     pub file: Option<FlowFileSettings>,
 }
 
-/// By which transport a collector is reached.
+/// Transport of the messages to a collector.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, JsonSchema)]
 #[serde(from = "TransportName")]
-#[schemars(rename = "CollectorRoad", description = "How a collector is reached.")]
+#[schemars(rename = "CollectorRoad")]
 pub enum Transport {
-    /// Datagrams.
+    /// One datagram per message.
     Udp,
-    /// A connection without encryption.
+    /// A TCP connection without encryption.
     Tcp,
-    /// TLS 1.3 on TCP, with `keys`.
+    /// TLS 1.3 over TCP. Requires `keys`.
     Tls,
 }
 
-/// The names of transports in the file, and their schema.
+/// The transports as the extension file and its schema name them.
 #[derive(Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase", rename = "CollectorRoad")]
 enum TransportName {
     Udp,
     Tcp,
-    /// TLS 1.3 on TCP, with `keys`.
+    /// TLS 1.3 over TCP. Requires `keys`.
     Tls,
 }
 
@@ -75,7 +72,7 @@
     }
 }
 
-/// The format of the messages that a collector is sent.
+/// Format of the messages to a collector.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, JsonSchema)]
 #[serde(from = "MessageFormatName")]
 #[schemars(rename = "FlowForm", description = "")]
@@ -87,7 +84,7 @@
     NetflowV9,
 }
 
-/// The names of formats in the file, and their schema.
+/// The message formats as the extension file and its schema name them.
 #[derive(Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase", rename = "FlowForm")]
 #[schemars(description = "")]
@@ -105,42 +102,35 @@
     }
 }
 
-/// One collector.
+/// A collector.
 #[derive(Clone, Debug, PartialEq, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, rename = "CollectorTold")]
 #[schemars(description = "")]
 pub struct CollectorSettings {
-    /// A unique name, by which a reload finds the flows that wait for the collector.
-    #[schemars(
-        description = "Another one for each collector; by it a reload knows what waits for whom."
-    )]
+    /// Unique name. On a reload, pending flows are kept for the collector of the same name.
     pub name: String,
-    /// Where the collector listens.
+    /// Address that the collector listens on.
     #[schemars(description = "")]
     pub address: SocketAddr,
-    /// By which transport it is reached.
+    /// Transport of the messages.
     #[serde(rename = "road")]
     #[schemars(description = "")]
     pub transport: Transport,
-    /// The format of its messages.
+    /// Format of the messages.
     #[serde(rename = "form", default)]
     #[schemars(description = "")]
     pub format: MessageFormat,
-    /// The longest message over UDP, in octets; 1400 by default.
+    /// Largest message over UDP, in octets; 1400 by default.
     #[serde(rename = "message_octets")]
-    #[schemars(description = "The longest message over UDP, in octets; 1400 by default.")]
     pub max_datagram_octets: Option<usize>,
-    /// The rate limit, in octets per second; flows beyond it wait and are merged. 16384 by default.
+    /// Rate limit in octets per second; flows that exceed it wait and are merged. 16384 by default.
     #[serde(rename = "octets_a_second", default = "default_octets_per_second")]
-    #[schemars(
-        description = "Octets a second that it is sent at the most; what is beyond waits and is merged. 16384 by default."
-    )]
     pub octets_per_second: u32,
-    /// The key files of TLS.
+    /// Certificates and key for TLS.
     #[serde(rename = "keys")]
     #[schemars(description = "")]
     pub key_files: Option<KeyFiles>,
-    /// The name in the collector's certificate; its address by default.
+    /// Name in the collector's certificate; by default its IP address.
     pub server_name: Option<String>,
 }
 
@@ -148,17 +138,15 @@
 #[derive(Clone, Debug, PartialEq, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, rename = "FlowFileTold")]
 pub struct FlowFileSettings {
-    /// Where the file is.
+    /// Path of the file.
     #[schemars(description = "")]
     pub path: PathBuf,
-    /// How large the file may become, in megabytes, before it is rotated.
+    /// Maximum size in megabytes, at which the file is rotated.
     #[serde(rename = "most_mb")]
-    #[schemars(description = "How large it may become, in megabytes, before another one begins.")]
     pub max_megabytes: u32,
-    /// How many rotated files are kept: PATH.1 is the newest.
+    /// Number of rotated files to keep; `PATH.1` is the newest.
     #[serde(rename = "keep", default)]
-    #[schemars(description = "Earlier ones kept: PATH.1 is the newest.")]
-    pub rotated_files: u32,
+    pub max_rotated_files: u32,
 }
 
 fn default_active_timeout_ms() -> u32 {
@@ -174,20 +162,20 @@
 }
 
 impl FlowExportSettings {
-    /// After how long a flow in progress is exported.
+    /// The interval at which each flow is exported.
     pub fn active_timeout(&self) -> TimeDelta {
         TimeDelta::from_millis(i64::from(self.active_timeout_ms))
     }
 
-    /// File descriptors that the export needs: one for each collector and one for the file.
+    /// Returns the number of file descriptors that the export needs: one per collector, and one for the file.
     pub fn descriptor_count(&self) -> usize {
         self.collectors.len() + usize::from(self.file.is_some())
     }
 
-    /// Checks the settings by themselves; no file is read.
+    /// Checks the values, without reading any file.
     ///
     /// # Errors
-    /// The first field that is wrong.
+    /// The first invalid field.
     pub fn validate(&self) -> Result<(), SettingsError> {
         if self.active_timeout_ms < MIN_ACTIVE_TIMEOUT_MS {
             return Err(SettingsError::ActiveTimeoutTooShort {
@@ -215,13 +203,13 @@
         Ok(())
     }
 
-    /// Checks that every collector's key files can be read and used.
+    /// Checks that the key files of all collectors are readable and valid.
     ///
     /// # Errors
-    /// The first file that cannot.
+    /// The first unreadable or invalid file.
     pub fn check_key_files(&self, folder: &Path) -> Result<(), KeyFileError> {
         for collector in &self.collectors {
-            collector.credentials(folder)?;
+            collector.read_credentials(folder)?;
         }
         Ok(())
     }
@@ -230,7 +218,7 @@
 impl CollectorSettings {
     fn validate(&self, index: usize) -> Result<(), SettingsError> {
         if (self.transport == Transport::Tls) != self.key_files.is_some() {
-            return Err(SettingsError::KeysWithoutTls { index });
+            return Err(SettingsError::KeysAndTransportMismatch { index });
         }
         if self.format == MessageFormat::NetflowV9 && self.transport != Transport::Udp {
             return Err(SettingsError::NetflowV9OverStream { index });
@@ -241,22 +229,22 @@
                 min: MIN_OCTETS_PER_SECOND,
             });
         }
-        let size = self.max_datagram_octets;
-        if size.is_some_and(|octets| !MESSAGE_OCTETS.contains(&octets)) {
+        let max_octets = self.max_datagram_octets;
+        if max_octets.is_some_and(|octets| !DATAGRAM_OCTETS_RANGE.contains(&octets)) {
             return Err(SettingsError::MessageSizeOutOfRange {
                 index,
-                min: *MESSAGE_OCTETS.start(),
-                max: *MESSAGE_OCTETS.end(),
+                min: *DATAGRAM_OCTETS_RANGE.start(),
+                max: *DATAGRAM_OCTETS_RANGE.end(),
             });
         }
         Ok(())
     }
 
-    /// Reads the collector's key files, if it has any.
+    /// Reads the collector's key files, which only TLS has.
     ///
     /// # Errors
-    /// The first file that cannot be read or used.
-    pub fn credentials(&self, folder: &Path) -> Result<Option<Credentials>, KeyFileError> {
+    /// The first unreadable or invalid file.
+    pub fn read_credentials(&self, folder: &Path) -> Result<Option<Credentials>, KeyFileError> {
         let field = format!("flows.collectors.{}.keys", self.name);
         self.key_files
             .as_ref()
