--- a/crates/flow-export/src/collector.rs
+++ b/crates/flow-export/src/collector.rs
@@ -1,4 +1,4 @@
-//! One collector: its send queue, its connection, and when a broken connection is tried again.
+//! A collector with its send queue and its connection, including retries after connection errors.
 
 use std::path::Path;
 
@@ -16,39 +16,40 @@
 use crate::send_queue::{SendQueue, SendQueueSettings};
 use crate::{CollectorSettings, FlowExportError, MessageFormat, Transport};
 
-/// The size of a datagram where the path's limit is unknown (RFC 7011, section 10.3.3).
+/// The maximum datagram size while the path MTU is unknown (RFC 7011, section 10.3.3).
 const DEFAULT_DATAGRAM_OCTETS: usize = 1400;
 const STREAM_MESSAGE_OCTETS: usize = 8 * 1024;
-/// Octets encoded for a stream and not yet taken by its socket, at most.
+/// The maximum size of the messages encoded for a stream and not yet written to its socket.
 pub(crate) const MAX_QUEUED_OCTETS: usize = 64 * 1024;
-/// Over UDP templates are sent again this often (RFC 7011, section 8.4).
+/// The interval at which templates are resent over UDP (RFC 7011, section 8.4).
 const TEMPLATE_INTERVAL: TimeDelta = TimeDelta::from_millis(10_000);
-/// The delays between attempts to connect: doubled, with jitter, up to the longest.
+/// The delay between connection attempts doubles from the first to the maximum, with jitter.
 const FIRST_BACKOFF: TimeDelta = TimeDelta::from_millis(250);
 const MAX_BACKOFF: TimeDelta = TimeDelta::from_millis(8000);
 const MAX_BACKOFF_DOUBLINGS: u32 = 8;
 
-/// What became of the flows for one collector.
+/// Totals of the flows for one collector.
 #[derive(Clone, Debug)]
 pub struct CollectorSummary {
-    /// The collector's name.
+    /// The collector's name in the settings.
     pub name: String,
-    /// What was dropped.
+    /// Flows dropped for lack of space or at the end.
     pub dropped: DroppedFlows,
-    /// How many messages were sent.
+    /// Messages sent.
     pub sent_messages: u64,
-    /// How many records were encoded.
+    /// Data records encoded, including those of messages that were not sent.
     pub encoded_records: u64,
-    /// How many attempts and requests were written shortly before a connection broke, and may not have arrived.
+    /// Attempts and requests written right before a connection broke, which may not have arrived.
     pub in_doubt: u64,
 }
 
-/// A collector, and what waits for it.
+/// A collector with its queue and connection.
 pub(crate) struct Collector {
     settings: CollectorSettings,
     tls: Option<TlsSettings>,
     queue: SendQueue,
     connection: Connection,
+    /// Connection failures since the last established connection.
     failed_attempts: u32,
     in_doubt: u64,
     rate_limit: RateLimit,
@@ -85,10 +86,10 @@
         &mut self.queue
     }
 
-    /// Takes over from the collector of the same name before a reload: its connection too if nothing has changed, else what waits
-    /// and what was counted.
+    /// Takes over the pending flows and counts of the collector that had this name before a reload. Takes over its connection
+    /// too if its settings are unchanged.
     pub(crate) fn take_over(&mut self, now: Timestamp, earlier: Collector) {
-        // Key files may have new content under the same path.
+        // Key files may have new content at the same path.
         let is_unchanged = earlier.settings == self.settings
             && earlier.settings.key_files.is_none()
             && earlier.queue.observation_domain() == self.queue.observation_domain();
@@ -100,7 +101,7 @@
         }
     }
 
-    /// Connects if it is time to, and sends what waits as far as the rate limit and the socket allow.
+    /// Connects unless the backoff delay is still running, and sends pending records within the rate limit.
     pub(crate) fn drive(&mut self, rng: &mut WyRand, context: &ExportContext) {
         let now = context.clock.now;
         if let Connection::Backoff(until) = self.connection {
@@ -122,7 +123,7 @@
             return Ok(());
         }
         if self.failed_attempts > 0 && self.settings.transport != Transport::Udp {
-            tracing::info!("flows: collector {} is reached", self.settings.name);
+            tracing::info!("flows: connected to collector {}", self.settings.name);
             self.failed_attempts = 0;
         }
         self.encode(context);
@@ -148,18 +149,18 @@
         }
     }
 
-    /// Encodes what waits within the rate limit, so that a gateway that suddenly carries much of the traffic, or has an outage to
-    /// make up for, sends at no other rate than before. At shutdown everything goes.
+    /// Encodes pending records within the rate limit, which bounds the load on the collector after a traffic shift or an outage.
+    /// At shutdown the rate limit does not apply.
     fn encode(&mut self, context: &ExportContext) {
         let max_queued = match self.settings.transport {
             Transport::Udp => MAX_DATAGRAMS_PER_ROUND * DEFAULT_DATAGRAM_OCTETS,
             Transport::Tcp | Transport::Tls => MAX_QUEUED_OCTETS,
         };
-        let allowed = self.rate_limit.refill(context.clock.now);
+        let available = self.rate_limit.refill(context.clock.now);
         let max_octets = if context.is_shutting_down {
             max_queued
         } else {
-            max_queued.min(allowed)
+            max_queued.min(available)
         };
         let encoded_before = self.queue.encoded_octets();
         self.queue.encode(context, max_octets);
@@ -175,12 +176,12 @@
         }
     }
 
-    /// Gives the connection up until a later attempt. What was not sent waits again.
+    /// Closes the connection, returns unsent flows to the pending ones, and schedules the next connection attempt.
     fn back_off(&mut self, rng: &mut WyRand, context: &ExportContext, error: &ConnectionError) {
         let now = context.clock.now;
         let CollectorSettings { name, address, .. } = &self.settings;
         if self.failed_attempts == 0 {
-            tracing::warn!("flows: collector {name} at {address}: {error}");
+            tracing::warn!("flows: connection to collector {name} at {address} failed: {error}");
         }
         self.in_doubt += self.connection.in_doubt(now);
         self.queue.requeue_messages();
@@ -188,7 +189,7 @@
         let delay = (FIRST_BACKOFF * f64::powi(2.0, doublings)).min(MAX_BACKOFF);
         self.connection = Connection::Backoff(now + delay * (0.5 + rng.generate::<f64>()));
         self.failed_attempts += 1;
-        // Each connection is a session of its own, while that of datagrams continues.
+        // Each stream connection is a new transport session. The session over UDP continues.
         if self.settings.transport != Transport::Udp {
             self.queue.start_session(context.observation_domain);
         }
@@ -218,7 +219,7 @@
         MessageFormat::Ipfix => WireFormat::Ipfix,
         MessageFormat::NetflowV9 => WireFormat::NetflowV9,
     };
-    // Over a connection templates are sent once.
+    // Over a stream, templates are sent once per connection.
     let (max_message_octets, template_interval) = match settings.transport {
         Transport::Udp => (
             settings
--- a/crates/flow-export/src/connection/mod.rs
+++ b/crates/flow-export/src/connection/mod.rs
@@ -1,4 +1,4 @@
-//! The connection to a collector, over datagrams or a stream.
+//! The connection to a collector, over UDP or a stream.
 
 mod stream;
 mod udp;
@@ -11,23 +11,23 @@
 pub(crate) use stream::{StreamConnection, TlsSettings};
 pub(crate) use udp::{UdpConnection, MAX_DATAGRAMS_PER_ROUND};
 
-/// Why a connection is of no use any more.
+/// Why a connection failed.
 #[derive(Debug, Error)]
 pub(crate) enum ConnectionError {
-    /// The system reports an error.
+    /// An error of the operating system.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// TLS failed.
+    /// A TLS error.
     #[error(transparent)]
     Tls(#[from] rustls::Error),
-    /// The collector's name cannot stand in a certificate.
+    /// The collector's `server_name` is neither a DNS name nor an IP address.
     #[error(transparent)]
     ServerName(#[from] rustls_pki_types::InvalidDnsNameError),
-    /// The connection took too long to come up.
-    #[error("does not come up")]
+    /// The connection was not established in time.
+    #[error("connection timed out")]
     ConnectTimeout,
     /// The collector closed the connection.
-    #[error("has closed")]
+    #[error("closed by the collector")]
     Closed,
 }
 
@@ -35,12 +35,12 @@
 pub(crate) enum Connection {
     Udp(UdpConnection),
     Stream(Box<StreamConnection>),
-    /// Not connected until this point, when it is tried again.
+    /// Disconnected; the next connection attempt is at this time.
     Backoff(Timestamp),
 }
 
 impl Connection {
-    /// How many attempts and requests were written lately, and may be lost if the connection ends now.
+    /// Returns the attempts and requests written recently, which may be lost if the connection is closed now.
     pub(crate) fn in_doubt(&self, now: Timestamp) -> u64 {
         match self {
             Connection::Stream(stream) => stream.in_doubt(now),
--- a/crates/flow-export/src/connection/stream.rs
+++ b/crates/flow-export/src/connection/stream.rs
@@ -1,4 +1,4 @@
-//! Messages over TCP, with or without TLS.
+//! A connection over TCP, with or without TLS.
 
 use std::collections::VecDeque;
 use std::io::{self, ErrorKind, Read, Write};
@@ -16,20 +16,20 @@
 use crate::FlowExportError;
 
 const CONNECT_TIMEOUT: TimeDelta = TimeDelta::from_millis(2000);
-/// What was written this recently when a connection breaks may not have arrived.
+/// Messages written within this time before a connection breaks may not have arrived.
 const IN_DOUBT_WINDOW: TimeDelta = TimeDelta::from_millis(1000);
 const READ_BUFFER_OCTETS: usize = 4096;
-/// Reads in one round at most, so that a collector that sends without end does not hold the event loop.
+/// The maximum number of reads per round, so that a collector that sends endlessly does not block the event loop.
 const MAX_READS_PER_ROUND: usize = 16;
 
-/// The TLS client configuration of one collector, and the name in its certificate.
+/// The TLS client configuration for one collector, and the name expected in its certificate.
 pub(crate) struct TlsSettings {
     config: Arc<ClientConfig>,
     server_name: String,
 }
 
 impl TlsSettings {
-    /// TLS 1.3 with the collector's key files.
+    /// Creates a TLS 1.3 configuration with the certificates and key for the collector.
     pub(crate) fn new(
         credentials: &Credentials,
         server_name: String,
@@ -57,9 +57,9 @@
     }
 }
 
-/// Attempts and requests whose message was written.
-struct Written {
-    at: Timestamp,
+/// The number of attempts and requests in a written message.
+struct WrittenMessage {
+    written_at: Timestamp,
     observation_count: u64,
 }
 
@@ -69,9 +69,9 @@
     opened_at: Timestamp,
     is_connected: bool,
     tls: Option<ClientConnection>,
-    /// Octets of the front message that are written already.
+    /// Octets of the first queued message that are already written.
     written_octets: usize,
-    recently_written: VecDeque<Written>,
+    recently_written: VecDeque<WrittenMessage>,
 }
 
 impl StreamConnection {
@@ -100,10 +100,10 @@
         })
     }
 
-    /// Moves the connection on, and returns whether messages may be written.
+    /// Drives connecting and the TLS handshake. Returns whether messages can be written.
     ///
     /// # Errors
-    /// The connection is of no use any more.
+    /// The connection failed.
     pub(crate) fn poll_ready(&mut self, now: Timestamp) -> Result<bool, ConnectionError> {
         if let Ok(Some(e)) | Err(e) = self.socket.take_error() {
             return Err(e.into());
@@ -112,7 +112,7 @@
             self.is_connected = self.socket.peer_addr().is_ok();
         }
         if self.is_connected {
-            self.read()?;
+            self.read_and_discard()?;
         }
         let is_handshaking = self.tls.as_ref().is_some_and(|tls| tls.is_handshaking());
         if is_handshaking && self.is_connected {
@@ -125,8 +125,8 @@
         Ok(is_ready)
     }
 
-    /// Reads and discards what the collector sends; only that it has closed matters.
-    fn read(&mut self) -> Result<(), ConnectionError> {
+    /// Reads to detect a close by the collector. The received data is discarded.
+    fn read_and_discard(&mut self) -> Result<(), ConnectionError> {
         let mut buffer = [0; READ_BUFFER_OCTETS];
         for _ in 0..MAX_READS_PER_ROUND {
             match self.read_once(&mut buffer)? {
@@ -141,7 +141,7 @@
         Ok(())
     }
 
-    /// Reads once from the socket. The outer error is that of TLS, the inner one that of the socket.
+    /// Reads once from the socket. The outer error comes from TLS, the inner one from the socket.
     fn read_once(&mut self, buffer: &mut [u8]) -> Result<io::Result<usize>, ConnectionError> {
         let Some(tls) = &mut self.tls else {
             return Ok(self.socket.read(buffer));
@@ -149,13 +149,13 @@
         let read = tls.read_tls(&mut self.socket);
         if matches!(read, Ok(octets) if octets > 0) {
             tls.process_new_packets()?;
-            // What the collector says is of no use.
+            // Data from the collector is discarded.
             let _ = tls.reader().read(buffer);
         }
         Ok(read)
     }
 
-    /// Writes what TLS has for the socket, and returns whether all of it is written.
+    /// Writes pending TLS output to the socket. Returns whether all of it is written.
     fn flush_tls(&mut self) -> Result<bool, ConnectionError> {
         let Some(tls) = &mut self.tls else {
             return Ok(true);
@@ -171,10 +171,10 @@
         Ok(true)
     }
 
-    /// Sends queued messages, as many as the socket takes.
+    /// Sends queued messages until the socket would block.
     ///
     /// # Errors
-    /// The message at the front was not sent in full, and the connection is of no use any more.
+    /// The connection failed. The first queued message was not sent completely.
     pub(crate) fn send(
         &mut self,
         now: Timestamp,
@@ -184,27 +184,27 @@
             if !self.write(&message.octets)? {
                 return Ok(());
             }
-            self.recently_written.push_back(Written {
-                at: now,
+            self.recently_written.push_back(WrittenMessage {
+                written_at: now,
                 observation_count: message.observation_count(),
             });
-            self.forget_arrived(now);
+            self.prune_recently_written(now);
             queue.pop_sent();
         }
         Ok(())
     }
 
-    fn forget_arrived(&mut self, now: Timestamp) {
+    fn prune_recently_written(&mut self, now: Timestamp) {
         while self
             .recently_written
             .front()
-            .is_some_and(|written| now - written.at > IN_DOUBT_WINDOW)
+            .is_some_and(|message| now - message.written_at > IN_DOUBT_WINDOW)
         {
             self.recently_written.pop_front();
         }
     }
 
-    /// Writes a message from where the last write of it ended, and returns whether all of it is written.
+    /// Writes the unwritten rest of a message. Returns whether all of it is written.
     fn write(&mut self, message: &[u8]) -> Result<bool, ConnectionError> {
         if !self.flush_tls()? {
             return Ok(false);
@@ -230,12 +230,12 @@
         Ok(true)
     }
 
-    /// How many attempts and requests were written so recently that they may not have arrived.
+    /// Returns the attempts and requests written so recently that they may not have arrived.
     pub(crate) fn in_doubt(&self, now: Timestamp) -> u64 {
         self.recently_written
             .iter()
-            .filter(|written| now - written.at < IN_DOUBT_WINDOW)
-            .map(|written| written.observation_count)
+            .filter(|message| now - message.written_at < IN_DOUBT_WINDOW)
+            .map(|message| message.observation_count)
             .sum()
     }
 }
--- a/crates/flow-export/src/connection/udp.rs
+++ b/crates/flow-export/src/connection/udp.rs
@@ -1,4 +1,4 @@
-//! Messages as datagrams.
+//! Messages over UDP, one per datagram.
 
 use std::io::{self, ErrorKind};
 use std::net::{SocketAddr, UdpSocket};
@@ -6,10 +6,10 @@
 use super::ConnectionError;
 use crate::send_queue::SendQueue;
 
-/// Messages sent in one round at most, so that a burst does not overrun the collector.
+/// The maximum number of messages sent per round, so that a burst does not overrun the collector.
 pub(crate) const MAX_DATAGRAMS_PER_ROUND: usize = 16;
 
-/// A socket that sends to one collector.
+/// A UDP socket connected to one collector.
 pub(crate) struct UdpConnection(UdpSocket);
 
 impl UdpConnection {
@@ -25,10 +25,10 @@
         Ok(UdpConnection(socket))
     }
 
-    /// Sends queued messages, as many as the socket takes.
+    /// Sends queued messages until the socket would block.
     ///
     /// # Errors
-    /// The message at the front was not sent, and the connection is of no use any more.
+    /// The socket reports an error. The first queued message was not sent.
     pub(crate) fn send(&self, queue: &mut SendQueue) -> Result<(), ConnectionError> {
         for _ in 0..MAX_DATAGRAMS_PER_ROUND {
             let Some(message) = queue.front() else {
@@ -39,7 +39,7 @@
                     queue.pop_sent();
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(()),
-                // The error is that of an earlier datagram, which reached nobody; this one was not sent.
+                // The error belongs to an earlier datagram, which was not delivered; this message was not sent.
                 Err(e) => return Err(e.into()),
             }
         }
--- a/crates/flow-export/src/export_context.rs
+++ b/crates/flow-export/src/export_context.rs
@@ -1,4 +1,4 @@
-//! What all collectors and the file need for one round of export.
+//! The input that all collectors and the file share in one round of export.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
@@ -8,12 +8,12 @@
 
 use crate::templates::Templates;
 
-/// The gateway's clock beside the wall clock.
+/// The gateway's monotonic time, and the wall clock read at that time.
 pub(crate) struct ExportClock {
     pub(crate) now: Timestamp,
-    /// When the exporter started.
+    /// The start of the exporter.
     started: Timestamp,
-    /// The wall clock's time, in milliseconds since 1970.
+    /// Wall clock time, in milliseconds since 1970.
     unix_ms: u64,
 }
 
@@ -30,24 +30,24 @@
         }
     }
 
-    /// The wall clock's time at an earlier point, in milliseconds since 1970.
-    pub(crate) fn unix_ms_at(&self, point: Timestamp) -> u64 {
-        let age_ms = ((self.now - point).0 / 1000).max(0) as u64;
+    /// Returns the wall clock time at an earlier timestamp, in milliseconds since 1970.
+    pub(crate) fn unix_ms_at(&self, earlier: Timestamp) -> u64 {
+        let age_ms = ((self.now - earlier).0 / 1000).max(0) as u64;
         self.unix_ms.saturating_sub(age_ms)
     }
 
-    /// The export time of a message, in Unix seconds.
+    /// Returns the wall clock time in seconds since 1970: the export time of messages.
     pub(crate) fn unix_seconds(&self) -> u32 {
         (self.unix_ms / 1000) as u32
     }
 
-    /// For how long the exporter has run, in milliseconds.
+    /// Returns the time since the exporter started, in milliseconds.
     pub(crate) fn uptime_ms(&self) -> u32 {
         ((self.now - self.started).0 / 1000) as u32
     }
 }
 
-/// What all collectors and the file need for one round of export.
+/// The input that all collectors and the file share in one round of export.
 pub(crate) struct ExportContext<'a> {
     pub(crate) clock: ExportClock,
     pub(crate) templates: &'a Templates,
@@ -55,8 +55,8 @@
     pub(crate) observation_domain: u32,
     /// Attempts and requests observed since the start, by kind.
     pub(crate) observed: [u64; RecordKind::ALL.len()],
-    /// How many of them were counted in no flow.
+    /// The number of observed attempts and requests that no flow counts.
     pub(crate) ignored: u64,
-    /// The gateway is shutting down, so the rate limit no longer applies.
+    /// Whether the gateway is shutting down, which suspends the rate limit.
     pub(crate) is_shutting_down: bool,
 }
--- a/crates/flow-export/src/exporter.rs
+++ b/crates/flow-export/src/exporter.rs
@@ -1,4 +1,4 @@
-//! The exporting process of a gateway: meters what ends, and passes the flows on to all collectors and the file.
+//! The exporting process of a gateway: meters finished attempts and requests, and passes their flows to all collectors and the file.
 
 use std::path::Path;
 
@@ -17,65 +17,65 @@
 use crate::templates::Templates;
 use crate::{CollectorSettings, CollectorSummary, FlowExportError, FlowExportSettings};
 
-/// Sets this exporter's random draws apart from those of the gateway's other parts, which have the same seed.
+/// Makes the exporter's random numbers differ from those of other parts of the gateway that use the same seed.
 const SEED_SALT: u64 = 0xf10;
-/// The latency objective of a class that has none.
-const NO_LATENCY_OBJECTIVE: TimeDelta = TimeDelta(1);
+/// The latency objective of a class without one.
+const DEFAULT_LATENCY_OBJECTIVE: TimeDelta = TimeDelta(1);
 
-/// What an exporter starts with.
+/// Parameters of a new exporter.
 pub struct ExporterSetup<'a> {
-    /// Where to export to.
+    /// The collectors and the flow file.
     pub settings: &'a FlowExportSettings,
-    /// The folder that the settings' paths are relative to.
+    /// The folder that relative paths in the settings start at.
     pub folder: &'a Path,
-    /// The latency objective of each request class.
+    /// The latency objectives, by class index.
     pub latency_objectives: Vec<TimeDelta>,
-    /// The seed of the jitter between attempts to connect.
+    /// The seed of the jitter between connection attempts.
     pub seed: u64,
 }
 
-/// An attempt that ended.
+/// A finished attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptEnded {
-    /// The class of its request.
+    /// The class of the attempt's request.
     pub class: ClassId,
-    /// The endpoint's build; 0 where there is none.
+    /// The endpoint's build; 0 if it has none.
     pub build: BuildId,
-    /// The endpoint.
+    /// The endpoint that the attempt was made at.
     pub endpoint: EndpointId,
     /// How the attempt ended.
     pub outcome: AttemptOutcome,
-    /// How long it took.
+    /// The time from start to end.
     pub duration: TimeDelta,
-    /// Whether it was not its request's first attempt.
+    /// Whether this was not the request's first attempt.
     pub is_retry: bool,
-    /// Whether its request came from the other site.
+    /// Whether the request came from the other site.
     pub is_inbound: bool,
-    /// Octets of the request's body.
+    /// Octets of the request body.
     pub request_octets: usize,
-    /// Octets of the response's body.
+    /// Octets of the response body.
     pub response_octets: usize,
 }
 
-/// A request that ended.
+/// A finished request.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestEnded {
     /// The request's class.
     pub class: ClassId,
-    /// How it ended.
+    /// How the request ended.
     pub outcome: FlowOutcome,
-    /// Which sites it went through.
+    /// Which sites the request went through.
     pub path: FlowPath,
-    /// How long it took.
+    /// The time from start to end.
     pub duration: TimeDelta,
 }
 
-/// What became of everything observed.
+/// Totals of an exporter since its start.
 #[derive(Clone, Debug)]
 pub struct ExportSummary {
-    /// How many attempts and requests were observed.
+    /// Attempts and requests observed, by kind.
     pub observed: [u64; RecordKind::ALL.len()],
-    /// What became of them at each collector.
+    /// The totals of each collector.
     pub collectors: Vec<CollectorSummary>,
 }
 
@@ -95,10 +95,10 @@
 }
 
 impl FlowExporter {
-    /// Opens the file, and prepares the collectors' connections.
+    /// Opens the flow file, and prepares the connections to collectors.
     ///
     /// # Errors
-    /// Key files or the flow file cannot be used.
+    /// A key file or the flow file is unreadable or invalid.
     pub fn open(now: Timestamp, setup: ExporterSetup) -> Result<FlowExporter, FlowExportError> {
         let settings = setup.settings;
         let collectors = open_collectors(now, settings, setup.folder)?;
@@ -112,7 +112,7 @@
             None => None,
         };
         tracing::info!(
-            "flows: {} collectors, exported every {} ms",
+            "flows: exporting to {} collectors with an active timeout of {} ms",
             settings.collectors.len(),
             settings.active_timeout_ms
         );
@@ -131,17 +131,17 @@
         })
     }
 
-    /// Notes the newest rollout, for the stages and exposure limits in records.
+    /// Sets the newest rollout, which determines the stages and exposure limits in records.
     pub fn set_rollout(&mut self, update: &RolloutUpdate) {
         self.shares.set_rollout(update);
     }
 
-    /// Counts a request that the gateway received.
+    /// Counts a received request.
     pub fn count_received_request(&mut self) {
         self.shares.count_received_request();
     }
 
-    /// Counts an attempt that ended.
+    /// Counts a finished attempt.
     pub fn record_attempt(&mut self, now: Timestamp, attempt: &AttemptEnded) {
         let build = attempt.build;
         self.shares.count_attempt(build);
@@ -167,7 +167,7 @@
         self.meter.observe(now, &observation);
     }
 
-    /// Counts a request that ended.
+    /// Counts a finished request.
     pub fn record_request(&mut self, now: Timestamp, request: &RequestEnded) {
         self.totals
             .count(RecordKind::Request, BuildId(0), request.class);
@@ -192,20 +192,20 @@
         self.latency_objectives
             .get(class.0)
             .copied()
-            .unwrap_or(NO_LATENCY_OBJECTIVE)
+            .unwrap_or(DEFAULT_LATENCY_OBJECTIVE)
     }
 
-    /// How many attempts and requests were observed, as JSON: rows of kind, build, request class and count.
+    /// Returns the attempts and requests observed as JSON: a list of rows of kind, build, request class and count.
     pub fn observed_totals_json(&self, names: &Names) -> String {
         self.totals.to_json(&names.classes)
     }
 
-    /// When there may be something to export next.
+    /// Returns the next time at which flows may expire.
     pub fn next_export(&self) -> Timestamp {
         self.meter.next_expiry()
     }
 
-    /// Exports the flows that have expired, and all connections make progress. At shutdown every flow is exported.
+    /// Exports the expired flows (at shutdown all flows), and drives all connections and the file.
     pub fn export(&mut self, now: Timestamp, names: &Names, is_shutting_down: bool) {
         let flows = if is_shutting_down {
             self.meter.take_all(now)
@@ -250,11 +250,11 @@
         }
     }
 
-    /// Takes the collectors of reloaded settings. A collector of the same name keeps what waits for it. The flow file keeps the
-    /// observation domain that it was opened with.
+    /// Replaces the collectors by those of reloaded settings. A collector whose name stays keeps its pending flows and counts. The
+    /// flow file keeps its observation domain.
     ///
     /// # Errors
-    /// Export is no longer asked for, or key files cannot be used. Then nothing changes.
+    /// The settings disable export, or a key file is unreadable or invalid. Nothing changes then.
     pub fn reload(
         &mut self,
         now: Timestamp,
@@ -264,11 +264,11 @@
         let settings = settings.ok_or(FlowExportError::DisabledWhileRunning)?;
         let mut collectors = open_collectors(now, settings, folder)?;
         for collector in &mut collectors {
-            let earlier = self
+            let index = self
                 .collectors
                 .iter()
                 .position(|earlier| earlier.name() == collector.name());
-            if let Some(index) = earlier {
+            if let Some(index) = index {
                 collector.take_over(now, self.collectors.swap_remove(index));
             }
         }
@@ -278,14 +278,14 @@
             collector.queue_mut().drop_all();
             let dropped = collector.summary().dropped.counts;
             tracing::warn!(
-                "flows: collector {} is gone; given up in all: {dropped:?}",
+                "flows: collector {} removed; attempts and requests not exported to it: {dropped:?}",
                 collector.name()
             );
         }
         Ok(())
     }
 
-    /// Exports what is left, drops what cannot be sent at once, and waits for the file to be written.
+    /// Exports all flows, drops those that cannot be sent immediately, and waits until the file is written.
     pub fn close(&mut self, now: Timestamp, names: &Names) -> ExportSummary {
         self.export(now, names, true);
         for collector in &mut self.collectors {
@@ -312,7 +312,7 @@
     settings.collectors.iter().map(open).collect()
 }
 
-/// The class in a flow's key. Classes beyond the key's range share its last one.
+/// Returns the class in a flow key. Classes from 255 on share that number.
 fn flow_class(class: ClassId) -> u8 {
     class.0.min(255) as u8
 }
--- a/crates/flow-export/src/file_writer.rs
+++ b/crates/flow-export/src/file_writer.rs
@@ -1,4 +1,4 @@
-//! Writes flows to a file on a helper thread, so that a slow disk does not block the event loop.
+//! Writes the flow file on a separate thread, so that a slow disk does not block the event loop.
 
 use std::path::PathBuf;
 use std::sync::mpsc::{sync_channel, Receiver, SyncSender, TrySendError};
@@ -11,14 +11,14 @@
 use crate::send_queue::{SendQueue, SendQueueSettings};
 use crate::{FlowExportError, FlowFileSettings};
 
-/// Messages that wait for the disk, at most; beyond them flows wait, and are merged.
+/// The maximum number of messages queued for the thread. Flows beyond it stay pending, and are merged.
 const MAX_QUEUED_MESSAGES: usize = 64;
 const MAX_MESSAGE_OCTETS: usize = 8 * 1024;
 
-/// The flow file's queue, and the thread that writes it.
+/// The queue of the flow file, and the thread that writes the file.
 pub(crate) struct FlowFileWriter {
     queue: SendQueue,
-    /// A message that the thread's queue had no space for.
+    /// A message for which the thread's queue had no space.
     unsent: Option<Vec<u8>>,
     messages: SyncSender<Vec<u8>>,
     thread: JoinHandle<()>,
@@ -52,7 +52,7 @@
         &mut self.queue
     }
 
-    /// Passes what waits to the thread, as far as its queue has space, and encodes more whenever all messages are passed on.
+    /// Passes messages to the thread until its queue is full, and calls `encode` whenever there is no encoded message left.
     pub(crate) fn drive(&mut self, encode: impl Fn(&mut SendQueue)) {
         while let Some(message) = self.next_message(&encode) {
             match self.messages.try_send(message) {
@@ -76,15 +76,15 @@
         self.queue.pop_sent().map(|message| message.octets)
     }
 
-    /// Waits for the thread to write what it has received.
+    /// Waits until the thread has written all messages passed to it.
     pub(crate) fn close(self) {
         drop(self.messages);
-        // The thread does not panic, and at shutdown nothing could be done about it.
+        // Ignores a panic of the thread: at shutdown there is no way to handle it.
         let _ = self.thread.join();
     }
 }
 
-/// Writes messages until the channel is closed. Of errors in a row the first is logged.
+/// Writes messages until the channel is closed. Logs the first of consecutive errors.
 fn write_messages(mut file: RotatingFile, messages: &Receiver<Vec<u8>>) {
     let mut has_failed = false;
     for message in messages {
@@ -92,11 +92,11 @@
             Ok(()) => has_failed = false,
             Err(e) if !has_failed => {
                 has_failed = true;
-                tracing::warn!("flows: {}: {e}", file.path().display());
+                tracing::warn!("flows: writing {} failed: {e}", file.path().display());
             }
             Err(_) => {}
         }
     }
-    // At shutdown nothing could be done about an error.
+    // Ignores an error: at shutdown there is no way to handle it.
     let _ = file.sync();
 }
--- a/crates/flow-export/src/information_elements.rs
+++ b/crates/flow-export/src/information_elements.rs
@@ -1,4 +1,4 @@
-//! The information elements of exported records: IANA's, and the gateway's own under the documentation enterprise number.
+//! The information elements of exported records: IANA's, and enterprise-specific ones under the documentation enterprise number.
 
 use harrierdock_flow_metering::{RecordKind, DURATION_BUCKETS};
 use harrierdock_ipfix::DataType::{
@@ -10,7 +10,7 @@
 use harrierdock_ipfix::{DataType, InformationElement, Semantics, ENTERPRISE_NUMBER};
 
 /// IANA's number of the unit "octets".
-const OCTETS: u16 = 2;
+const OCTETS_UNIT: u16 = 2;
 
 const fn iana(
     id: u16,
@@ -28,7 +28,7 @@
     }
 }
 
-const fn own(
+const fn enterprise(
     id: u16,
     name: &'static str,
     data_type: DataType,
@@ -42,32 +42,32 @@
 
 const fn in_octets(element: InformationElement) -> InformationElement {
     InformationElement {
-        units: OCTETS,
+        units: OCTETS_UNIT,
         ..element
     }
 }
 
 macro_rules! elements {
-    ($($constant:ident = $make:ident($id:literal, $name:literal, $data_type:ident, $semantics:ident);)*) => {
-        $(pub(crate) const $constant: InformationElement = $make($id, $name, $data_type, $semantics);)*
+    ($($constant:ident = $registry:ident($id:literal, $name:literal, $data_type:ident, $semantics:ident);)*) => {
+        $(pub(crate) const $constant: InformationElement = $registry($id, $name, $data_type, $semantics);)*
     };
 }
 
 elements! {
     FLOW_START = iana(152, "flowStartMilliseconds", DateTimeMilliseconds, Plain);
     FLOW_END = iana(153, "flowEndMilliseconds", DateTimeMilliseconds, Plain);
-    BUILD = own(1, "hdBuild", Unsigned32, Identifier);
-    STAGE = own(2, "hdStage", Unsigned8, Identifier);
-    CLASS = own(3, "hdProduct", Text, Plain);
-    OUTCOME = own(4, "hdOutcome", Text, Plain);
-    PATH = own(5, "hdRoad", Text, Plain);
-    ENDPOINT = own(6, "hdServer", Text, Plain);
-    COUNT = own(7, "hdCount", Unsigned64, DeltaCounter);
-    RETRIES = own(8, "hdSecondSubmissions", Unsigned64, DeltaCounter);
-    LATE = own(9, "hdLate", Unsigned64, DeltaCounter);
-    DURATION_US = own(10, "hdTimeMicroseconds", Unsigned64, DeltaCounter);
-    EXPOSURE_LIMIT_PPM = own(13, "hdCapPartsPerMillion", Unsigned32, Quantity);
-    RECEIVED_REQUESTS = own(14, "hdTaken", Unsigned64, DeltaCounter);
+    BUILD = enterprise(1, "hdBuild", Unsigned32, Identifier);
+    STAGE = enterprise(2, "hdStage", Unsigned8, Identifier);
+    CLASS = enterprise(3, "hdProduct", Text, Plain);
+    OUTCOME = enterprise(4, "hdOutcome", Text, Plain);
+    PATH = enterprise(5, "hdRoad", Text, Plain);
+    ENDPOINT = enterprise(6, "hdServer", Text, Plain);
+    COUNT = enterprise(7, "hdCount", Unsigned64, DeltaCounter);
+    RETRIES = enterprise(8, "hdSecondSubmissions", Unsigned64, DeltaCounter);
+    LATE = enterprise(9, "hdLate", Unsigned64, DeltaCounter);
+    DURATION_US = enterprise(10, "hdTimeMicroseconds", Unsigned64, DeltaCounter);
+    EXPOSURE_LIMIT_PPM = enterprise(13, "hdCapPartsPerMillion", Unsigned32, Quantity);
+    RECEIVED_REQUESTS = enterprise(14, "hdTaken", Unsigned64, DeltaCounter);
     EXPORTING_PROCESS = iana(144, "exportingProcessId", Unsigned32, Identifier);
     EXPORTED_MESSAGES = iana(41, "exportedMessageTotalCount", Unsigned64, TotalCounter);
     EXPORTED_RECORDS = iana(42, "exportedFlowRecordTotalCount", Unsigned64, TotalCounter);
@@ -76,32 +76,32 @@
 }
 
 pub(crate) const REQUEST_OCTETS: InformationElement =
-    in_octets(own(11, "hdRequestOctets", Unsigned64, DeltaCounter));
+    in_octets(enterprise(11, "hdRequestOctets", Unsigned64, DeltaCounter));
 pub(crate) const RESPONSE_OCTETS: InformationElement =
-    in_octets(own(12, "hdAnswerOctets", Unsigned64, DeltaCounter));
+    in_octets(enterprise(12, "hdAnswerOctets", Unsigned64, DeltaCounter));
 
-/// How many were observed, by [`RecordKind`].
+/// Attempts and requests observed, indexed by [`RecordKind`].
 pub(crate) const OBSERVED: [InformationElement; RecordKind::ALL.len()] = [
-    own(15, "hdRecordedSubmissions", Unsigned64, TotalCounter),
-    own(16, "hdRecordedTxns", Unsigned64, TotalCounter),
+    enterprise(15, "hdRecordedSubmissions", Unsigned64, TotalCounter),
+    enterprise(16, "hdRecordedTxns", Unsigned64, TotalCounter),
 ];
 
-/// How many were dropped, by [`RecordKind`].
+/// Attempts and requests dropped, indexed by [`RecordKind`].
 pub(crate) const DROPPED: [InformationElement; RecordKind::ALL.len()] = [
-    own(17, "hdDroppedSubmissions", Unsigned64, TotalCounter),
-    own(18, "hdDroppedTxns", Unsigned64, TotalCounter),
+    enterprise(17, "hdDroppedSubmissions", Unsigned64, TotalCounter),
+    enterprise(18, "hdDroppedTxns", Unsigned64, TotalCounter),
 ];
 
-/// The buckets of the duration histogram.
+/// The buckets of the duration histogram, by ratio to the latency objective.
 pub(crate) const DURATION_HISTOGRAM: [InformationElement; DURATION_BUCKETS] = [
-    own(21, "hdTimesUpToEighthSla", Unsigned64, DeltaCounter),
-    own(22, "hdTimesUpToQuarterSla", Unsigned64, DeltaCounter),
-    own(23, "hdTimesUpToHalfSla", Unsigned64, DeltaCounter),
-    own(24, "hdTimesUpToSla", Unsigned64, DeltaCounter),
-    own(25, "hdTimesUpToTwiceSla", Unsigned64, DeltaCounter),
-    own(26, "hdTimesUpToFourSla", Unsigned64, DeltaCounter),
-    own(27, "hdTimesUpToEightSla", Unsigned64, DeltaCounter),
-    own(28, "hdTimesBeyond", Unsigned64, DeltaCounter),
+    enterprise(21, "hdTimesUpToEighthSla", Unsigned64, DeltaCounter),
+    enterprise(22, "hdTimesUpToQuarterSla", Unsigned64, DeltaCounter),
+    enterprise(23, "hdTimesUpToHalfSla", Unsigned64, DeltaCounter),
+    enterprise(24, "hdTimesUpToSla", Unsigned64, DeltaCounter),
+    enterprise(25, "hdTimesUpToTwiceSla", Unsigned64, DeltaCounter),
+    enterprise(26, "hdTimesUpToFourSla", Unsigned64, DeltaCounter),
+    enterprise(27, "hdTimesUpToEightSla", Unsigned64, DeltaCounter),
+    enterprise(28, "hdTimesBeyond", Unsigned64, DeltaCounter),
 ];
 
 /// The fields of an information element's type record (RFC 5610, section 3.9).
--- a/crates/flow-export/src/observed_totals.rs
+++ b/crates/flow-export/src/observed_totals.rs
@@ -1,4 +1,4 @@
-//! Totals of everything observed, which the log states at shutdown so that collected flows can be checked against them.
+//! Totals of all observations, logged at shutdown to check the collected flows against.
 
 use std::collections::BTreeMap;
 
@@ -8,7 +8,8 @@
 
 use crate::wire_names;
 
-const MAX_ROWS: usize = 512;
+/// From this number of rows on, attempts are counted under build 0. That loses detail only in a log line.
+const MAX_BUILD_ROWS: usize = 512;
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct TotalsKey {
@@ -17,14 +18,13 @@
     class: ClassId,
 }
 
-/// How many attempts and requests were observed, by build and request class.
+/// The number of attempts and requests observed, by build and request class.
 #[derive(Default)]
 pub(crate) struct ObservedTotals(BTreeMap<TotalsKey, u64>);
 
 impl ObservedTotals {
     pub(crate) fn count(&mut self, kind: RecordKind, build: BuildId, class: ClassId) {
-        // Beyond the bound all builds are counted together, at the cost of detail in a log line.
-        let build = if self.0.len() < MAX_ROWS {
+        let build = if self.0.len() < MAX_BUILD_ROWS {
             build
         } else {
             BuildId(0)
@@ -32,7 +32,7 @@
         *self.0.entry(TotalsKey { kind, build, class }).or_default() += 1;
     }
 
-    /// The totals as JSON: a list of rows of kind, build, request class and count.
+    /// Returns the totals as JSON: a list of rows of kind, build, request class and count.
     pub(crate) fn to_json(&self, names: &ClassNames) -> String {
         let rows: Vec<_> = self
             .0
--- a/crates/flow-export/src/rate_limit.rs
+++ b/crates/flow-export/src/rate_limit.rs
@@ -2,10 +2,10 @@
 
 use harrierdock_types::{TimeDelta, Timestamp};
 
-/// Unused tokens are kept for this long.
-const BURST: TimeDelta = TimeDelta::from_millis(2000);
+/// Unused tokens accumulate for at most this time.
+const MAX_ACCUMULATION: TimeDelta = TimeDelta::from_millis(2000);
 
-/// Tokens of one octet each, added at a steady rate.
+/// A token bucket; each token is one octet.
 pub(crate) struct RateLimit {
     octets_per_second: f64,
     available_octets: f64,
@@ -21,17 +21,17 @@
         }
     }
 
-    /// Adds the tokens of the time since the last refill, and returns how many octets may be sent now.
+    /// Adds the tokens for the time since the last refill. Returns the number of octets that may be sent now.
     pub(crate) fn refill(&mut self, now: Timestamp) -> usize {
         let rate = self.octets_per_second;
         let elapsed = (now - self.refilled_at).as_seconds();
         self.available_octets =
-            (self.available_octets + rate * elapsed).min(rate * BURST.as_seconds());
+            (self.available_octets + rate * elapsed).min(rate * MAX_ACCUMULATION.as_seconds());
         self.refilled_at = now;
         self.available_octets as usize
     }
 
-    /// Takes the tokens of what was sent. More than are available leaves a debt.
+    /// Removes tokens for sent octets. The balance may become negative.
     pub(crate) fn consume(&mut self, octets: u64) {
         self.available_octets -= octets as f64;
     }
--- a/crates/flow-export/src/report/chart.rs
+++ b/crates/flow-export/src/report/chart.rs
@@ -1,4 +1,4 @@
-//! The report's charts, as SVG.
+//! Draws the charts of a report as SVG.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::error::Error;
@@ -10,20 +10,20 @@
 
 use super::{AttemptCounts, FlowReport, ReportErrorCause};
 
-/// Points of a line, at most.
+/// The maximum number of points per line.
 const MAX_POINTS: u64 = 120;
-/// The shortest time between two points.
+/// The minimum time between two points.
 const MIN_BIN_MS: u64 = 1000;
 const WIDTH: u32 = 960;
 const HEIGHT: u32 = 640;
-const MILLION: f64 = 1e6;
+const PPM: f64 = 1e6;
 const LINE_WIDTH: u32 = 3;
 const EXPOSURE_LIMIT_WIDTH: u32 = 1;
 const LEGEND_LINE_WIDTH: i32 = 18;
 
 type Area<'a> = DrawingArea<SVGBackend<'a>, Shift>;
 type Chart<'a, 'b> = ChartContext<'a, SVGBackend<'b>, Cartesian2d<RangedCoordf64, RangedCoordf64>>;
-/// Seconds since the first point, and a ratio.
+/// Seconds since the first bin, and a ratio.
 type Point = (f64, f64);
 
 /// A build in one bin of time.
@@ -33,7 +33,7 @@
     build: u64,
 }
 
-/// What the charts show, summed up by bins of time.
+/// The data of the charts, summed by time bin.
 struct ChartData {
     bin_ms: u64,
     builds: BTreeSet<u64>,
@@ -42,12 +42,12 @@
     exposure_limits_ppm: BTreeMap<BuildInBin, u64>,
 }
 
-/// What a chart shows of each build.
+/// The ratio that a chart shows for each build.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum ChartKind {
     /// The build's share of attempts, and its exposure limit as a thin line.
     Shares,
-    /// The share of the build's attempts that did not succeed.
+    /// The ratio of the build's attempts that did not succeed.
     Failures,
 }
 
@@ -57,7 +57,7 @@
 }
 
 impl ChartData {
-    /// The data; none if there are no attempts.
+    /// Sums up the attempts and exposure limits; `None` if there are no attempts.
     fn new(report: &FlowReport) -> Option<ChartData> {
         let first_ms = report.by_time.keys().next()?.end_ms;
         let last_ms = report.by_time.keys().next_back()?.end_ms;
@@ -67,17 +67,20 @@
             build,
         };
         let mut attempts: BTreeMap<BuildInBin, AttemptCounts> = BTreeMap::new();
-        for (at, counts) in &report.by_time {
-            let key = in_bin(at.end_ms, at.build);
+        for (at_time, counts) in &report.by_time {
+            let key = in_bin(at_time.end_ms, at_time.build);
             attempts.entry(key).or_default().add(counts);
         }
         let mut exposure_limits_ppm = BTreeMap::new();
-        for (at, share) in &report.shares_by_time {
-            exposure_limits_ppm.insert(in_bin(at.end_ms, at.build), share.exposure_limit_ppm);
+        for (at_time, share) in &report.shares_by_time {
+            exposure_limits_ppm.insert(
+                in_bin(at_time.end_ms, at_time.build),
+                share.exposure_limit_ppm,
+            );
         }
         Some(ChartData {
             bin_ms,
-            builds: report.by_time.keys().map(|at| at.build).collect(),
+            builds: report.by_time.keys().map(|at_time| at_time.build).collect(),
             bins: attempts.keys().map(|key| key.bin).collect(),
             attempts,
             exposure_limits_ppm,
@@ -93,7 +96,7 @@
         self.seconds(last_bin).max(1.0)
     }
 
-    /// A build's line: a point for each bin that has a value.
+    /// Returns a line with a point for each bin that has a value.
     fn line(&self, value: impl Fn(u64) -> Option<f64>) -> Vec<Point> {
         self.bins
             .iter()
@@ -126,7 +129,7 @@
     fn exposure_limits(&self, build: u64) -> Vec<Point> {
         self.line(|bin| {
             let limit_ppm = self.exposure_limits_ppm.get(&BuildInBin { bin, build })?;
-            Some(*limit_ppm as f64 / MILLION)
+            Some(*limit_ppm as f64 / PPM)
         })
     }
 
@@ -142,8 +145,8 @@
 impl ChartKind {
     fn title(self) -> &'static str {
         match self {
-            ChartKind::Shares => "share of submissions by release (thin: cap)",
-            ChartKind::Failures => "part of submissions not served",
+            ChartKind::Shares => "share of attempts by build (thin line: exposure limit)",
+            ChartKind::Failures => "ratio of attempts that did not succeed",
         }
     }
 }
--- a/crates/flow-export/src/report/ipfix_file.rs
+++ b/crates/flow-export/src/report/ipfix_file.rs
@@ -19,14 +19,14 @@
     let split = split_file(&content)?;
     if let FileEnd::TruncatedAt(offset) = split.end {
         report.add_note(format!(
-            "{}: the last message is torn at octet {offset} and passed over",
+            "{}: skipped the incomplete last message at octet {offset}",
             path.display()
         ));
     }
     let mut reader = MessageReader::default();
     for message in split.messages {
         let message = reader.read(message)?;
-        let records = message.records.iter().filter_map(fields);
+        let records = message.records.iter().filter_map(read_fields);
         for record in records.filter_map(RecordFields::into_record) {
             report.add(record);
         }
@@ -34,8 +34,8 @@
     Ok(())
 }
 
-/// The fields of a record; none if it is of a template that reports do not use.
-fn fields(record: &DataRecord) -> Option<RecordFields> {
+/// Returns the fields of a record; `None` if reports do not use its template.
+fn read_fields(record: &DataRecord) -> Option<RecordFields> {
     let kind = match record.template_id {
         ATTEMPT_TEMPLATE_ID => wire_names::kind(RecordKind::Attempt),
         SHARE_TEMPLATE_ID => wire_names::SHARE_KIND,
--- a/crates/flow-export/src/report/mod.rs
+++ b/crates/flow-export/src/report/mod.rs
@@ -1,5 +1,5 @@
-//! Reports on files of exported flows: a table by build, stage and request class beside the exposure limits, and charts of the
-//! builds' shares and failures over time.
+//! Reports on files of exported flows: a table by build, stage and request class, with exposure limits, and charts of each build's
+//! share and failures over time.
 
 mod chart;
 mod ipfix_file;
@@ -16,18 +16,18 @@
 
 use record::{AttemptRecord, BuildAtTime, BuildStage, ClassAtStage, ReportRecord, ShareRecord};
 
-/// Why a report cannot be made.
+/// An error of reading flow files or drawing charts.
 #[derive(Debug, Error)]
 #[error("{}: {cause}", path.display())]
 pub struct ReportError {
-    /// The file that is read, or that a chart is drawn to.
+    /// The file that is read or drawn.
     pub path: PathBuf,
-    /// What is wrong with it.
+    /// The error of that file.
     #[source]
     pub cause: ReportErrorCause,
 }
 
-/// What is wrong with a file.
+/// Why a file cannot be read or drawn.
 #[derive(Debug, Error)]
 pub enum ReportErrorCause {
     /// The file cannot be read.
@@ -39,11 +39,11 @@
     /// A message cannot be decoded.
     #[error(transparent)]
     Decode(#[from] DecodeError),
-    /// The file is no Parquet table.
+    /// The file is not a valid Parquet table.
     #[error(transparent)]
     Parquet(#[from] ParquetError),
-    /// There is nothing to draw.
-    #[error("there are no submissions to draw")]
+    /// The files contain no attempts to draw.
+    #[error("there are no attempts to draw")]
     NoAttempts,
     /// The chart cannot be drawn.
     #[error(transparent)]
@@ -51,7 +51,7 @@
 }
 
 impl ReportErrorCause {
-    fn at(self, path: &Path) -> ReportError {
+    fn with_path(self, path: &Path) -> ReportError {
         ReportError {
             path: path.to_path_buf(),
             cause: self,
@@ -59,7 +59,7 @@
     }
 }
 
-/// Counts of attempts.
+/// Counts of attempts, by outcome and in total.
 #[derive(Clone, Copy, Default)]
 struct AttemptCounts {
     attempts: u64,
@@ -83,7 +83,7 @@
     }
 }
 
-/// A build's share of attempts, beside its exposure limit.
+/// A build's attempts among all received requests, and its exposure limit.
 #[derive(Clone, Copy, Default)]
 struct ShareCounts {
     attempts: u64,
@@ -99,7 +99,7 @@
     }
 }
 
-/// What files of exported flows hold, summed up.
+/// The totals of files of exported flows.
 #[derive(Default)]
 pub struct FlowReport {
     by_class: BTreeMap<ClassAtStage, AttemptCounts>,
@@ -110,10 +110,10 @@
 }
 
 impl FlowReport {
-    /// Reads files, the oldest first: Parquet tables by their extension, all others as IPFIX messages.
+    /// Reads files, oldest first. Files with the extension `parquet` are tables; all others hold IPFIX messages.
     ///
     /// # Errors
-    /// A file cannot be read. A truncated last message is noted and skipped.
+    /// A file is unreadable or invalid. An incomplete last message is no error; it is skipped with a note.
     pub fn read(paths: &[PathBuf]) -> Result<FlowReport, ReportError> {
         let mut report = FlowReport::default();
         for path in paths {
@@ -123,28 +123,28 @@
             } else {
                 ipfix_file::read(path, &mut report)
             };
-            read.map_err(|cause| cause.at(path))?;
+            read.map_err(|cause| cause.with_path(path))?;
         }
         Ok(report)
     }
 
-    /// Notes on the files, one line each.
+    /// Returns notes on the files, such as incomplete messages, one line each.
     pub fn notes(&self) -> &[String] {
         &self.notes
     }
 
-    /// The table: a line for each build, stage and request class.
+    /// Returns the table as text, with a line for each build, stage and request class.
     pub fn table(&self) -> String {
         table::format(self)
     }
 
-    /// Draws two charts as SVG: each build's share of attempts with its exposure limit, and the share of its attempts that did
-    /// not succeed.
+    /// Draws two charts as SVG: each build's share of attempts with its exposure limit, and the ratio of its attempts that did not
+    /// succeed.
     ///
     /// # Errors
     /// There are no attempts, or the file cannot be written.
     pub fn draw_charts(&self, path: &Path) -> Result<(), ReportError> {
-        chart::draw(self, path).map_err(|cause| cause.at(path))
+        chart::draw(self, path).map_err(|cause| cause.with_path(path))
     }
 
     fn add_note(&mut self, note: String) {
@@ -163,11 +163,14 @@
             end_ms: record.end_ms,
             build: record.stage.build,
         };
-        let class = ClassAtStage {
+        let class_at_stage = ClassAtStage {
             stage: record.stage,
             class: record.class,
         };
-        self.by_class.entry(class).or_default().add(&record.counts);
+        self.by_class
+            .entry(class_at_stage)
+            .or_default()
+            .add(&record.counts);
         self.by_time.entry(at_time).or_default().add(&record.counts);
     }
 
--- a/crates/flow-export/src/report/parquet_table.rs
+++ b/crates/flow-export/src/report/parquet_table.rs
@@ -1,4 +1,4 @@
-//! Reads tables that a collector has written as Parquet.
+//! Reads Parquet tables written by a collector.
 
 use std::fs::File;
 use std::path::Path;
@@ -12,14 +12,14 @@
 pub(super) fn read(path: &Path, report: &mut FlowReport) -> Result<(), ReportErrorCause> {
     let reader = SerializedFileReader::new(File::open(path)?)?;
     for row in reader.get_row_iter(None)? {
-        if let Some(record) = fields(&row?).into_record() {
+        if let Some(record) = read_fields(&row?).into_record() {
             report.add(record);
         }
     }
     Ok(())
 }
 
-fn fields(row: &Row) -> RecordFields {
+fn read_fields(row: &Row) -> RecordFields {
     let mut fields = RecordFields::default();
     for (column, field) in row.get_column_iter() {
         match column.as_str() {
--- a/crates/flow-export/src/report/record.rs
+++ b/crates/flow-export/src/report/record.rs
@@ -1,4 +1,4 @@
-//! Records as a report reads them, from whichever kind of file.
+//! The records of a report, from either kind of file.
 
 use harrierdock_flow_metering::{FlowOutcome, RecordKind};
 
@@ -19,7 +19,7 @@
     pub(super) class: String,
 }
 
-/// A build in the interval that ended at this time, in milliseconds since 1970.
+/// A build in the interval that ended at `end_ms`, in milliseconds since 1970.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct BuildAtTime {
     pub(super) end_ms: u64,
@@ -49,7 +49,7 @@
     Share(ShareRecord),
 }
 
-/// The fields of a record, with those that it lacks left empty.
+/// The fields of a record; fields that it lacks are 0 or empty.
 #[derive(Default)]
 pub(super) struct RecordFields {
     pub(super) kind: String,
@@ -67,7 +67,7 @@
 }
 
 impl RecordFields {
-    /// The record; none if it is of a kind that reports do not use.
+    /// Converts the fields to a record; `None` if reports do not use its kind.
     pub(super) fn into_record(self) -> Option<ReportRecord> {
         let stage = BuildStage {
             build: self.build,
--- a/crates/flow-export/src/report/table.rs
+++ b/crates/flow-export/src/report/table.rs
@@ -1,4 +1,4 @@
-//! The report's table.
+//! Formats the table of a report.
 
 use std::fmt::Write;
 
@@ -7,7 +7,7 @@
 
 const HEADER: &str =
     "build stage product      submissions  served errored timed-out   late   mean-ms second  share    cap\n";
-const MILLION: f64 = 1e6;
+const PPM: f64 = 1e6;
 
 pub(super) fn format(report: &FlowReport) -> String {
     let mut text = String::from(HEADER);
@@ -23,14 +23,14 @@
 }
 
 fn write_row(text: &mut String, class: &ClassAtStage, counts: &AttemptCounts, share: &ShareCounts) {
-    let percent = |part: u64| 100.0 * part as f64 / counts.attempts.max(1) as f64;
+    let percent = |count: u64| 100.0 * count as f64 / counts.attempts.max(1) as f64;
     let exposure_limit = if share.exposure_limit_ppm > 0 {
-        format!("{:.1}%", share.exposure_limit_ppm as f64 / MILLION * 100.0)
+        format!("{:.1}%", share.exposure_limit_ppm as f64 / PPM * 100.0)
     } else {
         "-".into()
     };
     let share_percent = 100.0 * share.attempts as f64 / share.received_requests.max(1) as f64;
-    // Writing to a text cannot fail.
+    // Writing to a `String` cannot fail.
     let _ = writeln!(
         text,
         "{:5} {:5} {:12} {:11} {:6.1}% {:6.1}% {:8.1}% {:5.1}% {:9.1} {:6} {share_percent:5.1}% {exposure_limit:>6}",
--- a/crates/flow-export/src/rollout_share.rs
+++ b/crates/flow-export/src/rollout_share.rs
@@ -1,12 +1,12 @@
-//! Each build's share of the attempts of an interval, beside its exposure limit.
+//! Each build's share of the attempts in an interval, with the build's exposure limit.
 
 use std::collections::BTreeMap;
 
 use harrierdock_types::{BuildId, RolloutUpdate, Timestamp};
 
-/// Shares that wait for one collector, at most.
+/// The maximum number of pending shares per collector.
 const MAX_PENDING_SHARES: usize = 256;
-const MILLION: u64 = 1_000_000;
+const PPM: u64 = 1_000_000;
 
 /// A build at a stage of its rollout.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
@@ -20,14 +20,15 @@
 pub(crate) struct RolloutShare {
     pub(crate) start: Timestamp,
     pub(crate) end: Timestamp,
-    /// In parts per million.
+    /// The build's exposure limit in parts per million of received requests.
     pub(crate) exposure_limit_ppm: u64,
-    /// Requests that the gateway received in the interval, whichever build they went to.
+    /// Requests that the gateway received in the interval, for all builds.
     pub(crate) received_requests: u64,
+    /// Attempts at endpoints of the build that finished in the interval.
     pub(crate) attempts: u64,
 }
 
-/// Counts the attempts of each build beside the newest rollout.
+/// Counts received requests and the attempts of each build, and holds the newest rollout.
 pub(crate) struct ShareMeter {
     rollout: BuildStage,
     exposure_limit_ppm: u64,
@@ -49,14 +50,14 @@
 
     pub(crate) fn set_rollout(&mut self, update: &RolloutUpdate) {
         let exposure_limit = update.exposure_limit.clamp(0.0, 1.0);
-        self.exposure_limit_ppm = (exposure_limit * MILLION as f64) as u64;
+        self.exposure_limit_ppm = (exposure_limit * PPM as f64) as u64;
         self.rollout = BuildStage {
             build: update.build,
             stage: update.stage.min(255) as u8,
         };
     }
 
-    /// The rollout stage of a build; 0 for all but the newest.
+    /// Returns the rollout stage of a build; 0 for all builds but the newest.
     pub(crate) fn stage_of(&self, build: BuildId) -> u8 {
         if build == self.rollout.build {
             self.rollout.stage
@@ -77,7 +78,7 @@
         self.interval_start
     }
 
-    /// Ends the interval, and returns each build's share in it.
+    /// Starts a new interval, and returns each build's share in the previous one.
     pub(crate) fn take_shares(&mut self, now: Timestamp) -> Vec<(BuildStage, RolloutShare)> {
         let received_requests = std::mem::take(&mut self.received_requests);
         let start = std::mem::replace(&mut self.interval_start, now);
@@ -87,7 +88,7 @@
             let share = RolloutShare {
                 start,
                 end: now,
-                exposure_limit_ppm: self.exposure_limit_of(build),
+                exposure_limit_ppm: self.exposure_limit_ppm_of(build),
                 received_requests,
                 attempts,
             };
@@ -96,17 +97,17 @@
         shares
     }
 
-    /// Only the newest build has an exposure limit below all requests.
-    fn exposure_limit_of(&self, build: BuildId) -> u64 {
+    /// Returns the exposure limit of a build; one million for all builds but the newest.
+    fn exposure_limit_ppm_of(&self, build: BuildId) -> u64 {
         if build == self.rollout.build {
             self.exposure_limit_ppm
         } else {
-            MILLION
+            PPM
         }
     }
 }
 
-/// The shares that wait for one collector, a bounded number of builds and stages.
+/// The shares not yet sent to one collector, for a bounded number of builds and stages.
 #[derive(Default)]
 pub(crate) struct PendingShares(BTreeMap<BuildStage, RolloutShare>);
 
@@ -115,15 +116,15 @@
         self.0.is_empty()
     }
 
-    /// Merges a share into the one that waits for the same build and stage. A share beyond the bound is dropped.
-    pub(crate) fn add(&mut self, of: BuildStage, share: &RolloutShare) {
-        if let Some(pending) = self.0.get_mut(&of) {
+    /// Merges a share into the pending share of the same build and stage. Drops a share beyond the bound.
+    pub(crate) fn add(&mut self, build_stage: BuildStage, share: &RolloutShare) {
+        if let Some(pending) = self.0.get_mut(&build_stage) {
             pending.end = share.end;
             pending.exposure_limit_ppm = share.exposure_limit_ppm;
             pending.received_requests += share.received_requests;
             pending.attempts += share.attempts;
         } else if self.0.len() < MAX_PENDING_SHARES {
-            self.0.insert(of, *share);
+            self.0.insert(build_stage, *share);
         }
     }
 
--- a/crates/flow-export/src/rotating_file.rs
+++ b/crates/flow-export/src/rotating_file.rs
@@ -10,18 +10,18 @@
 
 const OCTETS_PER_MEGABYTE: u64 = 1 << 20;
 
-/// A file that messages are appended to.
+/// A file of IPFIX messages, rotated when it reaches its maximum size.
 pub(crate) struct RotatingFile {
     path: PathBuf,
     file: File,
     octets: u64,
     max_octets: u64,
     max_rotated_files: u32,
-    /// The first message, which holds the templates: each file begins with it, as it can be read by them alone.
+    /// The first message, which contains the templates. Each file starts with it, to be readable on its own.
     templates: Vec<u8>,
 }
 
-/// The path of a rotated file.
+/// Returns the path of a rotated file; 1 is the newest.
 fn rotated_path(path: &Path, number: u32) -> PathBuf {
     let mut name = path.as_os_str().to_owned();
     name.push(format!(".{number}"));
@@ -29,15 +29,15 @@
 }
 
 impl RotatingFile {
-    /// Opens a file to append to. A last message that a kill has cut short is removed.
+    /// Opens or creates a file. Removes an incomplete last message, which a killed process leaves behind.
     ///
     /// # Errors
-    /// The file cannot be opened, or holds something other than IPFIX messages.
+    /// The file cannot be opened, read or truncated, or holds something other than IPFIX messages.
     pub(crate) fn open(
         path: PathBuf,
         settings: &FlowFileSettings,
     ) -> Result<RotatingFile, FlowExportError> {
-        let failed = |source: io::Error| FlowExportError::FlowFile {
+        let io_error = |source: io::Error| FlowExportError::FlowFile {
             path: path.clone(),
             source,
         };
@@ -46,19 +46,22 @@
             .append(true)
             .create(true)
             .open(&path)
-            .map_err(failed)?;
+            .map_err(io_error)?;
         let mut content = Vec::new();
-        file.read_to_end(&mut content).map_err(failed)?;
+        file.read_to_end(&mut content).map_err(io_error)?;
         let split = split_file(&content).map_err(|e| FlowExportError::NotIpfix {
             path: path.clone(),
             offset: e.offset,
             source: e.source,
         })?;
         if let FileEnd::TruncatedAt(offset) = split.end {
-            tracing::warn!("flows: {} is torn, cut at octet {offset}", path.display());
-            file.set_len(offset as u64).map_err(failed)?;
+            tracing::warn!(
+                "flows: {}: removed the incomplete last message at octet {offset}",
+                path.display()
+            );
+            file.set_len(offset as u64).map_err(io_error)?;
         }
-        let octets = file.metadata().map_err(failed)?.len();
+        let octets = file.metadata().map_err(io_error)?.len();
         Ok(RotatingFile {
             path,
             file,
@@ -73,7 +76,7 @@
         &self.path
     }
 
-    /// Appends a message, to the next file if it would make this one too large.
+    /// Appends a message, after rotating the file if the message would exceed the maximum size.
     pub(crate) fn append(&mut self, message: &[u8]) -> io::Result<()> {
         let is_first = self.templates.is_empty();
         if is_first {
@@ -95,10 +98,10 @@
         Ok(())
     }
 
-    /// Renames this file and the earlier ones, and begins another.
+    /// Renames the file and the rotated ones, and starts a new file.
     fn rotate(&mut self) -> io::Result<()> {
         for number in (1..self.max_rotated_files).rev() {
-            // There may be fewer rotated files than are kept.
+            // Fails if there are fewer rotated files than the maximum.
             let _ = rename(
                 rotated_path(&self.path, number),
                 rotated_path(&self.path, number + 1),
@@ -118,7 +121,7 @@
         Ok(())
     }
 
-    /// Writes everything through to the disk.
+    /// Flushes the file to disk.
     pub(crate) fn sync(&self) -> io::Result<()> {
         self.file.sync_all()
     }
--- a/crates/flow-export/src/send_queue.rs
+++ b/crates/flow-export/src/send_queue.rs
@@ -1,4 +1,4 @@
-//! The send queue of one collector or file: flows and shares that wait, and the messages encoded from them.
+//! The send queue of a collector or the flow file: pending flows and shares, and the messages encoded from them.
 
 use std::collections::VecDeque;
 
@@ -11,33 +11,33 @@
 use crate::templates::{element_type_values, flow_values, share_values};
 
 const STATISTICS_INTERVAL: TimeDelta = TimeDelta::from_millis(5000);
-/// What a record takes of a message, rounded up: an estimate that ends the encoding before the limit is passed by much.
-const SHARE_RECORD_OCTETS: usize = 64;
-const FLOW_RECORD_OCTETS: usize = 200;
+/// Estimated record sizes, rounded up, so that encoding exceeds its limit only slightly.
+const ESTIMATED_SHARE_OCTETS: usize = 64;
+const ESTIMATED_FLOW_OCTETS: usize = 200;
 
-/// How a queue's messages are made.
+/// The format and limits of a queue's messages.
 pub(crate) struct SendQueueSettings {
     pub(crate) format: WireFormat,
     pub(crate) observation_domain: u32,
     pub(crate) max_message_octets: usize,
-    /// How often templates are sent again; none to send them once a session.
+    /// The interval at which templates are resent; `None` to send them once per transport session.
     pub(crate) template_interval: Option<TimeDelta>,
 }
 
-/// An encoded message with the flows in it, which wait again if it is not sent.
+/// An encoded message, with its flows in case it cannot be sent.
 pub(crate) struct QueuedMessage {
     pub(crate) octets: Vec<u8>,
     flows: Vec<Flow>,
 }
 
 impl QueuedMessage {
-    /// How many attempts and requests the message's flows count.
+    /// Returns the number of attempts and requests that the message's flows count.
     pub(crate) fn observation_count(&self) -> u64 {
         self.flows.iter().map(|flow| flow.counters.count).sum()
     }
 }
 
-/// What waits for one collector or file.
+/// Pending flows and shares, and encoded messages, for one collector or the flow file.
 pub(crate) struct SendQueue {
     settings: SendQueueSettings,
     pending: PendingFlows,
@@ -67,18 +67,18 @@
         }
     }
 
-    /// The observation domain that its messages name.
+    /// Returns the observation domain of the queue's messages.
     pub(crate) fn observation_domain(&self) -> u32 {
         self.settings.observation_domain
     }
 
-    /// Starts a new transport session, whose sequence numbers start at 0.
+    /// Starts a new transport session. Its sequence numbers start at 0.
     pub(crate) fn start_session(&mut self, observation_domain: u32) {
         self.settings.observation_domain = observation_domain;
         self.writer = new_writer(&self.settings);
     }
 
-    /// Sends templates and statistics with the next message.
+    /// Makes the next encoding include templates and statistics.
     pub(crate) fn resend_templates(&mut self, now: Timestamp) {
         self.next_templates = now;
         self.next_statistics = now;
@@ -91,42 +91,42 @@
     }
 
     pub(crate) fn add_shares(&mut self, shares: &[(BuildStage, RolloutShare)]) {
-        for (of, share) in shares {
-            self.shares.add(*of, share);
+        for (build_stage, share) in shares {
+            self.shares.add(*build_stage, share);
         }
     }
 
-    /// Whether neither a flow nor a share waits to be encoded.
+    /// Returns whether there is no flow or share to encode.
     pub(crate) fn is_empty(&self) -> bool {
         self.pending.is_empty() && self.shares.is_empty()
     }
 
-    /// The next message to send.
+    /// Returns the next message to send.
     pub(crate) fn front(&self) -> Option<&QueuedMessage> {
         self.messages.front()
     }
 
-    /// Takes the next message out, and counts it as sent.
+    /// Removes the next message, and counts it as sent.
     pub(crate) fn pop_sent(&mut self) -> Option<QueuedMessage> {
         let message = self.messages.pop_front()?;
         self.sent_messages += 1;
         Some(message)
     }
 
-    /// Returns the flows of messages that were not sent to those that wait.
+    /// Returns the flows of unsent messages to the pending flows.
     pub(crate) fn requeue_messages(&mut self) {
         for message in std::mem::take(&mut self.messages) {
             self.add_flows(&message.flows);
         }
     }
 
-    /// Drops every flow that waits or was encoded and not sent.
+    /// Drops all pending flows, including those of unsent messages.
     pub(crate) fn drop_all(&mut self) {
         self.requeue_messages();
         self.pending.drop_all();
     }
 
-    /// Takes over what waits in an earlier queue, and its counts.
+    /// Takes over the pending flows and shares of an earlier queue, and its counts.
     pub(crate) fn take_over(&mut self, mut earlier: SendQueue) {
         earlier.requeue_messages();
         self.pending = earlier.pending;
@@ -151,10 +151,14 @@
         self.encoded_octets
     }
 
-    /// Encodes what waits into messages, until about `max_octets` of messages are queued.
+    /// Encodes pending records into messages, until about `max_octets` octets of messages are queued.
     pub(crate) fn encode(&mut self, context: &ExportContext, max_octets: usize) {
         let now = context.clock.now;
-        let queued: usize = self.messages.iter().map(|m| m.octets.len()).sum();
+        let queued: usize = self
+            .messages
+            .iter()
+            .map(|message| message.octets.len())
+            .sum();
         let budget = max_octets.saturating_sub(queued);
         if now >= self.next_templates && budget > 0 {
             self.encode_templates(context);
@@ -172,13 +176,13 @@
         let templates = context.templates;
         for template in templates.all() {
             let written = self.writer.add_template(template);
-            debug_assert!(written.is_ok(), "templates fit a message");
+            debug_assert!(written.is_ok(), "a template exceeds the message size");
         }
         if self.settings.format == WireFormat::Ipfix {
-            for element in templates.own_elements() {
+            for element in templates.enterprise_elements() {
                 let values = element_type_values(element);
                 let written = self.writer.add_record(&templates.element_types, &values);
-                debug_assert!(written.is_ok(), "a type record fits a message");
+                debug_assert!(written.is_ok(), "a type record exceeds the message size");
             }
         }
         self.next_templates = match self.settings.template_interval {
@@ -205,44 +209,44 @@
         let written = self
             .writer
             .add_record(&context.templates.statistics, &values);
-        debug_assert!(written.is_ok(), "statistics fit a message");
+        debug_assert!(written.is_ok(), "the statistics exceed the message size");
         self.next_statistics = context.clock.now + STATISTICS_INTERVAL;
     }
 
-    /// Encodes shares within a budget of octets, and returns what is left of it.
+    /// Encodes shares within a budget of octets, and returns the remaining budget.
     fn encode_shares(&mut self, context: &ExportContext, mut budget: usize) -> usize {
         while budget > 0 {
-            let Some((of, share)) = self.shares.pop_first() else {
+            let Some((build_stage, share)) = self.shares.pop_first() else {
                 break;
             };
-            let values = share_values(of, &share, &context.clock);
+            let values = share_values(build_stage, &share, &context.clock);
             let written = self.writer.add_record(&context.templates.shares, &values);
-            debug_assert!(written.is_ok(), "a share fits a message");
-            budget = budget.saturating_sub(SHARE_RECORD_OCTETS);
+            debug_assert!(written.is_ok(), "a share exceeds the message size");
+            budget = budget.saturating_sub(ESTIMATED_SHARE_OCTETS);
         }
         budget
     }
 
-    /// Encodes flows within a budget of octets, and returns those that are in no finished message yet.
+    /// Encodes flows within a budget of octets, and returns the flows whose message is not finished yet.
     fn encode_flows(&mut self, context: &ExportContext, mut budget: usize) -> Vec<Flow> {
         let mut unassigned = Vec::new();
         while budget > 0 {
             let Some(flow) = self.pending.pop_first() else {
                 break;
             };
-            let template = context.templates.flows_of(flow.key.kind);
+            let template = context.templates.flow_template(flow.key.kind);
             let values = flow_values(&flow, context.names, &context.clock);
             let written = self.writer.add_record(template, &values);
-            debug_assert!(written.is_ok(), "a record fits a message");
+            debug_assert!(written.is_ok(), "a flow exceeds the message size");
             unassigned.push(flow);
             self.queue_finished(context, &mut unassigned, false);
-            budget = budget.saturating_sub(FLOW_RECORD_OCTETS);
+            budget = budget.saturating_sub(ESTIMATED_FLOW_OCTETS);
         }
         unassigned
     }
 
-    /// Queues the finished messages, each with the flows in it: those encoded so far, except that the last one has begun the
-    /// next message unless the writer was flushed.
+    /// Queues the finished messages with their flows. `unassigned` holds the flows encoded since the last call. Without a flush, the
+    /// last of them is in the next message, which it caused the writer to start.
     fn queue_finished(
         &mut self,
         context: &ExportContext,
--- a/crates/flow-export/src/templates.rs
+++ b/crates/flow-export/src/templates.rs
@@ -15,15 +15,15 @@
 use crate::rollout_share::{BuildStage, RolloutShare};
 use crate::wire_names;
 
-/// The template of flows of attempts.
+/// Template of flows of attempts.
 pub(crate) const ATTEMPT_TEMPLATE_ID: u16 = 256;
 const REQUEST_TEMPLATE_ID: u16 = 257;
-/// The template of each build's share of attempts.
+/// Template of each build's share of attempts.
 pub(crate) const SHARE_TEMPLATE_ID: u16 = 258;
 const STATISTICS_TEMPLATE_ID: u16 = 259;
 const ELEMENT_TYPE_TEMPLATE_ID: u16 = 260;
 
-/// The templates of all records that are exported.
+/// The templates of all exported records.
 pub(crate) struct Templates {
     attempts: Template,
     requests: Template,
@@ -85,18 +85,18 @@
         ]
     }
 
-    pub(crate) fn flows_of(&self, kind: RecordKind) -> &Template {
+    pub(crate) fn flow_template(&self, kind: RecordKind) -> &Template {
         match kind {
             RecordKind::Attempt => &self.attempts,
             RecordKind::Request => &self.requests,
         }
     }
 
-    /// The gateway's own elements, each once, in the order of the templates.
-    pub(crate) fn own_elements(&self) -> Vec<&InformationElement> {
+    /// Returns the enterprise-specific elements of all templates, each once.
+    pub(crate) fn enterprise_elements(&self) -> Vec<&InformationElement> {
         let mut elements: Vec<&InformationElement> = Vec::new();
-        let fields = self.all().into_iter().flat_map(|t| &t.fields);
-        for field in fields.filter(|f| f.enterprise.is_some()) {
+        let fields = self.all().into_iter().flat_map(|template| &template.fields);
+        for field in fields.filter(|field| field.enterprise.is_some()) {
             if !elements.iter().any(|other| other.id == field.id) {
                 elements.push(field);
             }
@@ -105,7 +105,7 @@
     }
 }
 
-/// The values of an information element's type record.
+/// Returns the values of an information element's type record.
 pub(crate) fn element_type_values(element: &InformationElement) -> [Value; 6] {
     [
         Value::Number(u64::from(ENTERPRISE_NUMBER)),
@@ -117,17 +117,17 @@
     ]
 }
 
-/// The values of a build's share of attempts.
+/// Returns the values of a share record, in template order.
 pub(crate) fn share_values(
-    of: BuildStage,
+    build_stage: BuildStage,
     share: &RolloutShare,
     clock: &ExportClock,
 ) -> [Value; 7] {
     [
         clock.unix_ms_at(share.start),
         clock.unix_ms_at(share.end),
-        u64::from(of.build.0),
-        u64::from(of.stage),
+        u64::from(build_stage.build.0),
+        u64::from(build_stage.stage),
         share.exposure_limit_ppm,
         share.received_requests,
         share.attempts,
@@ -135,7 +135,7 @@
     .map(Value::Number)
 }
 
-/// The values of a flow, in the order of its kind's template.
+/// Returns the values of a flow, in the order of the template of its kind.
 pub(crate) fn flow_values(flow: &Flow, names: &Names, clock: &ExportClock) -> Vec<Value> {
     let key = &flow.key;
     let class = names.classes.name(ClassId(usize::from(key.class)));
--- a/crates/flow-export/src/wire_names.rs
+++ b/crates/flow-export/src/wire_names.rs
@@ -1,8 +1,8 @@
-//! The texts by which records and reports name kinds, outcomes and paths.
+//! The names of kinds, outcomes and paths in records, reports and the log.
 
 use harrierdock_flow_metering::{FlowOutcome, FlowPath, RecordKind};
 
-/// The kind of a record in tables and in the log.
+/// Returns a record kind's name in tables and in the log.
 pub(crate) const fn kind(kind: RecordKind) -> &'static str {
     match kind {
         RecordKind::Attempt => "submission",
@@ -10,10 +10,10 @@
     }
 }
 
-/// The kind of a record on a build's share of attempts, in tables.
+/// The record kind of a build's share of attempts, in tables.
 pub(crate) const SHARE_KIND: &str = "share";
 
-/// The value of the information element `hdOutcome`.
+/// Returns an outcome's value of the information element `hdOutcome`.
 pub(crate) const fn outcome(outcome: FlowOutcome) -> &'static str {
     match outcome {
         FlowOutcome::Succeeded => "served",
@@ -31,7 +31,7 @@
     }
 }
 
-/// The value of the information element `hdRoad`.
+/// Returns a path's value of the information element `hdRoad`.
 pub(crate) const fn path(path: FlowPath) -> &'static str {
     match path {
         FlowPath::Local => "here",
