--- a/crates/flow-export/src/send_queue.rs
+++ b/crates/flow-export/src/send_queue.rs
@@ -245,8 +245,8 @@
         unassigned
     }
 
-    /// Queues the finished messages with their flows. `unassigned` holds the flows encoded since the last call. Without a flush, the
-    /// last of them is in the next message, which it caused the writer to start.
+    /// Queues the finished messages with their flows. `unassigned` holds the encoded flows that no queued message contains. Unless
+    /// the writer was flushed, the last of them is in the next message.
     fn queue_finished(
         &mut self,
         context: &ExportContext,
--- a/crates/flow-metering/src/flow.rs
+++ b/crates/flow-metering/src/flow.rs
@@ -25,7 +25,7 @@
     Succeeded = 0,
     /// The endpoint responded with an error.
     ServerError = 1,
-    /// The endpoint rejected the attempt, which had no effect.
+    /// The endpoint rejected the attempt, and promises that it had no effect.
     Rejected = 2,
     /// The attempt's timeout expired.
     TimedOut = 3,
@@ -39,7 +39,7 @@
     NotSent = 7,
     /// The gateway returned a successful response.
     RequestSucceeded = 8,
-    /// The request was rejected and had no effect.
+    /// The request was rejected with the promise that it had no effect.
     RequestRejected = 9,
     /// The request failed; its effect is unknown.
     RequestFailed = 10,
--- a/crates/flow-metering/src/timer_wheel.rs
+++ b/crates/flow-metering/src/timer_wheel.rs
@@ -11,7 +11,7 @@
 }
 
 impl<T> TimerWheel<T> {
-    /// Creates a wheel of `slots` slots (at least 2), each one `tick` long. A timer beyond the wheel's span expires with the last slot.
+    /// Creates a wheel of `slots` slots (at least 2), each one `tick` long. A timer beyond its span expires with the last slot.
     pub fn new(now: Timestamp, tick: TimeDelta, slots: usize) -> TimerWheel<T> {
         let tick = tick.max(TimeDelta(1));
         TimerWheel {
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Adds a timer. Within the wheel's span it never expires early, and less than a tick late.
+    /// Adds a timer. Within the wheel's span, it never expires early and is less than a tick late.
     pub fn schedule(&mut self, deadline: Timestamp, timer: T) {
         let remaining = (deadline - self.next_tick).0.max(0);
         let last_slot = self.slots.len() as i64 - 1;
--- a/crates/ipfix/src/reader.rs
+++ b/crates/ipfix/src/reader.rs
@@ -142,12 +142,12 @@
         if !self.templates.contains_key(&domain) && self.templates.len() >= MAX_DOMAINS {
             return Err(DecodeError::LimitExceeded);
         }
-        // A rest shorter than a template header is padding.
+        // Remaining octets that are shorter than a template header are padding.
         while set.len() >= TEMPLATE_HEADER_OCTETS {
             let template_id = set.u16()?;
             if template_id < FIRST_DATA_SET_ID {
-                let is_padding = template_id == 0 && set.0.iter().all(|octet| *octet == 0);
-                return if is_padding {
+                let is_zero_padding = template_id == 0 && set.0.iter().all(|octet| *octet == 0);
+                return if is_zero_padding {
                     Ok(count)
                 } else {
                     Err(DecodeError::Malformed)
