--- a/crates/fault-injection/src/cli/mod.rs
+++ b/crates/fault-injection/src/cli/mod.rs
@@ -104,7 +104,7 @@
 
 fn run_core(arguments: &CoreArguments) -> Verdict {
     let bar = progress_bar(arguments.seeds);
-    let report = core::play(
+    let report = core::run_seeds(
         arguments.seed,
         arguments.seeds,
         arguments.gateways.max(1),
--- a/crates/fault-injection/src/core/mod.rs
+++ b/crates/fault-injection/src/core/mod.rs
@@ -20,7 +20,7 @@
 use simulation::NetworkSimulation;
 
 /// Plays seeds, one after another, and adds up what was found.
-pub fn play(
+pub fn run_seeds(
     first_seed: u64,
     seeds: u64,
     gateways_per_site: usize,
--- a/crates/fault-injection/src/fleet/mod.rs
+++ b/crates/fault-injection/src/fleet/mod.rs
@@ -137,7 +137,7 @@
             .map_or(wait, |due| due.min(wait));
         let wait = self.simulation.io.clock.duration_until(wait);
         self.event_loop.dispatch(wait, &mut self.simulation)?;
-        self.simulation.run_due_events();
+        self.simulation.handle_expired_timers();
         self.group.observe(&mut self.simulation)
     }
 }
--- a/crates/fault-injection/src/simulation/endpoints.rs
+++ b/crates/fault-injection/src/simulation/endpoints.rs
@@ -24,7 +24,7 @@
     listener: Option<RegistrationToken>,
     incarnation: u32,
     /// When its slow start began; none if it was warm at its start.
-    pub slow_start_began: Option<Timestamp>,
+    pub slow_start_since: Option<Timestamp>,
     /// Since when it must get no more requests.
     pub draining_since: Option<Timestamp>,
     /// It was overloaded while it warmed up, and answers no more.
@@ -76,7 +76,7 @@
         endpoint.address = address;
         endpoint.listener = Some(token);
         endpoint.is_overloaded = false;
-        endpoint.slow_start_began = is_cold.then_some(now);
+        endpoint.slow_start_since = is_cold.then_some(now);
         endpoint.draining_since = None;
         Ok(())
     }
@@ -92,7 +92,7 @@
             address: SocketAddr::from(([127, 0, 0, 1], 0)),
             listener: None,
             incarnation: 0,
-            slow_start_began: None,
+            slow_start_since: None,
             draining_since: None,
             is_overloaded: false,
             build: FIRST_BUILD,
@@ -124,7 +124,7 @@
 
     /// The share of its capacity that an endpoint has by now.
     pub fn capacity_ratio(&self, index: usize) -> f64 {
-        let Some(began) = self.endpoints[index].slow_start_began else {
+        let Some(began) = self.endpoints[index].slow_start_since else {
             return 1.0;
         };
         let progress = (self.now() - began).ratio_to(SLOW_START_DURATION);
--- a/crates/fault-injection/src/simulation/mod.rs
+++ b/crates/fault-injection/src/simulation/mod.rs
@@ -64,7 +64,7 @@
     /// A delayed datagram arrives.
     Datagram(u64),
     /// Clients notice which gateways run.
-    GatewaysNoticed,
+    ClientTargetsUpdated,
 }
 
 /// The parties around the gateways.
@@ -136,7 +136,7 @@
     }
 
     /// Handles all timers that have expired, and returns the scenario's steps among them.
-    pub fn run_due_events(&mut self) -> Vec<ScenarioStep> {
+    pub fn handle_expired_timers(&mut self) -> Vec<ScenarioStep> {
         let mut steps = Vec::new();
         while let Some(deadline) = self.timers.next_deadline() {
             let now = self.now();
@@ -175,7 +175,7 @@
                 incarnation,
             } => self.finish_work(connection, endpoint, incarnation),
             TimerEvent::Datagram(id) => self.relays.send_delayed(id),
-            TimerEvent::GatewaysNoticed => {
+            TimerEvent::ClientTargetsUpdated => {
                 for gateway in &mut self.gateways {
                     gateway.accepts_clients = gateway.is_alive;
                 }
--- a/crates/fault-injection/src/sites/configuration.rs
+++ b/crates/fault-injection/src/sites/configuration.rs
@@ -106,7 +106,7 @@
         _ => format!("s-{index}-{renames}"),
     };
     let up_since_ms = endpoint
-        .slow_start_began
+        .slow_start_since
         .map_or(0, |at| at.0 / MICROSECONDS_PER_MILLISECOND);
     json!({"id": id, "host_port": endpoint.address, "locality": SITE_NAMES[endpoint.site], "flavor": "m",
         "cell": 0, "phase": lifecycle, "size": 1.0, "up_since_ms": up_since_ms,
--- a/crates/fault-injection/src/sites/run.rs
+++ b/crates/fault-injection/src/sites/run.rs
@@ -111,7 +111,7 @@
         let deadline = simulation.timers.next_deadline();
         let wait = deadline.map(|at| simulation.io.clock.duration_until(at));
         event_loop.dispatch(wait, simulation)?;
-        for step in simulation.run_due_events() {
+        for step in simulation.handle_expired_timers() {
             has_ended |= harness.execute_step(simulation, step)? == Progress::Ended;
         }
         progress(simulation.now());
--- a/crates/fault-injection/src/sites/steps.rs
+++ b/crates/fault-injection/src/sites/steps.rs
@@ -76,7 +76,9 @@
             self.kill(simulation, gateway);
         }
         let noticed = now + KILL_NOTICED_DELAY;
-        simulation.timers.set(noticed, TimerEvent::GatewaysNoticed);
+        simulation
+            .timers
+            .set(noticed, TimerEvent::ClientTargetsUpdated);
     }
 
     fn restore_site(&mut self, simulation: &mut Simulation, site: usize) -> Result<(), SitesError> {
@@ -91,7 +93,9 @@
             }
         }
         let noticed = now + START_NOTICED_DELAY;
-        simulation.timers.set(noticed, TimerEvent::GatewaysNoticed);
+        simulation
+            .timers
+            .set(noticed, TimerEvent::ClientTargetsUpdated);
         Ok(())
     }
 
--- a/crates/gateway/src/cli/keys.rs
+++ b/crates/gateway/src/cli/keys.rs
@@ -8,8 +8,8 @@
 
 use harrierdock_site_messages::GatewayName;
 use harrierdock_site_transport::{
-    create_authority, describe_certificates, issue_certificate, AuthorityError, CertificateError,
-    CertificatePair, Validity,
+    create_authority, describe_certificates, issue_certificate, AuthorityError, CertificateAndKey,
+    CertificateError, Validity,
 };
 use thiserror::Error;
 
@@ -79,7 +79,7 @@
 fn write_pair(
     folder: &Path,
     name: &str,
-    pair: &CertificatePair,
+    pair: &CertificateAndKey,
 ) -> Result<Vec<PathBuf>, KeysError> {
     let certificate_path = folder.join(format!("{name}.{CERTIFICATE_EXTENSION}"));
     let key_path = folder.join(format!("{name}.{KEY_EXTENSION}"));
@@ -123,7 +123,7 @@
     gateways: &[String],
     days: u32,
 ) -> Result<String, KeysError> {
-    let authority = CertificatePair {
+    let authority = CertificateAndKey {
         certificate: read_authority(folder, CERTIFICATE_EXTENSION)?,
         key: read_authority(folder, KEY_EXTENSION)?,
     };
--- a/crates/site-transport/src/authority.rs
+++ b/crates/site-transport/src/authority.rs
@@ -12,7 +12,7 @@
 use crate::AuthorityError;
 
 /// A certificate and its private key, as PEM texts.
-pub struct CertificatePair {
+pub struct CertificateAndKey {
     /// The certificate.
     pub certificate: String,
     /// The private key.
@@ -39,15 +39,18 @@
 ///
 /// # Errors
 /// The key or the certificate cannot be made.
-pub fn create_authority(name: &str, validity: Validity) -> Result<CertificatePair, AuthorityError> {
-    let create = || -> Result<CertificatePair, rcgen::Error> {
+pub fn create_authority(
+    name: &str,
+    validity: Validity,
+) -> Result<CertificateAndKey, AuthorityError> {
+    let create = || -> Result<CertificateAndKey, rcgen::Error> {
         let key = KeyPair::generate()?;
         let mut params = CertificateParams::new(Vec::<String>::new())?;
         params.distinguished_name.push(DnType::CommonName, name);
         params.is_ca = IsCa::Ca(BasicConstraints::Constrained(0));
         params.key_usages = vec![KeyUsagePurpose::KeyCertSign, KeyUsagePurpose::CrlSign];
         validity.apply(&mut params);
-        Ok(CertificatePair {
+        Ok(CertificateAndKey {
             certificate: params.self_signed(&key)?.pem(),
             key: key.serialize_pem(),
         })
@@ -60,16 +63,16 @@
 /// # Errors
 /// The gateway's name cannot stand in a certificate, or the authority cannot sign.
 pub fn issue_certificate(
-    authority: &CertificatePair,
+    authority: &CertificateAndKey,
     gateway: &GatewayName,
     validity: Validity,
-) -> Result<CertificatePair, AuthorityError> {
+) -> Result<CertificateAndKey, AuthorityError> {
     check_label(&gateway.site)?;
     check_label(&gateway.gateway)?;
     let signing_key = KeyPair::from_pem(&authority.key).map_err(AuthorityError::Key)?;
     let issuer = Issuer::from_ca_cert_pem(&authority.certificate, signing_key)
         .map_err(AuthorityError::Certificate)?;
-    let issue = || -> Result<CertificatePair, rcgen::Error> {
+    let issue = || -> Result<CertificateAndKey, rcgen::Error> {
         let key = KeyPair::generate()?;
         let mut params = CertificateParams::new(vec![dns_name(gateway)])?;
         params
@@ -82,7 +85,7 @@
         ];
         params.use_authority_key_identifier_extension = true;
         validity.apply(&mut params);
-        Ok(CertificatePair {
+        Ok(CertificateAndKey {
             certificate: params.signed_by(&key, &issuer)?.pem(),
             key: key.serialize_pem(),
         })
--- a/crates/site-transport/src/lib.rs
+++ b/crates/site-transport/src/lib.rs
@@ -16,7 +16,7 @@
 mod tls;
 mod transport;
 
-pub use authority::{create_authority, issue_certificate, CertificatePair, Validity};
+pub use authority::{create_authority, issue_certificate, CertificateAndKey, Validity};
 pub use certificate::{check_label, describe_certificates};
 pub use credentials::Credentials;
 pub use error::{
