--- a/crates/site-transport/src/authority.rs
+++ b/crates/site-transport/src/authority.rs
@@ -1,4 +1,4 @@
-//! A small private certificate authority.
+//! A private certificate authority: creates its root certificate and issues gateway certificates.
 
 use std::time::SystemTime;
 
@@ -11,20 +11,20 @@
 use crate::certificate::{check_label, dns_name};
 use crate::AuthorityError;
 
-/// A certificate and its private key, as PEM texts.
+/// A certificate and its private key, both PEM-encoded.
 pub struct CertificateAndKey {
-    /// The certificate.
+    /// The certificate, PEM-encoded.
     pub certificate: String,
-    /// The private key.
+    /// The private key, PEM-encoded.
     pub key: String,
 }
 
-/// The time in which a certificate is valid.
+/// The validity period of a certificate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Validity {
-    /// Its begin.
+    /// Start of the period (`notBefore`).
     pub from: SystemTime,
-    /// Its end.
+    /// End of the period (`notAfter`).
     pub until: SystemTime,
 }
 
@@ -35,10 +35,10 @@
     }
 }
 
-/// Creates an authority: a self-signed certificate that may sign others.
+/// Creates an authority: a self-signed certificate that may sign gateway certificates, but no further authorities.
 ///
 /// # Errors
-/// The key or the certificate cannot be made.
+/// The key or the certificate cannot be generated.
 pub fn create_authority(
     name: &str,
     validity: Validity,
@@ -61,7 +61,7 @@
 /// Issues a gateway's certificate, signed by the authority.
 ///
 /// # Errors
-/// The gateway's name cannot stand in a certificate, or the authority cannot sign.
+/// The site or gateway name is not a valid DNS label, or the authority cannot sign.
 pub fn issue_certificate(
     authority: &CertificateAndKey,
     gateway: &GatewayName,
--- a/crates/site-transport/src/certificate.rs
+++ b/crates/site-transport/src/certificate.rs
@@ -1,4 +1,4 @@
-//! Certificates (X.509, RFC 5280). A gateway is named by the one DNS name of its certificate:
+//! Reads certificates (X.509, RFC 5280). A gateway's certificate has exactly one DNS name, which identifies the gateway:
 //! `gateway.site.harrierdock.internal`.
 
 use std::fmt::Write;
@@ -12,16 +12,16 @@
 
 use crate::{CertificateError, LabelError};
 
-/// What follows the names of a gateway and its site in a certificate.
+/// Domain of the DNS names in gateway certificates.
 const DOMAIN_SUFFIX: &str = ".harrierdock.internal";
-/// The longest label of a DNS name (RFC 1035, 2.3.4).
+/// Maximum length of a DNS label in octets (RFC 1035, 2.3.4).
 pub(crate) const MAX_LABEL_LENGTH: usize = 63;
 const SECONDS_PER_DAY: i64 = 86_400;
 
-/// Checks that a name can be a label of a DNS name: small letters, digits and inner hyphens.
+/// Checks that a name is a valid DNS label: lowercase letters, digits and inner hyphens.
 ///
 /// # Errors
-/// It cannot.
+/// The name is empty, too long, or contains other characters.
 pub fn check_label(name: &str) -> Result<(), LabelError> {
     let is_allowed = |b: u8| b.is_ascii_lowercase() || b.is_ascii_digit() || b == b'-';
     let is_label = !name.is_empty()
@@ -36,12 +36,12 @@
     }
 }
 
-/// The DNS name by which a certificate names a gateway.
+/// The DNS name of a gateway in its certificate.
 pub(crate) fn dns_name(gateway: &GatewayName) -> String {
     format!("{}.{}{DOMAIN_SUFFIX}", gateway.gateway, gateway.site)
 }
 
-/// The certificates of a PEM text (RFC 7468), at least one.
+/// Reads all certificates of a PEM text (RFC 7468). A text without certificates is an error.
 pub(crate) fn read_certificates(
     pem: &[u8],
 ) -> Result<Vec<CertificateDer<'static>>, CertificateError> {
@@ -59,7 +59,7 @@
     Ok(parsed)
 }
 
-/// The gateway that a certificate names.
+/// Returns the gateway that a certificate identifies.
 pub(crate) fn gateway_name(certificate: &CertificateDer) -> Result<GatewayName, CertificateError> {
     let parsed = parse(certificate)?;
     let extension = parsed
@@ -90,10 +90,10 @@
     })
 }
 
-/// Describes the certificates of a PEM text for operators, a line for each property, with their validity at this time.
+/// Describes each certificate of a PEM text for operators: one line per property, including whether it is valid at `now`.
 ///
 /// # Errors
-/// A certificate cannot be read.
+/// The text contains no certificate, or one that cannot be parsed.
 pub fn describe_certificates(pem: &[u8], now: SystemTime) -> Result<String, CertificateError> {
     let unix_seconds = now
         .duration_since(SystemTime::UNIX_EPOCH)
--- a/crates/site-transport/src/connection.rs
+++ b/crates/site-transport/src/connection.rs
@@ -1,4 +1,4 @@
-//! One QUIC connection: from its handshake to its end, with the datagrams on it.
+//! One QUIC connection: its handshake, peer authentication, datagrams and close.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -17,17 +17,19 @@
 use crate::transport::OutgoingDatagrams;
 use crate::{CloseCause, HandshakeError, TransportEvent};
 
-/// The error codes with which this program closes connections.
+/// Application error codes (QUIC) with which gateways close connections.
 const CLOSE_ORDERLY: u32 = 0;
 const CLOSE_REFUSED: u32 = 1;
-/// The TLS alerts (RFC 8446, section 6) by which an end refuses a certificate: bad_certificate to certificate_unknown,
-/// unknown_ca, access_denied, decrypt_error for a wrong signature, certificate_required.
+/// TLS alerts (RFC 8446, section 6) that reject a certificate: bad_certificate to certificate_unknown, unknown_ca,
+/// access_denied, decrypt_error (wrong signature), certificate_required.
 const CERTIFICATE_ALERTS: [u8; 9] = [42, 43, 44, 45, 46, 48, 49, 51, 116];
 
+/// The QUIC connection of one path.
 pub(crate) struct PathConnection {
     pub(crate) path: PathId,
     connection: Connection,
-    /// The gateway that this end has connected to, or that has shown its certificate.
+    /// The gateway that this end connects to, or that has authenticated. `None` for an inbound connection in its handshake, and
+    /// after the connection was refused or lost.
     peer: Option<GatewayName>,
     pub(crate) is_open: bool,
     streams: MessageStreams,
@@ -66,28 +68,28 @@
             .close(now, VarInt::from_u32(CLOSE_ORDERLY), reason);
     }
 
-    /// Whether a message fits a datagram.
+    /// Whether a message of this length in bytes fits into a datagram.
     pub(crate) fn fits_datagram(&mut self, length: usize) -> bool {
         let max_size = self.connection.datagrams().max_size();
-        max_size.is_some_and(|most| length <= most)
+        max_size.is_some_and(|max_length| length <= max_length)
     }
 
-    /// Sends a datagram. False if it cannot be.
+    /// Queues a datagram for sending. Returns false if the peer does not accept datagrams or it is too large.
     pub(crate) fn send_datagram(&mut self, bytes: Vec<u8>) -> bool {
         self.connection.datagrams().send(bytes.into(), true).is_ok()
     }
 
-    /// Queues a message for a stream. False if too much waits already.
+    /// Queues a message for a stream. Returns false if the send buffer is full.
     pub(crate) fn queue_message(&mut self, bytes: Vec<u8>) -> bool {
         self.streams.queue(bytes)
     }
 
-    /// Writes waiting messages, as far as the other end takes them. True if any was written.
+    /// Writes queued messages as far as flow control permits. Returns true if there was progress.
     pub(crate) fn write_messages(&mut self) -> bool {
         self.streams.write(&mut self.connection)
     }
 
-    /// Collects the datagrams that the connection has for the socket, as far as the queue takes them. True if there was any.
+    /// Moves outgoing datagrams into the socket queue until it is full. Returns true if there were any.
     pub(crate) fn collect_datagrams(&mut self, now: Instant, out: &mut OutgoingDatagrams) -> bool {
         let mut progressed = false;
         let mut buffer = Vec::new();
@@ -102,7 +104,7 @@
         progressed
     }
 
-    /// Passes on what the connection has for its endpoint, and the answers. True if there was any.
+    /// Passes the connection's events to its QUIC endpoint, and the responses back. Returns true if there were any.
     pub(crate) fn exchange_endpoint_events(
         &mut self,
         handle: ConnectionHandle,
@@ -110,15 +112,15 @@
     ) -> bool {
         let mut progressed = false;
         while let Some(event) = self.connection.poll_endpoint_events() {
-            if let Some(answer) = endpoint.handle_event(handle, event) {
-                self.connection.handle_event(answer);
+            if let Some(response) = endpoint.handle_event(handle, event) {
+                self.connection.handle_event(response);
             }
             progressed = true;
         }
         progressed
     }
 
-    /// Handles what has happened on the connection. True if anything has.
+    /// Handles the connection's pending events and reports them to the caller. Returns true if there were any.
     pub(crate) fn process_events(
         &mut self,
         now: Instant,
@@ -130,18 +132,18 @@
             progressed = true;
             match event {
                 Event::Connected => match self.authenticate(other_site) {
-                    Ok(peer) => self.open(peer, events),
+                    Ok(peer) => self.report_opened(peer, events),
                     Err(error) => self.refuse(now, &error, events),
                 },
-                Event::ConnectionLost { reason } => self.lose(&reason, events),
+                Event::ConnectionLost { reason } => self.report_lost(&reason, events),
                 Event::Stream(event) => {
                     for bytes in self.streams.handle_event(&mut self.connection, event) {
-                        events.push_back(self.message(bytes));
+                        events.push_back(self.message_event(bytes));
                     }
                 }
                 Event::DatagramReceived => {
                     while let Some(bytes) = self.connection.datagrams().recv() {
-                        events.push_back(self.message(bytes.into()));
+                        events.push_back(self.message_event(bytes.into()));
                     }
                 }
                 Event::HandshakeDataReady | Event::DatagramsUnblocked => {}
@@ -150,7 +152,7 @@
         progressed
     }
 
-    /// The gateway that the other end's certificate names. Its signature was verified in the handshake.
+    /// Returns the gateway that the peer's certificate identifies. The handshake has verified the certificate's signature.
     fn authenticate(&self, other_site: &str) -> Result<GatewayName, HandshakeError> {
         let identity = self.connection.crypto_session().peer_identity();
         let chain = identity.and_then(|any| any.downcast::<Vec<CertificateDer<'static>>>().ok());
@@ -166,7 +168,7 @@
         Ok(gateway)
     }
 
-    fn open(&mut self, peer: GatewayName, events: &mut VecDeque<TransportEvent>) {
+    fn report_opened(&mut self, peer: GatewayName, events: &mut VecDeque<TransportEvent>) {
         self.is_open = true;
         self.peer = Some(peer.clone());
         events.push_back(TransportEvent::Opened {
@@ -175,7 +177,7 @@
         });
     }
 
-    /// Tells the other end why it is turned away, and closes the connection.
+    /// Closes the connection because the peer is not accepted, and sends it the reason.
     fn refuse(
         &mut self,
         now: Instant,
@@ -189,13 +191,13 @@
             Bytes::from(reason.clone().into_bytes()),
         );
         events.push_back(TransportEvent::Refused {
-            remote: self.remote(),
+            remote: self.remote_address(),
             reason,
         });
         self.peer = None;
     }
 
-    fn lose(&mut self, reason: &ConnectionError, events: &mut VecDeque<TransportEvent>) {
+    fn report_lost(&mut self, reason: &ConnectionError, events: &mut VecDeque<TransportEvent>) {
         let was_open = std::mem::take(&mut self.is_open);
         let peer = self.peer.take();
         let cause = close_cause(reason);
@@ -209,14 +211,14 @@
             }
         } else {
             TransportEvent::Refused {
-                remote: self.remote(),
+                remote: self.remote_address(),
                 reason,
             }
         });
     }
 
-    /// What to report once nothing is left of the connection, if its end was not reported before: this end has closed it.
-    pub(crate) fn closed_here(&mut self) -> Option<TransportEvent> {
+    /// Returns the event for a drained connection that this end closed; `None` if its close was already reported.
+    pub(crate) fn take_local_close_event(&mut self) -> Option<TransportEvent> {
         if !self.is_open && self.peer.is_none() {
             return None;
         }
@@ -224,25 +226,25 @@
             path: self.path,
             peer: self.peer.take(),
             cause: CloseCause::Orderly,
-            reason: "closed here".into(),
+            reason: "closed locally".into(),
         })
     }
 
-    fn message(&self, bytes: Vec<u8>) -> TransportEvent {
+    fn message_event(&self, bytes: Vec<u8>) -> TransportEvent {
         TransportEvent::Message {
             path: self.path,
             bytes,
         }
     }
 
-    fn remote(&self) -> SocketAddr {
+    fn remote_address(&self) -> SocketAddr {
         self.connection.remote_address()
     }
 }
 
-/// What closed a connection, by the codes that both ends know.
+/// Classifies a connection error by its error code.
 fn close_cause(error: &ConnectionError) -> CloseCause {
-    let refuses_certificate = |code: TransportErrorCode| {
+    let is_certificate_alert = |code: TransportErrorCode| {
         let mut alerts = CERTIFICATE_ALERTS.into_iter();
         alerts.any(|alert| code == TransportErrorCode::crypto(alert))
     };
@@ -257,10 +259,10 @@
         {
             CloseCause::CredentialsRefused
         }
-        ConnectionError::TransportError(error) if refuses_certificate(error.code) => {
+        ConnectionError::TransportError(error) if is_certificate_alert(error.code) => {
             CloseCause::CredentialsRefused
         }
-        ConnectionError::ConnectionClosed(close) if refuses_certificate(close.error_code) => {
+        ConnectionError::ConnectionClosed(close) if is_certificate_alert(close.error_code) => {
             CloseCause::CredentialsRefused
         }
         _ => CloseCause::Lost,
--- a/crates/site-transport/src/credentials.rs
+++ b/crates/site-transport/src/credentials.rs
@@ -1,4 +1,4 @@
-//! The credentials of one gateway.
+//! The certificates and private key that a gateway uses for connections to the other site.
 
 use harrierdock_site_messages::GatewayName;
 use rustls_pki_types::pem::PemObject;
@@ -7,23 +7,23 @@
 use crate::certificate::{gateway_name, read_certificates};
 use crate::CredentialsError;
 
-/// What a gateway shows, and whom it trusts.
+/// A gateway's own certificate chain and key, and the authority that it trusts.
 pub struct Credentials {
-    /// The certificates of the authority, whose signatures are trusted.
+    /// The certificates of the trusted authority.
     pub authority: Vec<CertificateDer<'static>>,
-    /// The gateway's certificate, and those that lead from it to the authority.
+    /// The gateway's certificate, followed by any intermediate certificates up to the authority.
     pub chain: Vec<CertificateDer<'static>>,
     /// The gateway's private key.
     pub key: PrivateKeyDer<'static>,
-    /// The gateway that the certificate names.
+    /// The gateway that the certificate identifies.
     pub gateway: GatewayName,
 }
 
 impl Credentials {
-    /// Reads three PEM texts (RFC 7468): the authority's certificate, the gateway's certificate, and the gateway's key.
+    /// Parses three PEM texts (RFC 7468): the authority's certificate, the gateway's certificate and the gateway's key.
     ///
     /// # Errors
-    /// One of the three cannot be read, or the certificate names no gateway.
+    /// One of the three cannot be parsed, or the certificate does not identify a gateway.
     pub fn read(
         authority: &[u8],
         certificate: &[u8],
--- a/crates/site-transport/src/error.rs
+++ b/crates/site-transport/src/error.rs
@@ -1,4 +1,4 @@
-//! What is refused, and why. Messages are parts of one line that names the setting or the file before them.
+//! Errors of the transport and its credentials. The caller prefixes each message with the setting or file it concerns.
 
 use harrierdock_site_messages::GatewayName;
 use quinn_proto::crypto::rustls::NoInitialCipherSuite;
@@ -11,123 +11,123 @@
 use crate::certificate::MAX_LABEL_LENGTH;
 use crate::transport::MAX_CONNECTIONS;
 
-/// A name that cannot be a label of a DNS name.
+/// A site or gateway name that is not a valid DNS label.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-#[error("'{name}' is no name: 1 to {MAX_LABEL_LENGTH} small letters, digits and inner hyphens")]
+#[error("'{name}' is not a valid name: use 1 to {MAX_LABEL_LENGTH} lowercase letters, digits and inner hyphens")]
 pub struct LabelError {
-    /// The name.
+    /// The invalid name.
     pub name: String,
 }
 
-/// Why a certificate is of no use.
+/// A certificate that is unusable.
 #[derive(Debug, Error)]
 pub enum CertificateError {
-    /// The text is no PEM.
+    /// The text is not valid PEM.
     #[error("{0}")]
     Pem(#[source] pem::Error),
-    /// The PEM text has no certificate.
-    #[error("no certificate in PEM form")]
+    /// The PEM text contains no certificate.
+    #[error("no PEM-encoded certificate found")]
     Missing,
-    /// It is no X.509 certificate.
-    #[error("cannot be read: {0}")]
+    /// The data is not an X.509 certificate.
+    #[error("cannot be parsed: {0}")]
     Malformed(#[source] nom::Err<X509Error>),
-    /// Its alternative names cannot be read.
-    #[error("cannot be read: {0}")]
+    /// The subject alternative names cannot be parsed.
+    #[error("cannot be parsed: {0}")]
     MalformedNames(#[source] X509Error),
-    /// It names no gateway, or several.
-    #[error("names {count} gateways, not one")]
+    /// The certificate does not have exactly one DNS name.
+    #[error("has {count} DNS names, expected one")]
     NotOneName {
-        /// How many DNS names it has.
+        /// Number of DNS names in the certificate.
         count: usize,
     },
-    /// Its DNS name is not that of a gateway.
-    #[error("names '{name}', which is no gateway")]
+    /// The DNS name does not have the form of a gateway's name.
+    #[error("DNS name '{name}' does not identify a gateway")]
     NotAGateway {
-        /// The DNS name.
+        /// The DNS name of the certificate.
         name: String,
     },
-    /// It names a gateway or a site that cannot be.
+    /// The gateway or site part of the DNS name is invalid.
     #[error(transparent)]
     Label(#[from] LabelError),
 }
 
-/// Which of the three PEM texts of a gateway is of no use, and why.
+/// One of a gateway's three PEM texts is unusable.
 #[derive(Debug, Error)]
 pub enum CredentialsError {
-    /// The authority's certificate.
+    /// The authority's certificate is unusable.
     #[error("authority: {0}")]
     Authority(#[source] CertificateError),
-    /// The gateway's certificate.
+    /// The gateway's certificate is unusable.
     #[error("certificate: {0}")]
     Certificate(#[source] CertificateError),
-    /// The gateway's key.
+    /// The gateway's private key cannot be parsed.
     #[error("key: {0}")]
     Key(#[source] pem::Error),
 }
 
-/// Why an authority cannot be created, or cannot issue a certificate.
+/// An authority cannot be created, or cannot issue a certificate.
 #[derive(Debug, Error)]
 pub enum AuthorityError {
-    /// The gateway or its site has a name that no certificate can have.
+    /// The gateway or site name is not a valid DNS label.
     #[error(transparent)]
     Label(#[from] LabelError),
-    /// The authority's key cannot be read.
+    /// The authority's key cannot be parsed.
     #[error("the authority's key: {0}")]
     Key(#[source] rcgen::Error),
-    /// The authority's certificate cannot be read.
+    /// The authority's certificate cannot be parsed.
     #[error("the authority's certificate: {0}")]
     Certificate(#[source] rcgen::Error),
-    /// The certificate or its key cannot be made.
+    /// The certificate or its key cannot be generated.
     #[error("{0}")]
     Generate(#[source] rcgen::Error),
 }
 
-/// Why a transport cannot use its credentials.
+/// The transport cannot be configured with its credentials.
 #[derive(Debug, Error)]
 pub enum SetupError {
-    /// The authority's certificate cannot be trusted.
+    /// The authority's certificate cannot be used as a trust anchor.
     #[error("authority: {0}")]
     Authority(#[source] rustls::Error),
-    /// No verifier can be made of the authority's certificates.
+    /// The client certificate verifier cannot be built from the authority's certificates.
     #[error("authority: {0}")]
     Verifier(#[source] VerifierBuilderError),
-    /// The gateway's certificate and key do not fit together.
+    /// The gateway's certificate and key do not match.
     #[error("certificate and key: {0}")]
     CertificateAndKey(#[source] rustls::Error),
-    /// TLS 1.3 is not provided.
+    /// The crypto provider does not support TLS 1.3.
     #[error("{0}")]
     Protocol(#[source] rustls::Error),
-    /// TLS has no cipher suite that QUIC needs.
+    /// The crypto provider lacks the initial cipher suite that QUIC requires.
     #[error("{0}")]
     CipherSuite(#[source] NoInitialCipherSuite),
 }
 
-/// Why a connection cannot even be tried.
+/// A connection attempt failed before anything was sent.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ConnectError {
-    /// There are as many connections as there may be.
-    #[error("{MAX_CONNECTIONS} connections already")]
+    /// The connection limit is reached.
+    #[error("connection limit of {MAX_CONNECTIONS} reached")]
     TooManyConnections,
-    /// QUIC refuses the address or the name.
+    /// QUIC rejected the address or the server name.
     #[error("{0}")]
     Refused(#[source] quinn_proto::ConnectError),
 }
 
-/// Why the other end of a connection is turned away after its handshake.
+/// The peer's certificate is rejected after a completed handshake.
 #[derive(Debug, Error)]
 pub enum HandshakeError {
-    /// It has shown no certificate.
-    #[error("certificate shows no certificate")]
+    /// The peer presented no certificate.
+    #[error("no certificate presented")]
     NoCertificate,
-    /// Its certificate names no gateway.
+    /// The peer's certificate does not identify a gateway.
     #[error("certificate {0}")]
     Certificate(#[source] CertificateError),
-    /// Its certificate names a gateway of another site.
-    #[error("certificate names {gateway}, no gateway of {other_site}")]
+    /// The peer's certificate identifies a gateway of a site other than the expected one.
+    #[error("certificate is for {gateway}, which is not a gateway of site {other_site}")]
     WrongSite {
-        /// The gateway that it names.
+        /// The gateway that the certificate identifies.
         gateway: GatewayName,
-        /// The site whose gateways are accepted.
+        /// The only site whose gateways are accepted.
         other_site: String,
     },
 }
--- a/crates/site-transport/src/event.rs
+++ b/crates/site-transport/src/event.rs
@@ -1,53 +1,53 @@
-//! What the transport reports.
+//! Events that the transport reports to its caller.
 
 use std::net::SocketAddr;
 
 use harrierdock_site_messages::{GatewayName, PathId};
 
-/// What closed a path, as far as it makes a difference.
+/// Why a path was closed, as far as callers need to distinguish.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseCause {
-    /// One end has announced that it closes the path.
+    /// One end closed the path deliberately.
     Orderly,
-    /// One end did not accept the other one's certificate.
+    /// One end rejected the other end's certificate.
     CredentialsRefused,
-    /// Anything else: silence, a fault in the handshake, a restart.
+    /// Any other cause: idle timeout, failed handshake, restart of the peer.
     Lost,
 }
 
-/// One event, in the order of occurrence.
+/// One event. The transport reports events in the order in which they occur.
 #[derive(Debug, PartialEq)]
 pub enum TransportEvent {
-    /// A path is open: both ends have shown valid certificates.
+    /// A path is open: both ends presented valid certificates.
     Opened {
-        /// The path.
+        /// The path that opened.
         path: PathId,
-        /// The gateway at its other end.
+        /// The gateway at the other end.
         peer: GatewayName,
     },
-    /// A path is closed, or one that was to be opened never was.
+    /// A path was closed, or an attempt to open it failed.
     Closed {
-        /// The path.
+        /// The path that closed or failed to open.
         path: PathId,
-        /// The gateway at its other end.
+        /// The gateway at the other end; `None` once its certificate was rejected.
         peer: Option<GatewayName>,
-        /// What closed it.
+        /// Category of the cause.
         cause: CloseCause,
-        /// Why it is closed.
+        /// Description of the cause, for the log.
         reason: String,
     },
-    /// Somebody was turned away before a path was open.
+    /// A connection was refused before its path opened.
     Refused {
-        /// The address of the other end.
+        /// Address of the other end.
         remote: SocketAddr,
-        /// Why.
+        /// Description of the cause, for the log.
         reason: String,
     },
     /// A message was received.
     Message {
-        /// The path it came on.
+        /// The path on which the message arrived.
         path: PathId,
-        /// The message.
+        /// The whole message, still encoded.
         bytes: Vec<u8>,
     },
 }
--- a/crates/site-transport/src/lib.rs
+++ b/crates/site-transport/src/lib.rs
@@ -1,8 +1,8 @@
-//! The encrypted transport between gateways of two sites: mutual TLS 1.3 (RFC 8446) in QUIC (RFC 9000 and 9001, datagrams by
-//! RFC 9221) as a state machine.
+//! Encrypted transport between gateways of two sites: mutual TLS 1.3 (RFC 8446) over QUIC (RFC 9000 and 9001, datagrams per
+//! RFC 9221), as a state machine without I/O.
 //!
-//! UDP datagrams and points in time go in; datagrams and [`TransportEvent`]s come out. Nothing here opens a socket or a file, and
-//! nothing knows what a message says.
+//! The caller passes in UDP datagrams and the current time, and takes out datagrams and [`TransportEvent`]s. This crate opens
+//! no sockets or files, and treats messages as opaque bytes.
 
 #![warn(missing_docs, unreachable_pub)]
 
--- a/crates/site-transport/src/streams.rs
+++ b/crates/site-transport/src/streams.rs
@@ -1,4 +1,4 @@
-//! Reliable messages on one connection: each is a QUIC stream of its own, so that none waits for another that was lost.
+//! Reliable messages of one connection. Each message has its own QUIC stream, so that a lost packet delays no other message.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
@@ -9,12 +9,12 @@
     WriteError,
 };
 
-/// The most bytes that wait to be sent on a connection.
+/// Limit of unsent bytes on a connection.
 pub(crate) const MAX_UNSENT_BYTES: usize = 4 << 20;
-/// The error code with which a stream without a message is stopped.
-const STOP_NO_MESSAGE: u32 = 2;
+/// Application error code for stopping a stream whose message is empty, too long or reset.
+const STOP_INVALID_MESSAGE: u32 = 2;
 
-/// A message on its stream.
+/// A message that is being written to its stream.
 struct OutgoingMessage {
     bytes: Bytes,
     sent_bytes: usize,
@@ -26,20 +26,21 @@
     }
 }
 
-/// The messages that are being sent and received on one connection.
+/// The messages of one connection that are not completely sent or received yet.
 #[derive(Default)]
 pub(crate) struct MessageStreams {
+    /// Partially received messages.
     receiving: HashMap<StreamId, Vec<u8>>,
-    /// Messages whose streams take no more bytes for now.
+    /// Messages whose streams are open but blocked by flow control.
     sending: BTreeMap<StreamId, OutgoingMessage>,
-    /// Messages that wait for a stream.
+    /// Messages that wait for the stream limit to let another stream open.
     queued: VecDeque<Bytes>,
-    /// The bytes of both that were not sent.
+    /// Unsent bytes of `sending` and `queued` together.
     unsent_bytes: usize,
 }
 
 impl MessageStreams {
-    /// Queues a message. False if too much waits already: the other end may take in nothing.
+    /// Queues a message. Returns false if [`MAX_UNSENT_BYTES`] would be exceeded, as when the peer stops reading.
     pub(crate) fn queue(&mut self, bytes: Vec<u8>) -> bool {
         if self.unsent_bytes + bytes.len() > MAX_UNSENT_BYTES {
             return false;
@@ -49,7 +50,7 @@
         true
     }
 
-    /// Writes waiting messages, as far as the other end takes them. True if any was written.
+    /// Writes queued messages as far as flow control permits. Returns true if there was progress.
     pub(crate) fn write(&mut self, connection: &mut Connection) -> bool {
         self.open_streams(connection);
         let mut progressed = false;
@@ -99,7 +100,7 @@
         }
     }
 
-    /// Handles what has happened on a stream, and returns the messages that are complete.
+    /// Handles a stream event, and returns the messages that it completed.
     pub(crate) fn handle_event(
         &mut self,
         connection: &mut Connection,
@@ -110,10 +111,10 @@
             StreamEvent::Opened { dir: Dir::Uni } => {
                 while let Some(id) = connection.streams().accept(Dir::Uni) {
                     self.receiving.insert(id, Vec::new());
-                    received.extend(self.read(connection, id));
+                    received.extend(self.read_stream(connection, id));
                 }
             }
-            StreamEvent::Readable { id } => received.extend(self.read(connection, id)),
+            StreamEvent::Readable { id } => received.extend(self.read_stream(connection, id)),
             StreamEvent::Stopped { id, .. } => {
                 if let Some(message) = self.sending.remove(&id) {
                     self.unsent_bytes -= message.unsent_bytes();
@@ -127,36 +128,37 @@
         received
     }
 
-    /// Reads what has come on a stream, and returns the message if it is complete.
-    fn read(&mut self, connection: &mut Connection, id: StreamId) -> Option<Vec<u8>> {
+    /// Reads the available bytes of a stream, and returns its message if that is complete.
+    fn read_stream(&mut self, connection: &mut Connection, id: StreamId) -> Option<Vec<u8>> {
         let message = self.receiving.get_mut(&id)?;
         let mut stream = connection.recv_stream(id);
-        let is_over = match stream.read(true) {
+        let has_ended = match stream.read(true) {
             Ok(mut chunks) => {
-                let is_over = read_chunks(&mut chunks, message);
-                // The connection is asked for datagrams after every event in any case.
+                let has_ended = read_available(&mut chunks, message);
+                // The result only reports whether to transmit; the caller polls for datagrams after every event anyway.
                 let _ = chunks.finalize();
-                is_over
+                has_ended
             }
             Err(ReadableError::ClosedStream | ReadableError::IllegalOrderedRead) => true,
         };
-        if !is_over {
+        if !has_ended {
             return None;
         }
         let message = self.receiving.remove(&id)?;
         if message.is_empty() {
-            // The stream may be gone already.
+            // Fails harmlessly if the stream is already closed.
             let _ = connection
                 .recv_stream(id)
-                .stop(VarInt::from_u32(STOP_NO_MESSAGE));
+                .stop(VarInt::from_u32(STOP_INVALID_MESSAGE));
             return None;
         }
         Some(message)
     }
 }
 
-/// Reads what has come of a message. True if nothing more comes; a message that is too long, or was reset, is then empty.
-fn read_chunks(chunks: &mut Chunks, message: &mut Vec<u8>) -> bool {
+/// Appends the available bytes to a message. Returns true if the stream has ended; a message that is too long or was reset is
+/// then empty.
+fn read_available(chunks: &mut Chunks, message: &mut Vec<u8>) -> bool {
     loop {
         match chunks.next(MAX_MESSAGE_BYTES) {
             Ok(Some(chunk)) if message.len() + chunk.bytes.len() <= MAX_MESSAGE_BYTES => {
--- a/crates/site-transport/src/tls.rs
+++ b/crates/site-transport/src/tls.rs
@@ -1,4 +1,4 @@
-//! The configuration of QUIC and TLS at both ends of a connection.
+//! QUIC and TLS configuration of accepting and connecting endpoints.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,23 +13,23 @@
 use crate::streams::MAX_UNSENT_BYTES;
 use crate::{Credentials, SetupError};
 
-/// The application protocol that both ends speak (ALPN, RFC 7301).
+/// Application protocol identifier (ALPN, RFC 7301).
 const APPLICATION_PROTOCOL: &[u8] = b"harrierdock/1";
-/// A connection on which nothing is received for this long is closed.
+/// A connection is closed after receiving nothing for this long.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(3);
-/// The round trip that is assumed until one is measured: that between regions.
+/// Round-trip time assumed until the first measurement; typical between regions.
 const INITIAL_ROUND_TRIP: Duration = Duration::from_millis(100);
-/// Messages in flight at once on a connection, each on a stream of its own.
+/// Limit of concurrent streams on a connection; each message uses its own stream.
 const MAX_STREAMS: u32 = 512;
 
-/// The configuration of the accepting and of the connecting end.
+/// QUIC configuration for accepted connections (`server`) and for opened ones (`client`).
 pub(crate) struct EndpointConfigs {
     pub(crate) server: ServerConfig,
     pub(crate) client: ClientConfig,
 }
 
 impl EndpointConfigs {
-    /// Both ends show the gateway's certificate and trust the authority alone.
+    /// Both configurations present the gateway's certificate and trust only the given authority.
     pub(crate) fn new(credentials: &Credentials) -> Result<EndpointConfigs, SetupError> {
         let mut roots = RootCertStore::empty();
         for certificate in &credentials.authority {
@@ -43,9 +43,9 @@
         let server = QuicServerConfig::try_from(server).map_err(SetupError::CipherSuite)?;
         let client = QuicClientConfig::try_from(client).map_err(SetupError::CipherSuite)?;
         let mut server = ServerConfig::with_crypto(Arc::new(server));
-        server.transport_config(transport());
+        server.transport_config(transport_config());
         let mut client = ClientConfig::new(Arc::new(client));
-        client.transport_config(transport());
+        client.transport_config(transport_config());
         Ok(EndpointConfigs { server, client })
     }
 }
@@ -81,20 +81,20 @@
         .with_client_auth_cert(credentials.chain.clone(), credentials.key.clone_key())
         .map_err(SetupError::CertificateAndKey)?;
     client.alpn_protocols = vec![APPLICATION_PROTOCOL.to_vec()];
-    // A resumed session would outlive the certificate that it began with.
+    // A resumed session could outlive the certificate that established it.
     client.resumption = rustls::client::Resumption::disabled();
     Ok(client)
 }
 
-fn transport() -> Arc<TransportConfig> {
+fn transport_config() -> Arc<TransportConfig> {
     let mut transport = TransportConfig::default();
     transport.max_idle_timeout(IdleTimeout::try_from(IDLE_TIMEOUT).ok());
     transport.initial_rtt(INITIAL_ROUND_TRIP);
     transport.max_concurrent_uni_streams(MAX_STREAMS.into());
     transport.max_concurrent_bidi_streams(0_u8.into());
-    // Congestion control by the rate that arrives, not by loss: it still carries messages where a third of all datagrams is lost.
+    // BBR reacts to the delivery rate, not to loss: messages still get through when a third of all datagrams is lost.
     transport.congestion_controller_factory(Arc::new(BbrConfig::default()));
-    // What is not read is not received: neither one message without end nor many can fill the memory.
+    // Flow control bounds the buffered data, so neither an endless message nor many messages can exhaust memory.
     transport.stream_receive_window((MAX_MESSAGE_BYTES as u32 + 1).into());
     transport.receive_window((MAX_UNSENT_BYTES as u32).into());
     Arc::new(transport)
--- a/crates/site-transport/src/transport.rs
+++ b/crates/site-transport/src/transport.rs
@@ -1,4 +1,4 @@
-//! One gateway's end of all its connections: a QUIC endpoint, and the path number of each connection.
+//! A gateway's side of all its connections to the other site: one QUIC endpoint, with a path id for each connection.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -16,21 +16,21 @@
 use crate::tls::EndpointConfigs;
 use crate::{ConnectError, Credentials, SetupError, TransportEvent};
 
-/// The most connections, including those that are not open yet.
+/// Limit of connections, including those still in their handshake.
 pub(crate) const MAX_CONNECTIONS: usize = 64;
-/// The most datagrams that wait for the socket; the rest stays with its connection.
+/// Limit of datagrams queued for the socket. Beyond it, data stays queued in the connections.
 const MAX_OUTGOING_DATAGRAMS: usize = 1024;
 
-/// How a message is sent.
+/// Delivery guarantee of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Delivery {
-    /// It arrives, or its path is closed.
+    /// The message arrives unless its path closes.
     Reliable,
-    /// It may be lost. It is sent as a datagram if it fits one.
+    /// The message may be lost. It is sent as a datagram if it fits into one, else on a stream.
     BestEffort,
 }
 
-/// Datagrams for the socket.
+/// Queue of datagrams for the socket, with their destinations.
 #[derive(Default)]
 pub(crate) struct OutgoingDatagrams(VecDeque<(SocketAddr, Vec<u8>)>);
 
@@ -39,7 +39,7 @@
         self.0.len() >= MAX_OUTGOING_DATAGRAMS
     }
 
-    /// Adds a datagram; one beyond the bound is lost.
+    /// Queues a datagram, or drops it if the queue is full.
     pub(crate) fn push(&mut self, to: SocketAddr, bytes: &[u8]) {
         if !self.is_full() {
             self.0.push_back((to, bytes.to_vec()));
@@ -47,7 +47,7 @@
     }
 }
 
-/// One gateway's transport to the gateways of the other site.
+/// A gateway's transport to the gateways of the other site.
 pub struct SiteTransport {
     endpoint: Endpoint,
     client_config: ClientConfig,
@@ -60,10 +60,10 @@
 }
 
 impl SiteTransport {
-    /// A transport that shows these credentials, and accepts gateways of the other site alone.
+    /// Creates a transport that presents these credentials and accepts only gateways of the other site.
     ///
     /// # Errors
-    /// The credentials are of no use.
+    /// The credentials are unusable.
     pub fn new(credentials: &Credentials, other_site: &str) -> Result<SiteTransport, SetupError> {
         let configs = EndpointConfigs::new(credentials)?;
         let endpoint_config = Arc::new(EndpointConfig::default());
@@ -80,10 +80,10 @@
         })
     }
 
-    /// Shows other credentials on paths that are opened from now on. Open paths stay.
+    /// Replaces the credentials for new connections. Open paths stay open.
     ///
     /// # Errors
-    /// The credentials are of no use; then nothing changes.
+    /// The credentials are unusable. The previous ones stay in use.
     pub fn replace_credentials(&mut self, credentials: &Credentials) -> Result<(), SetupError> {
         let configs = EndpointConfigs::new(credentials)?;
         self.endpoint
@@ -92,10 +92,10 @@
         Ok(())
     }
 
-    /// Begins to open a path to a gateway; [`TransportEvent::Opened`] or [`TransportEvent::Closed`] follows.
+    /// Starts to open a path to a gateway. [`TransportEvent::Opened`] or [`TransportEvent::Closed`] follows.
     ///
     /// # Errors
-    /// It cannot even be tried.
+    /// The connection limit is reached, or QUIC rejects the address or name.
     pub fn connect(
         &mut self,
         now: Instant,
@@ -110,10 +110,10 @@
             .endpoint
             .connect(now, config, address, &dns_name(peer))
             .map_err(ConnectError::Refused)?;
-        Ok(self.add(now, handle, connection, Some(peer.clone())))
+        Ok(self.add_connection(now, handle, connection, Some(peer.clone())))
     }
 
-    fn add(
+    fn add_connection(
         &mut self,
         now: Instant,
         handle: ConnectionHandle,
@@ -125,11 +125,11 @@
         let connection = PathConnection::new(path, connection, peer);
         self.connections.insert(handle, connection);
         self.handles.insert(path, handle);
-        self.drive(now, handle);
+        self.drive_connection(now, handle);
         path
     }
 
-    /// Closes a path, and tells the other end why.
+    /// Closes a path and sends the reason to the other end.
     pub fn close(&mut self, now: Instant, path: PathId, reason: &str) {
         let Some(handle) = self.handles.get(&path).copied() else {
             return;
@@ -137,10 +137,10 @@
         if let Some(connection) = self.connections.get_mut(&handle) {
             connection.close_orderly(now, reason);
         }
-        self.drive(now, handle);
+        self.drive_connection(now, handle);
     }
 
-    /// Handles a datagram from the socket. One that belongs to no connection, and begins none, is passed over.
+    /// Handles a datagram from the socket. A datagram that neither belongs to a connection nor starts one is ignored.
     pub fn handle_datagram(&mut self, now: Instant, from: SocketAddr, bytes: &[u8]) {
         let mut response = Vec::new();
         let bytes = BytesMut::from(bytes);
@@ -152,7 +152,7 @@
                 if let Some(connection) = self.connections.get_mut(&handle) {
                     connection.handle_event(event);
                 }
-                self.drive(now, handle);
+                self.drive_connection(now, handle);
             }
             Some(DatagramEvent::NewConnection(incoming)) => self.accept(now, incoming),
             Some(DatagramEvent::Response(transmit)) => {
@@ -170,7 +170,7 @@
         } else {
             match self.endpoint.accept(incoming, now, &mut response, None) {
                 Ok((handle, connection)) => {
-                    self.add(now, handle, connection, None);
+                    self.add_connection(now, handle, connection, None);
                     None
                 }
                 Err(error) => error.response,
@@ -182,7 +182,7 @@
         }
     }
 
-    /// Sends a message. False if the path is not open, or if too much waits on it already.
+    /// Sends a message. Returns false if the path is not open, or if it cannot buffer the message.
     pub fn send(&mut self, now: Instant, path: PathId, bytes: Vec<u8>, delivery: Delivery) -> bool {
         let Some(handle) = self.handles.get(&path).copied() else {
             return false;
@@ -198,12 +198,12 @@
             connection.queue_message(bytes)
         };
         if is_sent || as_datagram {
-            self.drive(now, handle);
+            self.drive_connection(now, handle);
         }
         is_sent
     }
 
-    /// When [`SiteTransport::handle_timeout`] is to be called next.
+    /// When [`SiteTransport::handle_timeout`] must be called next; `None` if no timer is set.
     pub fn next_timeout(&mut self) -> Option<Instant> {
         self.connections
             .values_mut()
@@ -211,7 +211,7 @@
             .min()
     }
 
-    /// Handles the timeouts that have passed.
+    /// Handles the timers that have expired.
     pub fn handle_timeout(&mut self, now: Instant) {
         let mut timed_out = Vec::new();
         for (handle, connection) in &mut self.connections {
@@ -223,32 +223,32 @@
             if let Some(connection) = self.connections.get_mut(&handle) {
                 connection.handle_timeout(now);
             }
-            self.drive(now, handle);
+            self.drive_connection(now, handle);
         }
     }
 
-    /// The next datagram for the socket, and where it goes.
+    /// Takes the next datagram for the socket, with its destination.
     pub fn next_datagram(&mut self) -> Option<(SocketAddr, Vec<u8>)> {
         self.outgoing.0.pop_front()
     }
 
-    /// The next event.
+    /// Takes the next event for the caller.
     pub fn next_event(&mut self) -> Option<TransportEvent> {
         self.events.pop_front()
     }
 
-    /// How many connections there are, open or not.
+    /// Number of connections, including those still in their handshake or closing.
     pub fn len(&self) -> usize {
         self.connections.len()
     }
 
-    /// Whether there is no connection.
+    /// Whether there are no connections, open or otherwise.
     pub fn is_empty(&self) -> bool {
         self.connections.is_empty()
     }
 
-    /// Lets a connection do all that it can do now.
-    fn drive(&mut self, now: Instant, handle: ConnectionHandle) {
+    /// Advances a connection until it makes no more progress, and removes it once it is drained.
+    fn drive_connection(&mut self, now: Instant, handle: ConnectionHandle) {
         let mut progressed = true;
         while progressed {
             let Some(connection) = self.connections.get_mut(&handle) else {
@@ -259,14 +259,14 @@
             progressed |= connection.exchange_endpoint_events(handle, &mut self.endpoint);
             progressed |= connection.process_events(now, &self.other_site, &mut self.events);
             if connection.is_drained() {
-                return self.remove(handle);
+                return self.remove_connection(handle);
             }
         }
     }
 
-    fn remove(&mut self, handle: ConnectionHandle) {
+    fn remove_connection(&mut self, handle: ConnectionHandle) {
         if let Some(mut connection) = self.connections.remove(&handle) {
-            self.events.extend(connection.closed_here());
+            self.events.extend(connection.take_local_close_event());
             self.handles.remove(&connection.path);
         }
     }
--- a/crates/site-transport/tests/transport/main.rs
+++ b/crates/site-transport/tests/transport/main.rs
@@ -1,4 +1,4 @@
-//! Two transports on a simulated network, in simulated time.
+//! Tests of two transports on a simulated network, in simulated time.
 
 mod credentials;
 mod delivery;
