--- a/crates/fault-injection/src/core/actions.rs
+++ b/crates/fault-injection/src/core/actions.rs
@@ -1,4 +1,4 @@
-//! Executes the actions that a gateway's decisions ask for.
+//! Executes the actions that a gateway's multi-site decisions return.
 
 use std::net::SocketAddr;
 
@@ -13,14 +13,14 @@
 use super::simulation::{NetworkSimulation, SECOND};
 
 const MICROSECONDS_PER_MILLISECOND: i64 = 1000;
-/// How long a path takes to open, in microseconds.
+/// Range of the time that a path takes to open, in microseconds.
 const SHORTEST_CONNECT_US: i64 = 1_000;
 const LONGEST_CONNECT_US: i64 = 50_000;
-/// How long a gateway takes to learn that its peer is not reached.
+/// Time after which a connection attempt to an unreachable peer fails.
 const CONNECT_TIMEOUT: TimeDelta = SECOND;
 
 impl NetworkSimulation {
-    /// Executes an action of this gateway.
+    /// Executes an action that this gateway returned.
     pub(super) fn execute(&mut self, gateway: usize, action: Action) {
         match action {
             Action::ServeLocally { id, remaining } => self.serve_client(gateway, id, remaining),
@@ -70,7 +70,7 @@
         self.serve(gateway, RequestSource::Client, id, class, remaining);
     }
 
-    /// Sends a request to the other site, completed with what only the simulation knows.
+    /// Sends a request to the other site, after adding the fields that the action does not provide.
     fn forward(
         &mut self,
         gateway: usize,
@@ -155,7 +155,7 @@
         }
     }
 
-    /// Sets a gateway's timer, unless it fires earlier anyway.
+    /// Sets a gateway's timer, unless it already fires at that time or earlier.
     fn set_timer(&mut self, gateway: usize, after: TimeDelta) {
         let now = self.now;
         let deadline = now + after;
--- a/crates/fault-injection/src/core/endpoints.rs
+++ b/crates/fault-injection/src/core/endpoints.rs
@@ -1,4 +1,4 @@
-//! Stands for the local policy and its endpoints: a request is served after a while, or rejected at once before it ran.
+//! Simulates the local policy and its endpoints: a request is either rejected at once without running, or served after a delay.
 
 use harrierdock_multi_site::{Event, InboundId, RequestEnd};
 use harrierdock_site_messages::ForwardingOutcome;
@@ -9,13 +9,14 @@
 
 const REJECTION_PROBABILITY: f64 = 0.05;
 const FAILURE_PROBABILITY: f64 = 0.05;
-/// How many requests wait before they are sent, and how long at the most, in microseconds.
+/// Probability that a request waits before its attempt.
 const WAIT_PROBABILITY: f64 = 0.2;
+/// Upper bound of that wait, in microseconds.
 const LONGEST_WAIT_US: i64 = 1_000_000;
-/// How long an endpoint works, in microseconds.
+/// Range of the time that an endpoint works on a request, in microseconds.
 const SHORTEST_WORK_US: i64 = 5_000;
 const LONGEST_WORK_US: i64 = 300_000;
-/// The latency that the decisions are notified of.
+/// Latency that is reported to the multi-site decisions for each finished attempt.
 const REPORTED_LATENCY: TimeDelta = TimeDelta(100_000);
 const BUILD: BuildId = BuildId(1);
 const RESPONSE_BODY: [u8; 50] = [7; 50];
@@ -29,7 +30,7 @@
 }
 
 impl NetworkSimulation {
-    /// Rejects a request, or starts an attempt within the time that remains.
+    /// Rejects a request, or schedules its attempt before its deadline.
     pub(super) fn serve(
         &mut self,
         gateway: usize,
@@ -85,7 +86,7 @@
         self.deliver(attempt.gateway, ended);
     }
 
-    /// The other site may serve a client's request that was rejected here, but not twice.
+    /// Offers a client's request that was rejected here to the other site, unless it must stay local.
     fn reject_client(&mut self, attempt: Attempt) {
         let request = self.request_mut(attempt.request);
         let stays_local = std::mem::replace(&mut request.stays_local, true);
@@ -100,7 +101,7 @@
         self.deliver(attempt.gateway, rejected);
     }
 
-    /// An endpoint runs a request that is still open, whatever becomes of its answer.
+    /// Runs a request at an endpoint if it is still open. The run counts even if the answer is discarded.
     pub(super) fn start_attempt(&mut self, attempt: Attempt) {
         let gateway = &self.gateways[attempt.gateway];
         let is_open = match attempt.source {
@@ -128,7 +129,7 @@
         self.schedule(work.min(attempt.remaining), finished);
     }
 
-    /// The endpoint has answered, or the time is over.
+    /// Completes an attempt that the endpoint has answered or that has timed out.
     pub(super) fn finish_attempt(&mut self, attempt: Attempt, has_succeeded: bool) {
         match attempt.source {
             RequestSource::OtherSite(inbound) => {
--- a/crates/fault-injection/src/core/event.rs
+++ b/crates/fault-injection/src/core/event.rs
@@ -1,19 +1,19 @@
-//! What happens in simulated time.
+//! The events of the simulation.
 
 use harrierdock_multi_site::{InboundId, PathId};
 use harrierdock_site_messages::{GatewayName, SiteMessage};
 use harrierdock_types::{ClassId, RequestId, TimeDelta};
 
-/// Who sent a request to a gateway.
+/// The sender of a request to a gateway.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum RequestSource {
-    /// A client of its site.
+    /// A client of the gateway's site.
     Client,
     /// A gateway of the other site.
     OtherSite(InboundId),
 }
 
-/// An attempt at an endpoint, for a gateway that may have started anew meanwhile.
+/// An attempt at an endpoint. It is dropped if its gateway has restarted since, with another incarnation.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) struct Attempt {
     pub(super) gateway: usize,
@@ -25,7 +25,7 @@
     pub(super) remaining: TimeDelta,
 }
 
-/// What happens in simulated time. Gateways are given by their numbers.
+/// An event in simulated time. Gateways are identified by their indices.
 pub(super) enum SimulatedEvent {
     RequestArrived {
         gateway: usize,
@@ -61,5 +61,5 @@
     GatewayStarted {
         gateway: usize,
     },
-    FaultDue,
+    FaultTimerFired,
 }
--- a/crates/fault-injection/src/core/event_handling.rs
+++ b/crates/fault-injection/src/core/event_handling.rs
@@ -1,4 +1,4 @@
-//! Moves the simulation on by one event.
+//! Handles one event of the simulation.
 
 use harrierdock_multi_site::{Event, PathId};
 use harrierdock_types::{ClassId, RequestId, TimeDelta};
@@ -9,14 +9,14 @@
 use super::simulation::{NetworkSimulation, SimulatedRequest, SECOND};
 
 const REQUEST_CLASSES: usize = 4;
-/// Between two requests to a gateway, in microseconds.
+/// Range of the interval between two client requests to a gateway, in microseconds.
 const SHORTEST_ARRIVAL_INTERVAL_US: i64 = 5_000;
 const LONGEST_ARRIVAL_INTERVAL_US: i64 = 60_000;
-/// How long after the last fault clients still come.
+/// How long clients continue to send requests after the end of the faults.
 const ARRIVALS_AFTER_FAULTS: TimeDelta = TimeDelta(2 * SECOND.0);
 
 impl NetworkSimulation {
-    /// Handles an event that is due.
+    /// Handles an event whose time has come.
     pub(super) fn handle(&mut self, event: SimulatedEvent) {
         match event {
             SimulatedEvent::RequestArrived { gateway } => self.handle_arrival(gateway),
@@ -58,16 +58,16 @@
                 }
             }
             SimulatedEvent::GatewayStarted { gateway } => self.start_gateway(gateway),
-            SimulatedEvent::FaultDue => self.inject_fault(),
+            SimulatedEvent::FaultTimerFired => self.inject_fault(),
         }
     }
 
-    /// Whether a gateway still runs and was not started anew.
+    /// Whether a gateway runs and has not restarted since it had this incarnation.
     fn is_same_incarnation(&self, gateway: usize, incarnation: u32) -> bool {
         self.is_running(gateway) && self.gateways[gateway].incarnation == incarnation
     }
 
-    /// A client's request comes, if the gateway runs; then the next one is drawn.
+    /// Delivers a client's request if the gateway runs, and schedules the next arrival.
     fn handle_arrival(&mut self, gateway: usize) {
         if self.is_running(gateway) {
             self.receive_request(gateway);
@@ -100,7 +100,7 @@
         self.deliver(gateway, received);
     }
 
-    /// A path opens if both gateways run by now.
+    /// Opens a path if both gateways are running; otherwise the connection attempt fails.
     fn open_path(&mut self, from: usize, to: usize, path: PathId) {
         let opener = self.gateways[from].name.clone();
         let peer = self.gateways[to].name.clone();
--- a/crates/fault-injection/src/core/faults.rs
+++ b/crates/fault-injection/src/core/faults.rs
@@ -1,4 +1,4 @@
-//! Faults drawn by the seed, and the end of all of them.
+//! Injects faults drawn from the seeded random numbers, and removes all of them at the end.
 
 use harrierdock_multi_site::{Event, OperatorCommand, PathId};
 use nanorand::Rng;
@@ -7,20 +7,20 @@
 use super::simulation::{NetworkSimulation, READY_ENDPOINTS};
 
 const LOSS_RATIOS: [f64; 3] = [0.0, 0.1, 0.3];
-/// What is drawn: seven faults, and as often nothing as two of them.
+/// Number of equally likely draws: seven faults, and two draws without a fault.
 const FAULT_DRAWS: u32 = 9;
-/// Between two faults, in microseconds.
+/// Range of the interval between two faults, in microseconds.
 const SHORTEST_FAULT_INTERVAL_US: i64 = 200_000;
 const LONGEST_FAULT_INTERVAL_US: i64 = 1_500_000;
-/// How long a killed gateway is down, in microseconds.
+/// Range of the time for which a killed gateway is down, in microseconds.
 const SHORTEST_DOWNTIME_US: i64 = 100_000;
 const LONGEST_DOWNTIME_US: i64 = 3_000_000;
 
 impl NetworkSimulation {
-    /// Injects a fault and schedules the next; ends all once their time is over.
+    /// Injects a fault and schedules the next one, or removes all faults after `faults_end`.
     pub(super) fn inject_fault(&mut self) {
         if self.now >= self.faults_end {
-            return self.end_faults();
+            return self.remove_faults();
         }
         let site = self.rng.generate_range(0..2_usize);
         let gateway = self.rng.generate_range(0..self.gateways.len());
@@ -39,10 +39,10 @@
             _ => {}
         }
         let interval = self.draw_span(SHORTEST_FAULT_INTERVAL_US, LONGEST_FAULT_INTERVAL_US);
-        self.schedule(interval, SimulatedEvent::FaultDue);
+        self.schedule(interval, SimulatedEvent::FaultTimerFired);
     }
 
-    fn end_faults(&mut self) {
+    fn remove_faults(&mut self) {
         self.loss_ratio = 0.0;
         self.is_cut = [false; 2];
         self.lacks_endpoints = [false; 2];
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Kills a gateway that runs, and closes its paths; it starts again later.
+    /// Kills a running gateway, closes its paths, and schedules its restart.
     fn kill(&mut self, gateway: usize) {
         if !self.is_running(gateway) {
             return;
@@ -74,7 +74,7 @@
         self.schedule(downtime, SimulatedEvent::GatewayStarted { gateway });
     }
 
-    /// A site loses all its endpoints, or has them again.
+    /// Removes all endpoints of a site, or restores them.
     fn toggle_endpoints(&mut self, site: usize) {
         self.lacks_endpoints[site] = !self.lacks_endpoints[site];
         let ready = if self.lacks_endpoints[site] {
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Drains a gateway that runs by hand, or resumes it.
+    /// Drains a running gateway by an operator command, or resumes it.
     fn toggle_drain(&mut self, gateway: usize) {
         if !self.is_running(gateway) {
             return;
--- a/crates/fault-injection/src/core/mod.rs
+++ b/crates/fault-injection/src/core/mod.rs
@@ -1,9 +1,9 @@
-//! Two sites without sockets: the decisions of several gateways on a simulated network, in simulated time. Messages are lost,
-//! repeated and reordered, the path is cut one way or both, gateways are killed and start anew, sites lose their endpoints and
-//! are drained; then the rules are checked on all that happened.
+//! Fault injection of two sites without sockets: the multi-site decisions of several gateways run on a simulated network, in
+//! simulated time. Messages are lost, repeated and reordered; paths are cut in one or both directions. Gateways are killed and
+//! restarted; sites lose their endpoints and are drained. At the end of a run, the rules are checked against its history.
 //!
-//! [`Findings`] is what is reported. `simulation` owns the state, `event_handling` and `actions` move it on, `network`,
-//! `endpoints` and `faults` stand for what surrounds the gateways, and `rules` checks what came of it.
+//! [`Findings`] is the report. `simulation` owns the state. `event_handling` processes simulated events, and `actions` executes
+//! the actions of the gateways. `network`, `endpoints` and `faults` simulate the environment, and `rules` checks the outcome.
 
 mod actions;
 mod endpoints;
@@ -19,7 +19,7 @@
 pub use findings::Findings;
 use simulation::NetworkSimulation;
 
-/// Plays seeds, one after another, and adds up what was found.
+/// Runs one simulation per seed and sums the findings. Calls `progress` with each completed seed.
 pub fn run_seeds(
     first_seed: u64,
     seeds: u64,
--- a/crates/fault-injection/src/core/network.rs
+++ b/crates/fault-injection/src/core/network.rs
@@ -1,4 +1,4 @@
-//! The paths between gateways, and what becomes of the messages on them.
+//! Simulates the paths between gateways, and the loss and delay of their messages.
 
 use harrierdock_multi_site::PathId;
 use harrierdock_site_messages::SiteMessage;
@@ -7,24 +7,24 @@
 use super::event::SimulatedEvent;
 use super::simulation::{site, NetworkSimulation};
 
-/// How late the other end learns of a close, in microseconds.
+/// Range of the delay until the other end notices a close, in microseconds.
 const SHORTEST_CLOSE_US: i64 = 1_000;
 const LONGEST_CLOSE_US: i64 = 3_000_000;
-/// How long a message travels, in microseconds.
+/// Range of the transit time of a message, in microseconds.
 const SHORTEST_TRANSIT_US: i64 = 500;
 const LONGEST_TRANSIT_US: i64 = 5_000;
-/// How long a message that was lost takes to be sent again.
+/// Delay added by each retransmission of a lost message.
 const RETRANSMISSION_DELAY: TimeDelta = TimeDelta(40_000);
-/// How long a message is held back that much of what follows overtakes, in microseconds.
+/// Range of the extra delay of a reordered message, in microseconds; many later messages overtake it.
 const SHORTEST_REORDERING_US: i64 = 100_000;
 const LONGEST_REORDERING_US: i64 = 2_500_000;
-/// A message is repeated at the loss ratio over this.
+/// The probability of a repeated message is the loss ratio divided by this.
 const REPEAT_DIVISOR: f64 = 3.0;
-/// A message is reordered at the loss ratio over this.
+/// The probability of a reordered message is the loss ratio divided by this.
 const REORDERING_DIVISOR: f64 = 10.0;
 
 impl NetworkSimulation {
-    /// A gateway closes a path; the other end learns of it late.
+    /// Closes a path at one gateway. The other end notices after a delay.
     pub(super) fn close_path(&mut self, path: PathId, closed_by: usize, orderly: bool) {
         let Some((opener, peer)) = self.paths.remove(&path) else {
             return;
@@ -39,7 +39,7 @@
         self.schedule(delay, closed);
     }
 
-    /// A gateway sends a message. What is cut is lost; else heartbeats are lost by chance, and other messages come late.
+    /// Sends a message. A cut drops every message; loss drops heartbeats, and delays other messages by retransmissions.
     pub(super) fn send_message(&mut self, from: usize, path: PathId, message: &SiteMessage) {
         let Some((opener, peer)) = self.paths.get(&path).copied() else {
             return;
@@ -63,7 +63,7 @@
         }
     }
 
-    /// How long a message travels: one that is not lost for good is sent again, and now and then overtaken.
+    /// Draws the transit time of a message. All messages but heartbeats may be retransmitted and reordered.
     fn draw_transit(&mut self, is_heartbeat: bool) -> TimeDelta {
         let mut transit = self.draw_span(SHORTEST_TRANSIT_US, LONGEST_TRANSIT_US);
         if is_heartbeat {
--- a/crates/fault-injection/src/core/request_classes.rs
+++ b/crates/fault-injection/src/core/request_classes.rs
@@ -3,15 +3,16 @@
 use harrierdock_multi_site::RequestClass;
 use harrierdock_types::{IdempotencyScope, RetrySafety, TimeDelta};
 
-/// How long an idempotency group remembers a request.
+/// How long an idempotency group remembers the key of a request.
 pub(super) const DEDUPLICATION_WINDOW: TimeDelta = TimeDelta(1_000_000);
-/// The longest time that a client waits.
+/// How long a client waits for an answer.
 pub(super) const REQUEST_TIMEOUT: TimeDelta = TimeDelta(1_500_000);
 const LATENCY_OBJECTIVE: TimeDelta = TimeDelta(400_000);
 const LOW_PRIORITY_WEIGHT: f64 = 1.0;
 const HIGH_PRIORITY_WEIGHT: f64 = 5.0;
 
-/// One class for each kind of retry safety; those with an idempotency key, with and without a group that spans both sites.
+/// One class per kind of retry safety. Of the two with an idempotency key, `payment` deduplicates across both sites and
+/// `ledger` does not.
 pub(super) fn request_classes() -> Vec<RequestClass> {
     let keyed = RetrySafety::IdempotencyKey {
         scope: IdempotencyScope::All,
--- a/crates/fault-injection/src/core/rules.rs
+++ b/crates/fault-injection/src/core/rules.rs
@@ -1,4 +1,4 @@
-//! Checks all that happened against the rules.
+//! Checks the history of a simulation against the rules.
 
 use std::collections::BTreeSet;
 
@@ -13,7 +13,7 @@
 const MINUTE_SECONDS: f64 = 60.0;
 
 impl NetworkSimulation {
-    /// What was found.
+    /// Checks the rules for all requests and gateways, and returns the findings.
     pub(super) fn check_rules(mut self) -> Findings {
         let classes = request_classes();
         let findings = &mut self.findings;
@@ -39,7 +39,7 @@
     }
 }
 
-/// A gateway that lives on owes each request one answer before its deadline.
+/// A gateway that was not restarted must answer each request exactly once, before its deadline.
 fn check_accepted(findings: &mut Findings, request: &SimulatedRequest) {
     let latest = request.deadline + TICK;
     let is_late = request.answers.iter().any(|answer| answer.at > latest);
@@ -49,7 +49,7 @@
     findings.late += u64::from(is_late);
 }
 
-/// How often a request may run depends on its class.
+/// Checks how often a request ran, against the limit of its class.
 fn check_runs(findings: &mut Findings, request: &SimulatedRequest, class: &RequestClass) {
     match class.retry_safety {
         RetrySafety::Idempotent => {}
@@ -63,7 +63,7 @@
     }
 }
 
-/// Whether a request ran where, or when, its key was not remembered.
+/// Whether a request ran again at a site or a time at which its idempotency key was not remembered.
 fn runs_outside_window(request: &SimulatedRequest, class: &RequestClass) -> bool {
     let Some(first) = request.runs.first() else {
         return false;
@@ -74,7 +74,7 @@
     is_at_both_sites || runs.any(|run| run.at - first.at > DEDUPLICATION_WINDOW)
 }
 
-/// An answer has to be the only one, and true.
+/// A request may have only one answer, and the answer must match what ran.
 fn check_answers(findings: &mut Findings, request: &SimulatedRequest, class: &RequestClass) {
     findings.answered_twice += u64::from(request.answers.len() > 1);
     let Some(answer) = request.answers.first() else {
@@ -83,7 +83,7 @@
     let has_run = !request.runs.is_empty();
     let is_succeeded = answer.outcome == ForwardingOutcome::Succeeded;
     findings.succeeded_without_run += u64::from(is_succeeded && !has_run);
-    // Its client may send a rejected request again: unless a repeat is harmless, it must not have run.
+    // The client may send a rejected request again, so it must not have run unless a repeat is harmless.
     let is_repeat_harmless = match class.retry_safety {
         RetrySafety::Idempotent => true,
         RetrySafety::IdempotencyKey { .. } => class.deduplicates_across_sites,
@@ -93,14 +93,14 @@
     findings.rejected_but_ran += u64::from(is_rejected && !is_repeat_harmless && has_run);
 }
 
-/// The largest number of these points in time that lie within a minute.
-fn max_within_a_minute(points: &[Timestamp]) -> u64 {
+/// The largest number of these timestamps that lie within one minute.
+fn max_within_a_minute(timestamps: &[Timestamp]) -> u64 {
     let minute = SECOND * MINUTE_SECONDS;
     let count_from = |first: &Timestamp| {
-        let within = points
+        let within = timestamps
             .iter()
-            .filter(|point| **point >= *first && **point - *first < minute);
+            .filter(|timestamp| **timestamp >= *first && **timestamp - *first < minute);
         within.count() as u64
     };
-    points.iter().map(count_from).max().unwrap_or(0)
+    timestamps.iter().map(count_from).max().unwrap_or(0)
 }
--- a/crates/fault-injection/src/core/simulation.rs
+++ b/crates/fault-injection/src/core/simulation.rs
@@ -1,4 +1,4 @@
-//! The simulated gateways, paths and requests, the queue of events and the random numbers.
+//! The state of a simulation: gateways, paths and requests, the event queue and the random number generator.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,18 +14,18 @@
 
 pub(super) const SECOND: TimeDelta = TimeDelta(1_000_000);
 pub(super) const TICK: TimeDelta = TimeDelta(5_000);
-/// Endpoints of a site, where it has any.
+/// Number of ready endpoints of a site, unless a fault has removed them.
 pub(super) const READY_ENDPOINTS: usize = 4;
-/// How long faults happen, in seconds of simulated time.
+/// How long faults are injected, in seconds of simulated time.
 const FAULT_SECONDS: f64 = 20.0;
-/// How long afterwards all that is open may take to be answered.
+/// Time after the faults within which all open requests must be answered.
 const RECOVERY_SECONDS: f64 = 8.0;
-/// How far the second site's clocks are ahead.
+/// How far the clocks of the second site's gateways are ahead.
 const CLOCK_SKEW_SECONDS: f64 = 30.0;
 const START: Timestamp = Timestamp(1_000_000_000);
 const SITE_NAMES: [&str; 2] = ["hobart", "launceston"];
 const FIRST_PORT: u16 = 9000;
-/// Gateways of the other site that a gateway is configured with.
+/// Number of gateways of the other site that a gateway's configuration lists.
 const CONFIGURED_REMOTE_GATEWAYS: usize = 2;
 const SLOW_START_SECONDS: f64 = 2.0;
 const STORED_RESPONSE_BYTES: usize = 1 << 16;
@@ -34,12 +34,13 @@
 pub(super) struct Gateway {
     pub(super) name: GatewayName,
     pub(super) address: SocketAddr,
-    /// Its decisions; none while it is down.
+    /// Its multi-site decisions; `None` while it is down.
     pub(super) multi_site: Option<MultiSite>,
     pub(super) incarnation: u32,
     pub(super) is_drained: bool,
+    /// When its timer fires, in global simulated time; `None` if no timer is set.
     pub(super) timer_deadline: Option<Timestamp>,
-    /// The open inbound requests.
+    /// The client requests behind its open inbound requests.
     pub(super) inbound: BTreeMap<InboundId, RequestId>,
 }
 
@@ -57,17 +58,17 @@
     pub(super) at: Timestamp,
 }
 
-/// A client's request.
+/// A client's request, with its answers and runs.
 pub(super) struct SimulatedRequest {
     pub(super) gateway: usize,
-    /// The gateway's incarnation that received it.
+    /// The incarnation of the gateway that received it.
     pub(super) incarnation: u32,
     pub(super) class: ClassId,
     pub(super) deadline: Timestamp,
     pub(super) answers: Vec<Answer>,
     pub(super) runs: Vec<Run>,
     pub(super) is_forwarded: bool,
-    /// It was rejected locally, or came back from the other site: it is not forwarded (again).
+    /// Whether it must not be forwarded (again): it was rejected locally, or came back from the other site.
     pub(super) stays_local: bool,
 }
 
@@ -76,29 +77,30 @@
     pub(super) seed: u64,
     pub(super) now: Timestamp,
     pub(super) rng: WyRand,
-    /// Events to come, by their time and the order in which they were scheduled.
+    /// Scheduled events, by time and then by the order of scheduling.
     queue: BTreeMap<(Timestamp, u64), SimulatedEvent>,
     last_number: u64,
     pub(super) gateways: Vec<Gateway>,
-    /// The gateways at both ends of each path: who opened it, and the other.
+    /// The gateways at both ends of each path: the one that opened it, and its peer.
     pub(super) paths: BTreeMap<PathId, (usize, usize)>,
     pub(super) requests: Vec<SimulatedRequest>,
     pub(super) loss_ratio: f64,
-    /// Nothing that the gateways of this site send arrives.
+    /// For each site, whether all messages that its gateways send are dropped.
     pub(super) is_cut: [bool; 2],
+    /// For each site, whether a fault has removed all its endpoints.
     pub(super) lacks_endpoints: [bool; 2],
     pub(super) faults_end: Timestamp,
-    /// When each gateway's traffic moved to the other site.
+    /// For each gateway, the times at which its traffic moved to the other site.
     pub(super) traffic_moves: BTreeMap<usize, Vec<Timestamp>>,
     pub(super) findings: Findings,
 }
 
-/// A gateway's own clock.
+/// Converts global simulated time to a gateway's own clock.
 fn local_time(gateway: usize, at: Timestamp) -> Timestamp {
     at + SECOND * (CLOCK_SKEW_SECONDS * site(gateway) as f64)
 }
 
-/// The site of a gateway.
+/// Index of a gateway's site.
 pub(super) fn site(gateway: usize) -> usize {
     gateway % 2
 }
@@ -121,7 +123,7 @@
 }
 
 impl NetworkSimulation {
-    /// Both sites with all gateways started. All random draws follow from the seed.
+    /// Creates both sites and starts all gateways. The seed determines all random draws.
     pub(super) fn new(seed: u64, gateways_per_site: usize) -> NetworkSimulation {
         let mut simulation = NetworkSimulation {
             seed,
@@ -144,11 +146,11 @@
             let arrival = SimulatedEvent::RequestArrived { gateway };
             simulation.schedule(TimeDelta::ZERO, arrival);
         }
-        simulation.schedule(SECOND, SimulatedEvent::FaultDue);
+        simulation.schedule(SECOND, SimulatedEvent::FaultTimerFired);
         simulation
     }
 
-    /// Plays faults and recovery, and checks the rules.
+    /// Runs the faults and the recovery, and checks the rules.
     pub(super) fn run(mut self) -> Findings {
         let end = self.faults_end + SECOND * RECOVERY_SECONDS;
         while let Some(((at, _), event)) = self.queue.pop_first() {
@@ -161,41 +163,41 @@
         self.check_rules()
     }
 
-    /// Lets an event happen so much later.
+    /// Schedules an event after a delay.
     pub(super) fn schedule(&mut self, delay: TimeDelta, event: SimulatedEvent) {
         let key = (self.now + delay, self.next_number());
         self.queue.insert(key, event);
     }
 
-    /// A number that was not given before.
+    /// Returns a number that is unique within the simulation.
     pub(super) fn next_number(&mut self) -> u64 {
         self.last_number += 1;
         self.last_number
     }
 
-    /// True with this probability.
+    /// Draws true with this probability.
     pub(super) fn draw_bool(&mut self, probability: f64) -> bool {
         self.rng.generate::<f64>() < probability
     }
 
-    /// A time span from so many microseconds to below so many.
+    /// Draws a duration of at least `from_us` and less than `below_us`, in microseconds.
     pub(super) fn draw_span(&mut self, from_us: i64, below_us: i64) -> TimeDelta {
         TimeDelta(self.rng.generate_range(from_us..below_us))
     }
 
-    /// Whether a gateway runs.
+    /// Whether a gateway is up.
     pub(super) fn is_running(&self, gateway: usize) -> bool {
         self.gateways[gateway].multi_site.is_some()
     }
 
-    /// The gateways of a site.
-    pub(super) fn gateways_of_site(&self, of_site: usize) -> Vec<usize> {
+    /// The indices of a site's gateways.
+    pub(super) fn gateways_of_site(&self, site_index: usize) -> Vec<usize> {
         (0..self.gateways.len())
-            .filter(|gateway| site(*gateway) == of_site)
+            .filter(|gateway| site(*gateway) == site_index)
             .collect()
     }
 
-    /// Starts a gateway, which gets a new incarnation.
+    /// Starts a gateway with a new incarnation.
     pub(super) fn start_gateway(&mut self, index: usize) {
         let now = local_time(index, self.now);
         let config = self.configuration(index);
@@ -231,7 +233,7 @@
         }
     }
 
-    /// Delivers an event to a gateway's decisions and executes the actions they return; nothing while it is down.
+    /// Delivers an event to a gateway's decisions and executes the returned actions. Does nothing while the gateway is down.
     pub(super) fn deliver(&mut self, index: usize, event: Event) {
         let now = local_time(index, self.now);
         let Some(multi_site) = &mut self.gateways[index].multi_site else {
@@ -242,7 +244,7 @@
         }
     }
 
-    /// A client's request, by its id.
+    /// Returns a client's request by its id.
     pub(super) fn request_mut(&mut self, id: RequestId) -> &mut SimulatedRequest {
         &mut self.requests[id.0 as usize]
     }
