--- a/crates/fault-injection/src/simulation/client_connections.rs
+++ b/crates/fault-injection/src/simulation/client_connections.rs
@@ -1,4 +1,4 @@
-//! The connections from simulated clients to gateways, and HTTP on them.
+//! Connections from simulated clients to gateways, and HTTP on them.
 
 use calloop::Readiness;
 use harrierdock_event_loop::{Connection, ConnectionId, ReadResult, ResourceClass, WriteResult};
@@ -10,20 +10,20 @@
 
 const BODY: &[u8] = b"{\"lines\":[1,2,3]}";
 
-/// A connection to a gateway.
+/// A client's connection to a gateway.
 pub(super) struct ClientConnection {
     connection: Connection,
     gateway: usize,
     incarnation: u32,
     reader: MessageReader,
-    /// The request without an answer.
+    /// The request that waits for its answer; `None` while the connection is idle.
     pub(super) request: Option<usize>,
-    /// An answer has come on it.
+    /// Whether an answer has arrived on this connection.
     has_answered: bool,
 }
 
 impl Simulation {
-    /// The newest connection to a gateway's incarnation on which no answer is owed.
+    /// Returns the newest idle connection to a gateway's incarnation.
     pub(super) fn idle_connection(&self, gateway: usize, incarnation: u32) -> Option<ConnectionId> {
         self.client_connections
             .iter()
@@ -36,7 +36,7 @@
             .map(|(id, _)| *id)
     }
 
-    /// Begins a connection to a gateway.
+    /// Starts to connect to a gateway. Returns `None` if the gateway has no address or the connection attempt fails.
     pub(super) fn open_client_connection(
         &mut self,
         gateway: usize,
@@ -61,7 +61,7 @@
         Some(id)
     }
 
-    /// Closes a connection without a word on its request.
+    /// Closes a connection without recording an answer for its request.
     pub(super) fn close_client_connection(&mut self, id: ConnectionId) {
         if let Some(client) = self.client_connections.remove(&id) {
             client.connection.close(&mut self.io);
@@ -118,14 +118,14 @@
             WriteResult::Failed
                 if client.connection.check_connected().is_ok() && !client.has_answered =>
             {
-                // Not connected yet: the callback comes once it is.
+                // Not connected yet: the readiness callback fires once it is.
                 client.connection.set_interest(&self.io, true, true);
             }
             WriteResult::Failed => self.handle_connection_lost(id),
         }
     }
 
-    /// Goes on with a connection that can be read or written.
+    /// Reads from or writes to a connection that has become ready.
     pub(super) fn handle_client_ready(&mut self, id: ConnectionId, readiness: Readiness) {
         if readiness.writable {
             let Some(client) = self.client_connections.get_mut(&id) else {
@@ -178,7 +178,7 @@
         self.finish_response(id, keeps_alive && !has_surplus);
     }
 
-    /// Makes a connection ready for the next request, or closes it.
+    /// Prepares a connection for the next request, or closes it.
     fn finish_response(&mut self, id: ConnectionId, is_kept: bool) {
         let Some(client) = self.client_connections.get_mut(&id) else {
             return;
@@ -190,8 +190,8 @@
         }
     }
 
-    /// Closes a connection. Its request is sent once more if the gateway still runs and the connection had been kept or had
-    /// not taken the whole request, as HTTP says. What a killed gateway held may have had an effect: that isn't sent again.
+    /// Closes a connection. As HTTP permits, its request is retried once if the connection was reused or the request was not
+    /// completely written. A request to a gateway that was killed since is not retried, because it may have had an effect.
     fn handle_connection_lost(&mut self, id: ConnectionId) {
         let Some(client) = self.client_connections.remove(&id) else {
             return;
--- a/crates/fault-injection/src/simulation/clients.rs
+++ b/crates/fault-injection/src/simulation/clients.rs
@@ -1,4 +1,4 @@
-//! Simulated clients: they send requests at their own times, choose a gateway, and wait until a request's time is over.
+//! Simulated clients: they send requests independently of earlier answers, choose a gateway, and wait until the timeout.
 
 use std::net::SocketAddr;
 
@@ -10,19 +10,21 @@
 use super::parameters::{RequestClass, LATE_ANSWER_TIME, REQUEST_TIMEOUT};
 use super::{Simulation, TimerEvent};
 
-/// Shares of requests that are drafts, and drafts or payments.
+/// Share of requests of class `draft`.
 const DRAFT_SHARE: f64 = 0.6;
+/// Share of requests of class `draft` or `payment`; the others are of class `lodge`.
 const DRAFT_OR_PAYMENT_SHARE: f64 = 0.8;
+/// Lower bound of a site's request rate, per second. It keeps the interval finite at a rate of zero.
 const LOWEST_REQUEST_RATE: f64 = 0.001;
 
-/// What a client got.
+/// A client's view of how its request was answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// The request was answered.
+    /// The request succeeded.
     Succeeded,
-    /// It was turned away without effect.
+    /// The request was rejected, which promises no effect.
     Rejected,
-    /// It ended with unknown effect.
+    /// The request failed; its effect is unknown.
     Failed,
 }
 
@@ -30,41 +32,41 @@
 pub struct ClientRequest {
     /// The site whose client sent it.
     pub site: usize,
-    /// Its class.
+    /// The class of the request.
     pub class: RequestClass,
-    /// When its client sent it first.
+    /// When the client first sent it.
     pub sent_at: Timestamp,
-    /// The gateway that received it whole, and which of its incarnations.
+    /// The gateway to which it was completely sent, and the gateway's incarnation.
     pub gateway: Option<(usize, u32)>,
-    /// The first answer, and when it came.
+    /// The first answer, and when it arrived.
     pub answer: Option<(Answer, Timestamp)>,
-    /// A second answer came.
+    /// Whether a second answer arrived.
     pub is_answered_twice: bool,
-    /// The sites whose endpoints worked on it, and when they began.
+    /// The sites whose endpoints worked on it, each with the start time of the work.
     pub runs: Vec<(usize, Timestamp)>,
-    /// Its client has sent it once more.
+    /// Whether the client has retried it.
     pub(super) is_client_retry: bool,
 }
 
 /// A gateway as clients see it.
 #[derive(Clone)]
 pub struct GatewayTarget {
-    /// Its site.
+    /// Index of the gateway's site.
     pub site: usize,
-    /// Where it takes requests; none before its first start.
+    /// Address for client requests; `None` before its first start.
     pub address: Option<SocketAddr>,
-    /// How often it was started.
+    /// Number of starts so far.
     pub incarnation: u32,
-    /// It runs.
+    /// Whether its process is running.
     pub is_alive: bool,
-    /// Clients send requests to it.
+    /// Whether clients send requests to it.
     pub accepts_clients: bool,
-    /// Its share of its site's clients, against the others' weights.
+    /// Weight of the gateway when clients of its site choose one.
     pub weight: f64,
 }
 
 impl GatewayTarget {
-    /// A gateway of this site that was not started yet.
+    /// Creates a gateway of this site that has not been started yet.
     pub fn not_started(site: usize) -> GatewayTarget {
         GatewayTarget {
             site,
@@ -78,7 +80,7 @@
 }
 
 impl Simulation {
-    /// Sends a site's next request, and sets the timer for the one after.
+    /// Sends a site's next request, and sets the timer for the following one.
     pub(super) fn create_request(&mut self, site: usize) {
         if !self.sends_requests {
             return;
@@ -109,7 +111,7 @@
         self.send_request(request);
     }
 
-    /// Sends a request to a gateway of its site; to one of the other site if its own has none.
+    /// Sends a request to a gateway of its site, or of the other site if no gateway of its own accepts clients.
     pub(super) fn send_request(&mut self, request: usize) {
         let Some(gateway) = self.select_gateway(self.requests[request].site) else {
             return;
@@ -152,12 +154,12 @@
             .collect()
     }
 
-    /// Ends a request whose time is over.
+    /// Abandons a request that has no answer after its timeout.
     pub(super) fn expire_request(&mut self, request: usize) {
         if self.requests[request].answer.is_some() {
             return;
         }
-        // An answer that came while this loop was busy counts.
+        // An answer that arrived while this event loop was busy still counts.
         if let Some(connection) = self.connection_of(request) {
             let readiness = Readiness {
                 readable: true,
@@ -181,7 +183,7 @@
             .map(|(id, _)| *id)
     }
 
-    /// Records an answer to a request.
+    /// Records an answer to a request. `has_surplus` means that more bytes followed the response.
     pub(super) fn record_answer(
         &mut self,
         request: usize,
--- a/crates/fault-injection/src/simulation/parameters.rs
+++ b/crates/fault-injection/src/simulation/parameters.rs
@@ -1,49 +1,49 @@
-//! The constants of the simulated sites, and their request classes.
+//! Parameters and request classes of the simulated sites.
 
 use harrierdock_types::TimeDelta;
 
-/// The sites' names, by their numbers.
+/// Names of the sites, by site index.
 pub const SITE_NAMES: [&str; 2] = ["hobart", "launceston"];
-/// How long an idempotency group remembers a request.
+/// How long an idempotency group remembers the key of a request.
 pub const DEDUPLICATION_WINDOW: TimeDelta = TimeDelta(1_000_000);
-/// The longest time that a client waits.
+/// How long a client waits for an answer.
 pub const REQUEST_TIMEOUT: TimeDelta = TimeDelta(1_500_000);
-/// An answer within it counts as in time.
+/// An answer within this time meets the latency objective.
 pub const LATENCY_OBJECTIVE: TimeDelta = TimeDelta(450_000);
-/// Mean work of a request on one core of a warm endpoint.
+/// Mean processing time of a request on one core of a warm endpoint.
 pub const MEAN_WORK: TimeDelta = TimeDelta(20_000);
-/// Requests that an endpoint works on at once.
+/// Number of requests that an endpoint processes concurrently.
 pub const CORES_PER_ENDPOINT: usize = 2;
-/// The build that endpoints run at the start.
+/// Number of the build that endpoints run initially.
 pub const FIRST_BUILD: u32 = 41;
-/// Share of its capacity that a new endpoint starts with.
+/// Initial capacity of an endpoint in slow start, as a share of its full capacity.
 pub const INITIAL_CAPACITY_RATIO: f64 = 0.35;
-/// How long a new endpoint takes to come to its capacity.
+/// Time that an endpoint in slow start takes to reach its full capacity.
 pub const SLOW_START_DURATION: TimeDelta = TimeDelta(4_800_000);
-/// The span over which requests are counted against a warming endpoint's capacity.
+/// Window in which arrivals are compared with a warming endpoint's capacity.
 pub const OVERLOAD_WINDOW: TimeDelta = TimeDelta(1_000_000);
-/// A warming endpoint fails at so many times its capacity.
+/// A warming endpoint fails when arrivals exceed this multiple of its capacity.
 pub const OVERLOAD_RATIO: f64 = 4.0;
-/// How long after a drain begins requests may still come.
+/// How long after the start of a drain requests may still arrive.
 pub const DRAIN_GRACE: TimeDelta = TimeDelta(500_000);
-/// Requests that may wait at an endpoint.
+/// Maximum number of requests queued at an endpoint.
 pub(super) const QUEUE_LIMIT: usize = 24;
-/// How long after its timeout a request's answer is waited for, before it counts as lost.
+/// Extra wait for an answer after the timeout, before the request is abandoned.
 pub(super) const LATE_ANSWER_TIME: TimeDelta = TimeDelta(500_000);
 
 /// The request classes of the simulated clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RequestClass {
-    /// Idempotent.
+    /// Idempotent requests, sent as GET.
     Draft,
-    /// Safe with an idempotency key.
+    /// Requests with an idempotency key.
     Payment,
-    /// Not idempotent.
+    /// Non-idempotent requests without an idempotency key.
     Lodge,
 }
 
 impl RequestClass {
-    /// Its name on the wire.
+    /// The class's name on the wire.
     pub fn name(self) -> &'static str {
         match self {
             RequestClass::Draft => "draft",
@@ -52,7 +52,7 @@
         }
     }
 
-    /// What a request answered in time is worth against others.
+    /// Weight of an answer within the latency objective, relative to the other classes.
     pub fn priority_weight(self) -> f64 {
         match self {
             RequestClass::Draft => 1.0,
--- a/crates/fault-injection/src/simulation/relay.rs
+++ b/crates/fault-injection/src/simulation/relay.rs
@@ -1,4 +1,4 @@
-//! Relays in front of the gateways' sockets for the other site: they delay, drop, repeat and cut datagrams.
+//! Relays in front of the sockets that gateways use for the other site. They delay, drop and repeat datagrams, and cut paths.
 
 use std::collections::BTreeMap;
 use std::io::ErrorKind;
@@ -13,28 +13,33 @@
 use super::{PathFaults, Simulation, SimulationError, TimerEvent};
 
 const DATAGRAM_BUFFER_BYTES: usize = 2048;
-/// Datagrams that are read before other sockets have their turn.
+/// Maximum number of datagrams read before the event loop serves other sockets.
 const READS_PER_TURN: usize = 64;
-/// One way between the sites takes a time in this range, in microseconds.
+/// Range of the one-way delay between the sites, in microseconds.
 const DELAY_RANGE_US: std::ops::Range<i64> = 700..1300;
-/// Datagrams are lost so many times as often as they are repeated.
+/// Ratio of the loss probability to the repeat probability of datagrams.
 const LOSSES_PER_REPEAT: f64 = 10.0;
 
+/// A relay in front of one gateway.
 struct Relay {
-    front: Rc<UdpSocket>,
+    /// Receives datagrams from the other site's gateways.
+    front_socket: Rc<UdpSocket>,
+    /// Index of the gateway's site.
     site: usize,
+    /// Address of the gateway; `None` until it is set.
     target: Option<SocketAddr>,
-    /// The sockets that stand for the other site's gateways, by their addresses.
-    senders: BTreeMap<SocketAddr, Rc<UdpSocket>>,
+    /// One socket towards the gateway for each gateway of the other site, by that gateway's address.
+    sender_sockets: BTreeMap<SocketAddr, Rc<UdpSocket>>,
 }
 
+/// A datagram that waits for the end of its delay.
 struct DelayedDatagram {
     socket: Rc<UdpSocket>,
     receiver: SocketAddr,
     bytes: Vec<u8>,
 }
 
-/// All relays, and the datagrams on their way.
+/// All relays, and the datagrams that they are delaying.
 #[derive(Default)]
 pub(super) struct Relays {
     relays: Vec<Relay>,
@@ -43,7 +48,7 @@
 }
 
 impl Relays {
-    /// Sends a datagram whose delay is over.
+    /// Sends a datagram after its delay.
     pub(super) fn send_delayed(&mut self, id: u64) {
         if let Some(datagram) = self.delayed.remove(&id) {
             let _ = datagram.socket.send_to(&datagram.bytes, datagram.receiver);
@@ -56,28 +61,29 @@
     ///
     /// # Errors
     ///
-    /// No socket is to be had.
+    /// A socket cannot be opened or registered.
     pub fn add_relay(&mut self, site: usize) -> Result<SocketAddr, SimulationError> {
-        let front = UdpSocket::bind("127.0.0.1:0")?;
+        let front_socket = UdpSocket::bind("127.0.0.1:0")?;
         let index = self.relays.relays.len();
-        let address = front.local_addr()?;
-        let front = self.receive_datagrams(front, move |simulation, sender, bytes| {
-            simulation.relay_datagram(index, sender, bytes);
-        })?;
+        let address = front_socket.local_addr()?;
+        let front_socket =
+            self.receive_datagrams(front_socket, move |simulation, sender, bytes| {
+                simulation.relay_datagram(index, sender, bytes);
+            })?;
         self.relays.relays.push(Relay {
-            front,
+            front_socket,
             site,
             target: None,
-            senders: BTreeMap::new(),
+            sender_sockets: BTreeMap::new(),
         });
         Ok(address)
     }
 
-    /// Makes a relay send to this address from now on.
+    /// Sets the address of the gateway behind a relay.
     pub fn set_relay_target(&mut self, relay: usize, target: SocketAddr) {
         let relay = &mut self.relays.relays[relay];
         relay.target = Some(target);
-        relay.senders.clear();
+        relay.sender_sockets.clear();
     }
 
     fn receive_datagrams(
@@ -107,12 +113,15 @@
         Ok(socket)
     }
 
-    /// Passes a datagram of the other site's gateway on to this relay's gateway.
+    /// Forwards a datagram from a gateway of the other site to this relay's gateway.
     fn relay_datagram(&mut self, index: usize, sender: SocketAddr, bytes: &[u8]) {
         let Some(target) = self.relays.relays[index].target else {
             return;
         };
-        let known_socket = self.relays.relays[index].senders.get(&sender).cloned();
+        let known_socket = self.relays.relays[index]
+            .sender_sockets
+            .get(&sender)
+            .cloned();
         let socket = match known_socket {
             Some(socket) => socket,
             None => {
@@ -126,23 +135,23 @@
         self.delay_datagram(origin_site, socket, target, bytes);
     }
 
-    /// Opens the socket that stands for a gateway of the other site; what comes there goes back to that gateway.
+    /// Opens the socket that represents a gateway of the other site. Datagrams received on it are returned to that gateway.
     fn open_sender_socket(&mut self, index: usize, sender: SocketAddr) -> Option<Rc<UdpSocket>> {
         let socket = UdpSocket::bind("127.0.0.1:0").ok()?;
         let return_datagram = move |simulation: &mut Simulation, _: SocketAddr, bytes: &[u8]| {
             let relay = &simulation.relays.relays[index];
-            let front = relay.front.clone();
+            let front_socket = relay.front_socket.clone();
             let site = relay.site;
-            simulation.delay_datagram(site, front, sender, bytes);
+            simulation.delay_datagram(site, front_socket, sender, bytes);
         };
         let socket = self.receive_datagrams(socket, return_datagram).ok()?;
         self.relays.relays[index]
-            .senders
+            .sender_sockets
             .insert(sender, socket.clone());
         Some(socket)
     }
 
-    /// Drops a datagram from a site, or delays it by the sites' distance and now and then repeats it.
+    /// Drops a datagram from a site, or delays it by the one-way delay. Some datagrams are repeated.
     fn delay_datagram(
         &mut self,
         origin_site: usize,
--- a/crates/fault-injection/src/simulation/scenario.rs
+++ b/crates/fault-injection/src/simulation/scenario.rs
@@ -1,4 +1,4 @@
-//! What a scenario does, and what was observed meanwhile.
+//! The steps of a scenario, path faults, and observations during a run.
 
 use harrierdock_types::TimeDelta;
 
@@ -7,98 +7,98 @@
 pub enum ScenarioStep {
     /// Kills a site's endpoints.
     KillSite {
-        /// The site.
+        /// Index of the site.
         site: usize,
-        /// Its gateways as well.
+        /// Whether its gateways are killed as well.
         with_gateways: bool,
     },
-    /// Starts what was killed again.
+    /// Restarts the killed endpoints and gateways of a site.
     RestoreSite {
-        /// The site.
+        /// Index of the site.
         site: usize,
     },
     /// Cuts the path between the sites, or restores it.
     SetPathCut {
-        /// Whether it is cut.
+        /// True to cut the path, false to restore it.
         is_cut: bool,
     },
-    /// Drains a site by hand, and half of its endpoints by discovery.
+    /// Manually drains a site, and drains half of its endpoints through discovery.
     DrainSite {
-        /// The site.
+        /// Index of the site.
         site: usize,
     },
-    /// Discovery sends the endpoints as they are now.
+    /// Discovery publishes the current endpoints of a site.
     UpdateDiscovery {
-        /// To the gateways of this site.
+        /// Index of the site whose gateways are updated.
         site: usize,
     },
-    /// Kills a gateway and starts it again.
+    /// Kills a gateway and restarts it.
     RestartGateway {
-        /// The gateway.
+        /// Index of the gateway.
         gateway: usize,
     },
     /// Sends a command to the control sockets of a site's gateways.
     SendCommand {
-        /// The site.
+        /// Index of the site.
         site: usize,
-        /// The command.
+        /// The command, as on the control socket.
         command: &'static str,
     },
     /// Changes a gateway's share of its site's clients.
     SetGatewayWeight {
-        /// The gateway.
+        /// Index of the gateway.
         gateway: usize,
-        /// Its weight against the others.
+        /// New weight of the gateway; the initial weight is 1.
         weight: f64,
     },
-    /// Gives every endpoint another name; every tenth time another build as well.
+    /// Renames every endpoint; every tenth time, changes their builds as well.
     RenameEndpoints,
-    /// Gives half of each site's endpoints the next build.
+    /// Deploys the next build to half of each site's endpoints.
     ReleaseBuild {
-        /// The share of requests that it fails.
+        /// Share of requests that the new build fails.
         failure_ratio: f64,
     },
-    /// Stops the collector, or starts it again.
+    /// Stops or restarts the collector.
     SetCollectorRunning {
-        /// Whether it runs.
+        /// True to start the collector, false to stop it.
         is_running: bool,
     },
-    /// Records processor time and requests so far.
+    /// Samples processor time and request counts so far.
     RecordUsage,
-    /// Ends the clients' requests.
+    /// Stops the clients from sending requests.
     StopRequests,
-    /// Ends the scenario.
+    /// The scenario is complete.
     End,
 }
 
-/// Faults of the path between the sites.
+/// Current faults of the path between the sites.
 #[derive(Clone, Copy, Default)]
 pub struct PathFaults {
-    /// The share of datagrams that is lost.
+    /// Probability that a datagram is lost.
     pub loss_ratio: f64,
-    /// Nothing passes from the first site to the second.
+    /// Whether all datagrams from the first site to the second are dropped.
     pub is_one_way: bool,
-    /// Nothing passes.
+    /// Whether all datagrams are dropped in both directions.
     pub is_cut: bool,
 }
 
-/// What the simulation observed, against the rules.
+/// Counts that the simulation observes itself, for the rules and the report.
 #[derive(Default)]
 pub struct Observations {
-    /// Requests that came to a drained endpoint or site.
+    /// Requests that reached a draining endpoint or drained site after the grace period.
     pub requests_after_drain: u64,
-    /// Warming endpoints that failed from overload.
+    /// Warming endpoints that failed because of overload.
     pub overloaded_warming_endpoints: u64,
-    /// Repeats that an idempotency group dropped.
+    /// Repeated requests that an idempotency group dropped.
     pub repeats_dropped: u64,
-    /// Repeats that no idempotency group remembered.
+    /// Repeated requests that ran because the idempotency group did not remember their key.
     pub repeats_outside_window: u64,
-    /// Requests whose deadline passed before a core was free.
+    /// Requests whose deadline passed before a core was available.
     pub expired_before_work: u64,
-    /// How late the event loop was at the most: a busy machine, not a slow gateway.
+    /// Largest delay of a timer on this event loop. A large value means a busy machine, not a slow gateway.
     pub largest_loop_delay: TimeDelta,
-    /// Datagrams between the sites.
+    /// Datagrams sent between the sites.
     pub datagrams: u64,
-    /// Those of them that were dropped.
+    /// Datagrams between the sites that were dropped.
     pub datagrams_dropped: u64,
 }
