--- a/crates/fault-injection/src/core/mod.rs
+++ b/crates/fault-injection/src/core/mod.rs
@@ -1,6 +1,6 @@
 //! Fault injection of two sites without sockets: the multi-site decisions of several gateways run on a simulated network, in
 //! simulated time. Messages are lost, repeated and reordered; paths are cut in one or both directions. Gateways are killed and
-//! restarted; sites lose their endpoints and are drained. At the end of a run, the rules are checked against its history.
+//! restarted; sites lose their endpoints and are drained. At the end of a run, its history is checked against the rules.
 //!
 //! [`Findings`] is the report. `simulation` owns the state. `event_handling` processes simulated events, and `actions` executes
 //! the actions of the gateways. `network`, `endpoints` and `faults` simulate the environment, and `rules` checks the outcome.
--- a/crates/fault-injection/src/core/rules.rs
+++ b/crates/fault-injection/src/core/rules.rs
@@ -81,8 +81,8 @@
         return;
     };
     let has_run = !request.runs.is_empty();
-    let is_succeeded = answer.outcome == ForwardingOutcome::Succeeded;
-    findings.succeeded_without_run += u64::from(is_succeeded && !has_run);
+    let has_succeeded = answer.outcome == ForwardingOutcome::Succeeded;
+    findings.succeeded_without_run += u64::from(has_succeeded && !has_run);
     // The client may send a rejected request again, so it must not have run unless a repeat is harmless.
     let is_repeat_harmless = match class.retry_safety {
         RetrySafety::Idempotent => true,
--- a/crates/site-transport/src/certificate.rs
+++ b/crates/site-transport/src/certificate.rs
@@ -53,7 +53,9 @@
     Ok(certificates)
 }
 
-fn parse<'a>(certificate: &'a CertificateDer) -> Result<X509Certificate<'a>, CertificateError> {
+fn parse_certificate<'a>(
+    certificate: &'a CertificateDer,
+) -> Result<X509Certificate<'a>, CertificateError> {
     let (_, parsed) =
         X509Certificate::from_der(certificate).map_err(CertificateError::Malformed)?;
     Ok(parsed)
@@ -61,7 +63,7 @@
 
 /// Returns the gateway that a certificate identifies.
 pub(crate) fn gateway_name(certificate: &CertificateDer) -> Result<GatewayName, CertificateError> {
-    let parsed = parse(certificate)?;
+    let parsed = parse_certificate(certificate)?;
     let extension = parsed
         .subject_alternative_name()
         .map_err(CertificateError::MalformedNames)?;
@@ -95,12 +97,12 @@
 /// # Errors
 /// The text contains no certificate, or one that cannot be parsed.
 pub fn describe_certificates(pem: &[u8], now: SystemTime) -> Result<String, CertificateError> {
-    let unix_seconds = now
+    let now_unix_seconds = now
         .duration_since(SystemTime::UNIX_EPOCH)
         .map_or(0, |d| d.as_secs() as i64);
     let mut text = String::new();
     for certificate in read_certificates(pem)? {
-        let parsed = parse(&certificate)?;
+        let parsed = parse_certificate(&certificate)?;
         let subject = if parsed.is_ca() {
             format!("authority    {}", parsed.subject())
         } else {
@@ -117,19 +119,19 @@
             parsed.issuer(),
             validity.not_before,
             validity.not_after,
-            validity_state(validity, unix_seconds),
+            validity_state(validity, now_unix_seconds),
         );
     }
     Ok(text)
 }
 
-fn validity_state(validity: &Validity, unix_seconds: i64) -> String {
-    if unix_seconds < validity.not_before.timestamp() {
+fn validity_state(validity: &Validity, now_unix_seconds: i64) -> String {
+    if now_unix_seconds < validity.not_before.timestamp() {
         "not yet valid".to_string()
-    } else if unix_seconds > validity.not_after.timestamp() {
+    } else if now_unix_seconds > validity.not_after.timestamp() {
         "expired".to_string()
     } else {
-        let days = (validity.not_after.timestamp() - unix_seconds) / SECONDS_PER_DAY;
+        let days = (validity.not_after.timestamp() - now_unix_seconds) / SECONDS_PER_DAY;
         format!("valid, {days} days left")
     }
 }
--- a/crates/site-transport/src/connection.rs
+++ b/crates/site-transport/src/connection.rs
@@ -74,7 +74,7 @@
         max_size.is_some_and(|max_length| length <= max_length)
     }
 
-    /// Queues a datagram for sending. Returns false if the peer does not accept datagrams or it is too large.
+    /// Queues a datagram for sending. Returns false if it is too large or the peer accepts no datagrams.
     pub(crate) fn send_datagram(&mut self, bytes: Vec<u8>) -> bool {
         self.connection.datagrams().send(bytes.into(), true).is_ok()
     }
--- a/crates/site-transport/src/event.rs
+++ b/crates/site-transport/src/event.rs
@@ -29,7 +29,7 @@
     Closed {
         /// The path that closed or failed to open.
         path: PathId,
-        /// The gateway at the other end; `None` once its certificate was rejected.
+        /// The gateway at the other end, if it is known.
         peer: Option<GatewayName>,
         /// Category of the cause.
         cause: CloseCause,
