--- a/crates/fault-injection/src/stand_ins/endpoint.rs
+++ b/crates/fault-injection/src/stand_ins/endpoint.rs
@@ -69,7 +69,7 @@
                 let read = request.stream.read(&mut [0; 1]);
                 let is_closed = read.unwrap_or(0) == 0;
                 trace.note(format!(
-                    "{name}.{}: given up on {is_closed}",
+                    "{name}.{}: connection closed: {is_closed}",
                     request.connection
                 ));
                 false
@@ -86,16 +86,16 @@
         .next()
         .unwrap_or("")
         .replace(" HTTP/1.1", "");
-    let reference = request
+    let idempotency_key = request
         .field("Idempotency-Key")
-        .map_or(String::new(), |key| format!(" reference {key}"));
+        .map_or(String::new(), |key| format!(" idempotency key {key}"));
     let body = if request.body.len() < LONG_BODY_BYTES {
         request.body.clone()
     } else {
         request.body.len().to_string()
     };
     format!(
-        "{name}.{}: {line} txn {id}{reference} {body:?}",
+        "{name}.{}: {line} request {id}{idempotency_key} {body:?}",
         request.connection
     )
 }
--- a/crates/fault-injection/src/stand_ins/mod.rs
+++ b/crates/fault-injection/src/stand_ins/mod.rs
@@ -19,4 +19,4 @@
 pub use trace::Trace;
 
 /// How long a test waits for anything.
-pub const BOUND: Duration = Duration::from_secs(20);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
--- a/crates/fault-injection/src/stand_ins/trace.rs
+++ b/crates/fault-injection/src/stand_ins/trace.rs
@@ -4,7 +4,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use super::BOUND;
+use super::TEST_TIMEOUT;
 
 /// How often a waiting test looks at the trace again.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
@@ -31,12 +31,12 @@
     ///
     /// # Panics
     ///
-    /// If there are fewer after [`BOUND`].
+    /// If there are fewer after [`TEST_TIMEOUT`].
     pub fn wait(&self, prefix: &str, count: usize) {
         let started = Instant::now();
         while self.count(prefix) < count {
             assert!(
-                started.elapsed() < BOUND,
+                started.elapsed() < TEST_TIMEOUT,
                 "no {count} lines {prefix:?} in {:#?}",
                 self.lines()
             );
