--- a/crates/fault-injection/src/gateway_keys.rs
+++ b/crates/fault-injection/src/gateway_keys.rs
@@ -1,4 +1,4 @@
-//! Keys of the sites' gateways and of collectors, issued by the gateway program itself.
+//! Issues keys for the sites' gateways and for collectors with the gateway program.
 
 use std::ffi::OsStr;
 use std::io;
@@ -10,30 +10,30 @@
 /// Why keys can't be issued.
 #[derive(Debug, Error)]
 pub enum KeyError {
-    /// The program can't be run.
-    #[error("{0}")]
+    /// The gateway program can't be run.
+    #[error("can't run the gateway program: {0}")]
     Run(#[from] io::Error),
-    /// The program refused.
+    /// The gateway program exited with a failure.
     #[error("{message}")]
     Refused {
-        /// What it wrote to its standard error.
+        /// What the program wrote to standard error.
         message: String,
     },
 }
 
-/// Makes an authority in this folder and issues a key to each of these names, written as `SITE/NAME`.
+/// Creates a certificate authority in this folder and issues a key for each of these names, written as `SITE/NAME`.
 ///
 /// # Errors
 ///
-/// The program can't be run, or refuses.
+/// The gateway program can't be run, or exits with a failure.
 pub fn issue_keys(program: &Path, folder: &Path, names: &[String]) -> Result<(), KeyError> {
-    let keys = |action: &str| {
+    let keys_command = |action: &str| {
         let mut command = Command::new(program);
         command.arg("keys").arg(action).arg(folder);
         command
     };
-    run(&mut keys("authority"))?;
-    run(keys("issue").args(names.iter().map(OsStr::new)))
+    run(&mut keys_command("authority"))?;
+    run(keys_command("issue").args(names.iter().map(OsStr::new)))
 }
 
 fn run(command: &mut Command) -> Result<(), KeyError> {
--- a/crates/fault-injection/src/gateway_process.rs
+++ b/crates/fault-injection/src/gateway_process.rs
@@ -1,4 +1,4 @@
-//! A built gateway as a process: started on files of its own, observed by its log, killed when dropped.
+//! A built gateway as a child process: started with its own configuration files, observed through its log, killed on drop.
 
 use std::fs;
 use std::io::{self, BufRead, BufReader};
@@ -13,95 +13,95 @@
 use serde_json::Value;
 use thiserror::Error;
 
-/// How long a gateway may take to start, and to end.
+/// Time limit for a gateway to start, and for it to shut down.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
-/// The environment variable that names the gateway's program.
+/// Environment variable with the path of the gateway program.
 const PROGRAM_VARIABLE: &str = "HARRIERDOCK";
-/// The environment variable that names where the gateway listens.
+/// Environment variable with the gateway's listen address.
 const LISTEN_VARIABLE: &str = "LB_LISTEN";
-/// Environment variables that would change a gateway's configuration.
+/// Environment variables that override the configuration file.
 const CONFIGURATION_VARIABLES: [&str; 4] =
     ["LB_NAME", LISTEN_VARIABLE, "LB_DISCOVERY", "LB_CONFIG"];
-/// What the first line of a panic's report holds.
-const PANIC_MARK: &str = "panicked";
+/// Text in the first line of a panic report.
+const PANIC_MARKER: &str = "panicked";
 const KIB_PER_MIB: f64 = 1024.0;
 const NANOSECONDS_PER_MICROSECOND: f64 = 1000.0;
 
-/// Why a gateway can't be started or ended.
+/// Why a gateway can't be started or shut down.
 #[derive(Debug, Error)]
 pub enum GatewayProcessError {
-    /// The path of this program is unknown.
-    #[error("{0}")]
+    /// The path of the running program is unknown.
+    #[error("can't find the path of this program: {0}")]
     OwnPath(#[source] io::Error),
-    /// The gateway isn't built.
-    #[error("{path} is not there: build it, or name it by HARRIERDOCK", path = path.display())]
+    /// The gateway program doesn't exist.
+    #[error("{path} does not exist: build the gateway, or set HARRIERDOCK to the path of its program", path = path.display())]
     ProgramMissing {
-        /// Where it was looked for.
+        /// The path where the program was expected.
         path: PathBuf,
     },
-    /// A file of the gateway can't be written, or its program not run.
+    /// A file of the gateway can't be written, or its program can't be run.
     #[error("{path}: {source}", path = path.display())]
     File {
-        /// The file.
+        /// Path of the file or program.
         path: PathBuf,
-        /// Why.
+        /// The error of the system.
         source: io::Error,
     },
-    /// It ended, or said nothing of its listener for too long.
-    #[error("{name} does not start: see {name}.json in {folder}", folder = folder.display())]
+    /// The gateway exited, or didn't log its listen address in time.
+    #[error("{name} did not start: see {name}.json in {folder}", folder = folder.display())]
     NotStarted {
-        /// The gateway.
+        /// Name of the gateway.
         name: String,
-        /// Where its files are.
+        /// Folder with the gateway's files.
         folder: PathBuf,
     },
-    /// It can't be signalled or waited for.
-    #[error("{0}")]
+    /// The process can't be signalled or waited for.
+    #[error("can't signal or await a gateway: {0}")]
     Signal(#[source] io::Error),
-    /// It was asked to end and failed.
-    #[error("a gateway told to end did not: {status}")]
+    /// The gateway exited with a failure after SIGTERM.
+    #[error("a gateway failed to shut down: {status}")]
     Failed {
-        /// How it ended.
+        /// Exit status of the process.
         status: ExitStatus,
     },
 }
 
-/// What a process has used of the machine.
+/// Resource usage of a process.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ResourceUsage {
     /// Resident memory in MiB.
     pub memory_mb: f64,
-    /// Processor time since its start, in microseconds.
+    /// Processor time since the start of the process, in microseconds.
     pub processor_time_us: f64,
 }
 
-/// A gateway that runs, or has ended. Killed when dropped.
+/// A gateway process, which may have exited. Killed on drop.
 pub struct GatewayProcess {
     child: Child,
     log: Receiver<String>,
     name: String,
     folder: PathBuf,
-    /// When it was about to be spawned.
+    /// Right before the process was spawned.
     pub spawned_at: Instant,
-    /// Where it takes clients' requests.
+    /// Where the gateway accepts clients' connections.
     pub listen_address: SocketAddr,
-    /// Where it takes the other site's datagrams, if it serves two sites.
+    /// Where the gateway receives the other site's datagrams; `None` unless it serves two sites.
     pub site_address: Option<SocketAddr>,
-    /// Where it takes gossip, if it has peers.
+    /// Where the gateway receives gossip; `None` without peers.
     pub gossip_address: Option<SocketAddr>,
-    /// Logged lines that report a violated invariant or a panic.
+    /// Log lines that report a violated invariant or a panic.
     pub violations: Vec<String>,
-    /// Whether the last line read began the report of a panic: its message stands in the next one.
+    /// Whether the last line read started a panic report, which has its message in the next line.
     is_panic_message_next: bool,
-    /// Logged lines on leases.
+    /// Log lines about leases.
     pub lease_log: Vec<String>,
 }
 
-/// The gateway's program: beside this one, or where the environment variable `HARRIERDOCK` says.
+/// Finds the gateway program: at the path in the environment variable `HARRIERDOCK`, or else beside this program.
 ///
 /// # Errors
 ///
-/// It is not built.
+/// The program doesn't exist.
 pub fn gateway_program() -> Result<PathBuf, GatewayProcessError> {
     if let Some(path) = std::env::var_os(PROGRAM_VARIABLE) {
         return Ok(path.into());
@@ -117,22 +117,23 @@
 /// How a gateway is started.
 #[derive(Clone, Copy, Debug)]
 pub struct GatewayCommand<'a> {
-    /// Its program.
+    /// Path of the gateway program.
     pub program: &'a Path,
-    /// The folder for its files.
+    /// The folder for the gateway's files.
     pub folder: &'a Path,
-    /// Its name, and that of its files.
+    /// Name of the gateway, also used for its files.
     pub name: &'a str,
-    /// Its configuration.
+    /// Content of the configuration file.
     pub configuration: &'a Value,
-    /// Its extension configuration, if it has one.
+    /// Content of the extension file, if the gateway has one.
     pub extensions: Option<&'a Value>,
-    /// The address that its environment names, if it does.
+    /// The listen address to set in the environment, if any.
     pub listen_variable: Option<SocketAddr>,
 }
 
 impl GatewayCommand<'_> {
-    /// Writes the gateway's files and spawns it, with a call right before the spawn. It does not listen yet.
+    /// Writes the gateway's files and spawns it. Calls `on_spawn` right before the spawn. Doesn't wait until the gateway
+    /// listens.
     ///
     /// # Errors
     ///
@@ -168,12 +169,11 @@
 }
 
 impl GatewayProcess {
-    /// Starts a gateway on its configuration and extension configuration, written to this folder, and waits until it
-    /// listens.
+    /// Writes the configuration and the extension file to this folder, starts the gateway, and waits until it listens.
     ///
     /// # Errors
     ///
-    /// A file can't be written, the program can't be run, or it doesn't listen in time.
+    /// A file can't be written, the program can't be run, or the gateway doesn't listen in time.
     pub fn start(
         program: &Path,
         folder: &Path,
@@ -196,7 +196,7 @@
 
     fn spawn(
         command: &mut Command,
-        setup: &GatewayCommand<'_>,
+        gateway: &GatewayCommand<'_>,
         on_spawn: impl FnOnce(Instant),
     ) -> Result<Self, GatewayProcessError> {
         let spawned_at = Instant::now();
@@ -207,7 +207,7 @@
             .stderr(Stdio::piped())
             .spawn()
             .map_err(|source| GatewayProcessError::File {
-                path: setup.program.into(),
+                path: gateway.program.into(),
                 source,
             })?;
         let (sender, log) = channel();
@@ -218,8 +218,8 @@
         Ok(GatewayProcess {
             child,
             log,
-            name: setup.name.into(),
-            folder: setup.folder.into(),
+            name: gateway.name.into(),
+            folder: gateway.folder.into(),
             spawned_at,
             listen_address: SocketAddr::from(([127, 0, 0, 1], 0)),
             site_address: None,
@@ -230,11 +230,11 @@
         })
     }
 
-    /// Waits until it says that it listens for clients, and takes the addresses from its log.
+    /// Waits until the gateway logs its listen address, and reads its addresses from the log.
     ///
     /// # Errors
     ///
-    /// It ends, or doesn't say so in time.
+    /// The gateway exits, or doesn't log its listen address in time.
     pub fn wait_until_listening(&mut self) -> Result<(), GatewayProcessError> {
         let deadline = Instant::now() + START_TIMEOUT;
         loop {
@@ -245,26 +245,26 @@
                     folder: self.folder.clone(),
                 });
             };
-            if let Some(address) = address_after(&line, " listens on ") {
+            if let Some(address) = parse_address_after(&line, " listens on ") {
                 self.site_address = Some(address);
             }
-            if let Some(address) = address_after(&line, " receives gossip on ") {
+            if let Some(address) = parse_address_after(&line, " receives gossip on ") {
                 self.gossip_address = Some(address);
             }
-            if let Some(address) = address_after(&line, " serves on ") {
+            if let Some(address) = parse_address_after(&line, " serves on ") {
                 self.listen_address = address;
                 return Ok(());
             }
         }
     }
 
-    /// Sorts the lines that were logged since the last call.
+    /// Reads the lines logged since the last call and collects violations and lines about leases.
     pub fn read_log(&mut self) {
         for line in self.log.try_iter() {
             if std::mem::take(&mut self.is_panic_message_next) {
                 self.violations.push(line);
-            } else if line.contains(" invariant violated: ") || line.contains(PANIC_MARK) {
-                self.is_panic_message_next = line.contains(PANIC_MARK);
+            } else if line.contains(" invariant violated: ") || line.contains(PANIC_MARKER) {
+                self.is_panic_message_next = line.contains(PANIC_MARKER);
                 self.violations.push(line);
             } else if line.contains(" fleet: ") || line.contains(" fleet.") {
                 self.lease_log.push(line);
@@ -272,31 +272,31 @@
         }
     }
 
-    /// The system's id of the process.
+    /// The process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Sends it a signal, if it still runs.
+    /// Sends a signal to the process; does nothing if it has exited.
     pub fn signal(&self, signal: Signal) {
         let _ = kill_process(Pid::from_child(&self.child), signal);
     }
 
-    /// How it ended; none while it runs.
+    /// Exit status of the process; `None` while it runs.
     pub fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
 
-    /// Whether it runs.
+    /// Whether the process still runs.
     pub fn is_running(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(None))
     }
 
-    /// Asks it to shut down, waits until it has, and returns what it logged of flow export meanwhile.
+    /// Sends SIGTERM, waits until the process has exited, and returns the flow export reports logged meanwhile.
     ///
     /// # Errors
     ///
-    /// It can't be signalled, or fails.
+    /// The process can't be signalled, or exits with a failure.
     pub fn shut_down(&mut self) -> Result<Vec<String>, GatewayProcessError> {
         kill_process(Pid::from_child(&self.child), Signal::TERM)
             .map_err(|error| GatewayProcessError::Signal(error.into()))?;
@@ -315,20 +315,20 @@
         Ok(lines)
     }
 
-    /// Kills it and waits until it is gone.
+    /// Kills the process and waits until it has exited.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// What it uses by the system's account; zeros where the system says nothing.
+    /// Resource usage as reported in `/proc`; zero for values that can't be read.
     pub fn resource_usage(&self) -> ResourceUsage {
         let memory_kib = self
             .read_proc_file("status")
             .lines()
-            .find_map(|line| line.strip_prefix("VmRSS:").and_then(first_number));
-        // `schedstat` counts nanoseconds, `stat` ticks only.
-        let processor_time_ns = first_number(&self.read_proc_file("schedstat"));
+            .find_map(|line| line.strip_prefix("VmRSS:").and_then(parse_first_number));
+        // `schedstat` counts nanoseconds; `stat` only counts ticks.
+        let processor_time_ns = parse_first_number(&self.read_proc_file("schedstat"));
         ResourceUsage {
             memory_mb: memory_kib.unwrap_or(0.0) / KIB_PER_MIB,
             processor_time_us: processor_time_ns.unwrap_or(0.0) / NANOSECONDS_PER_MICROSECOND,
@@ -354,11 +354,11 @@
     }
 }
 
-fn address_after(line: &str, prefix: &str) -> Option<SocketAddr> {
+fn parse_address_after(line: &str, prefix: &str) -> Option<SocketAddr> {
     let (_, rest) = line.split_once(prefix)?;
     rest.split_whitespace().next()?.parse().ok()
 }
 
-fn first_number(text: &str) -> Option<f64> {
+fn parse_first_number(text: &str) -> Option<f64> {
     text.split_whitespace().next()?.parse().ok()
 }
--- a/crates/fault-injection/src/record_tables.rs
+++ b/crates/fault-injection/src/record_tables.rs
@@ -1,4 +1,4 @@
-//! Writes the records that a collector got as CSV and Parquet files.
+//! Writes the records that a collector received to CSV and Parquet files.
 
 use std::fs::File;
 use std::io;
@@ -17,33 +17,33 @@
 /// Why a table can't be written.
 #[derive(Debug, Error)]
 pub enum TableError {
-    /// A CSV file.
-    #[error("{path}: {source}", path = path.display())]
+    /// A CSV file can't be opened or written.
+    #[error("can't write {path}: {source}", path = path.display())]
     Csv {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why.
+        /// The error of the writer.
         source: csv::Error,
     },
-    /// The end of a CSV file.
-    #[error("{path}: {source}", path = path.display())]
+    /// The last rows of a CSV file can't be flushed.
+    #[error("can't write {path}: {source}", path = path.display())]
     Flush {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why.
+        /// The error of the writer.
         source: io::Error,
     },
-    /// A Parquet file.
-    #[error("{path}: {source}", path = path.display())]
+    /// A Parquet file can't be written.
+    #[error("can't write {path}: {source}", path = path.display())]
     Parquet {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why.
+        /// The error of the writer.
         source: ParquetError,
     },
 }
 
-/// Writes the records as CSV, with the columns' names as the first row.
+/// Writes the records as a CSV file with a header row.
 ///
 /// # Errors
 ///
@@ -69,7 +69,7 @@
     })
 }
 
-/// Writes the records as one Parquet file: numbers as INT64, texts as UTF8.
+/// Writes the records as one Parquet file, with numbers as INT64 and texts as UTF8.
 ///
 /// # Errors
 ///
--- a/crates/fault-injection/src/run_folder.rs
+++ b/crates/fault-injection/src/run_folder.rs
@@ -1,4 +1,4 @@
-//! A folder for the files of one run, below the system's folder for temporary files.
+//! A folder for the files of one run, inside the system's folder for temporary files.
 
 use std::fs;
 use std::io;
@@ -6,17 +6,17 @@
 
 use thiserror::Error;
 
-/// Why a folder can't be made.
+/// Why a run folder can't be created.
 #[derive(Debug, Error)]
-#[error("{path}: {source}", path = path.display())]
+#[error("can't create {path}: {source}", path = path.display())]
 pub struct RunFolderError {
-    /// The folder.
+    /// Path of the folder.
     path: PathBuf,
-    /// Why.
+    /// The error of the file system.
     source: io::Error,
 }
 
-/// A folder that is removed with its files when it is dropped, unless it was kept.
+/// A folder that is removed with its files on drop, unless [`RunFolder::keep`] was called.
 #[derive(Debug)]
 pub struct RunFolder {
     path: PathBuf,
@@ -24,11 +24,11 @@
 }
 
 impl RunFolder {
-    /// Makes a folder of this name, followed by the id of this process and the label.
+    /// Creates a folder named `NAME-PROCESS_ID-LABEL`.
     ///
     /// # Errors
     ///
-    /// The folder can't be made.
+    /// The folder can't be created.
     pub fn create(name: &str, label: &str) -> Result<RunFolder, RunFolderError> {
         let path = std::env::temp_dir().join(format!("{name}-{}-{label}", std::process::id()));
         match fs::create_dir_all(&path) {
@@ -40,12 +40,12 @@
         }
     }
 
-    /// Where it is.
+    /// Path of the folder.
     pub fn path(&self) -> &Path {
         &self.path
     }
 
-    /// Leaves the files where they are, for a look at a run that failed.
+    /// Keeps the files after the drop, so that a failed run can be inspected.
     pub fn keep(&mut self) {
         self.is_kept = true;
     }
--- a/crates/fault-injection/src/schedule.rs
+++ b/crates/fault-injection/src/schedule.rs
@@ -1,35 +1,35 @@
-//! When a fault happens, as switches of the command line name it.
+//! Times of faults in command-line arguments.
 
 use std::str::FromStr;
 
 use thiserror::Error;
 
-/// The sites' names on the command line, in the order of their numbers.
+/// The sites' names on the command line, ordered by index.
 const SITE_NAMES: [&str; 2] = ["A", "B"];
 
-/// What is wrong with a point or span in time that a switch names.
+/// Why a time in a command-line argument can't be parsed.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ScheduleError {
-    /// No site with a second.
-    #[error("'{text}' is not SITE@SECOND, as A@3")]
+    /// The text isn't a site and a time.
+    #[error("'{text}' is not of the form SITE@SECOND, such as A@3")]
     SiteTime {
-        /// What was given.
+        /// The argument as given.
         text: String,
     },
-    /// No start with a duration.
-    #[error("'{text}' is not SECOND+SECONDS, as 3+10")]
+    /// The text isn't a start and a duration.
+    #[error("'{text}' is not of the form SECOND+SECONDS, such as 3+10")]
     Outage {
-        /// What was given.
+        /// The argument as given.
         text: String,
     },
 }
 
-/// A point in time at one site, written as `A@3`.
+/// A time at one site, written as `A@3`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SiteTime {
-    /// The site's number, from 0.
+    /// Index of the site, from 0.
     pub site: usize,
-    /// Seconds since the start.
+    /// Seconds since the start of the run.
     pub second: f64,
 }
 
@@ -48,17 +48,17 @@
     }
 }
 
-/// A span in which something is unavailable, written as `3+10`.
+/// A period of unavailability, written as `3+10`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Outage {
-    /// When it begins, in seconds since the start.
+    /// Start of the outage, in seconds since the start of the run.
     pub start_second: f64,
-    /// How long it lasts, in seconds.
+    /// Duration of the outage, in seconds.
     pub duration_seconds: f64,
 }
 
 impl Outage {
-    /// When it ends, in seconds since the start.
+    /// End of the outage, in seconds since the start of the run.
     pub fn end_second(&self) -> f64 {
         self.start_second + self.duration_seconds
     }
--- a/crates/fault-injection/src/stand_ins/discovery.rs
+++ b/crates/fault-injection/src/stand_ins/discovery.rs
@@ -1,4 +1,4 @@
-//! A stand-in for discovery, and the configuration, endpoint lists and rollout updates that the wire carries.
+//! A stand-in for discovery, and builders for gateway configurations, endpoint lists and rollout updates as sent on the wire.
 
 use std::net::SocketAddr;
 use std::sync::mpsc::{channel, Sender};
@@ -9,10 +9,10 @@
 use super::http_server::serve_requests;
 use super::Trace;
 
-/// Version of the complete list that the stand-in answers with.
+/// Version of the snapshot that the stand-in returns.
 const COMPLETE_LIST_VERSION: u32 = 60;
 
-/// The `settings` of a gateway's configuration: three request classes, one gateway, one zone.
+/// The `settings` of a gateway's configuration, with three request classes, one gateway and one zone.
 pub fn policy_settings() -> Value {
     json!({
         "az": "h", "azs": ["h"], "balancers": 1, "ordinal": 0, "tick": 5000,
@@ -29,20 +29,20 @@
         "safety": {"cold_from": 0.5, "ramp_time": 1000000, "fall": 1000000, "fall_multiple": 4.0}})
 }
 
-/// The configuration of a gateway that knows these endpoints from its start, with `policy_settings`.
+/// The configuration of a gateway with `policy_settings` and these endpoints as its cached endpoint list.
 pub fn gateway_configuration(discovery: SocketAddr, endpoints: &[Value]) -> Value {
     json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": discovery, "seed": "00000000000000aa",
         "limits": {"memory_mb": 192, "sockets": 200}, "known": endpoint_list(41, true, endpoints),
         "settings": policy_settings()})
 }
 
-/// An endpoint as discovery lists it.
+/// An endpoint as it appears in a list from discovery.
 pub fn endpoint_record(id: &str, address: SocketAddr, lifecycle: &str, build: u32) -> Value {
     json!({"id": id, "host_port": address, "locality": "h", "flavor": "m", "cell": 0, "phase": lifecycle,
         "size": 1.0, "up_since_ms": 0, "revision_no": build})
 }
 
-/// An endpoint list: a snapshot if complete, else the changes.
+/// An endpoint list: a snapshot if `complete`, a delta otherwise.
 pub fn endpoint_list(version: u32, complete: bool, endpoints: &[Value]) -> Value {
     json!({"revision": version, "complete": complete, "members": endpoints})
 }
@@ -52,7 +52,8 @@
     json!({"image": build, "ring": stage, "progress": phase, "ceiling": 1.0, "lag_ms": 60000})
 }
 
-/// A discovery server that notes the requests it gets and streams the lines it is sent.
+/// Starts a discovery server that records its requests in the trace. It streams to gateways the lines sent to the returned
+/// sender.
 pub fn discovery_server(trace: &Trace) -> (SocketAddr, Sender<String>) {
     let trace = trace.clone();
     let (sender, lines) = channel();
--- a/crates/fault-injection/src/stand_ins/http_server.rs
+++ b/crates/fault-injection/src/stand_ins/http_server.rs
@@ -1,4 +1,4 @@
-//! An HTTP server on a loopback port that hands each request to a function, and the requests that clients write.
+//! An HTTP server on a loopback port that passes each request to a function, and a builder for client requests.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -8,34 +8,34 @@
 use std::thread;
 use std::time::Duration;
 
-/// How long a stream waits for a line before it sends its keep-alive line.
+/// How long a stream waits for a line before it sends a keep-alive line.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_millis(500);
 /// The line that closes a stream.
 const CLOSE_LINE: &str = "close";
 
-/// A request that came to a stand-in, with the connection to answer on.
+/// A request that a stand-in received, with the connection for the response.
 pub struct ReceivedRequest {
-    /// The connection's number at this server, from 1.
+    /// Number of the connection at this server, from 1.
     pub connection: usize,
-    /// The request's number at this server, from 1.
+    /// Number of the request at this server, from 1.
     pub number: usize,
-    /// Request line and header fields, with the empty line behind them.
+    /// Request line and header fields, including the empty line at the end.
     pub head: String,
-    /// The body.
+    /// Request body; empty without a `Content-Length`.
     pub body: String,
-    /// The connection.
+    /// The connection, for the response.
     pub stream: TcpStream,
 }
 
 impl ReceivedRequest {
-    /// The value of a header field, whose name is written exactly so.
+    /// The value of a header field. The name is case-sensitive.
     pub fn field(&self, name: &str) -> Option<&str> {
         self.head
             .lines()
             .find_map(|line| line.strip_prefix(name)?.strip_prefix(": "))
     }
 
-    /// Answers with this status and body; returns whether the connection took it.
+    /// Answers with this status and body, and returns whether the write succeeded.
     pub fn respond(&mut self, status: &str, body: &str) -> bool {
         let text = format!(
             "HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}",
@@ -44,12 +44,12 @@
         self.stream.write_all(text.as_bytes()).is_ok()
     }
 
-    /// Sends each line that comes as a chunk until one reads `close`; sends the keep-alive line, if any, while none
-    /// comes. Returns false: the connection is not kept.
+    /// Sends each received line as a chunk, until a line reads `close` or a write fails. Sends the keep-alive line, if any,
+    /// between lines that are far apart. Always returns false, as the connection can't be reused.
     ///
     /// # Panics
     ///
-    /// If another thread panicked while it held the lines.
+    /// If another thread panicked while it held the lock on `lines`.
     pub fn stream_lines(
         &mut self,
         lines: &Mutex<Receiver<String>>,
@@ -74,7 +74,8 @@
     }
 }
 
-/// Reads a message's head and body, by its length. None if the connection ends before it, or it is no text.
+/// Reads a message's head, and its body by the `Content-Length`. `None` if the connection ends first or the message isn't
+/// UTF-8.
 pub fn read_message(reader: &mut impl BufRead) -> Option<(String, String)> {
     let mut head = String::new();
     while !head.ends_with("\r\n\r\n") {
@@ -90,12 +91,12 @@
     Some((head, String::from_utf8(body).ok()?))
 }
 
-/// Listens on a loopback port and handles the requests of each connection in turn. A connection is closed as soon as
+/// Starts a server on a loopback port that handles the requests of each connection in turn. Closes a connection when
 /// `handle` returns false. Returns the address.
 ///
 /// # Panics
 ///
-/// If the system gives no port.
+/// If no loopback port is available.
 pub fn serve_requests(
     handle: impl Fn(&mut ReceivedRequest) -> bool + Send + Sync + 'static,
 ) -> SocketAddr {
@@ -139,12 +140,12 @@
     }
 }
 
-/// A server that reads requests and never answers.
+/// Starts a server that reads requests and never answers.
 pub fn unresponsive_server() -> SocketAddr {
     serve_requests(|request| request.stream.read(&mut [0; 1]).is_err())
 }
 
-/// A request of a class as a client writes it, with the milliseconds that are left to answer it.
+/// Builds a client request of a request class that states this remaining time.
 pub fn client_request(class: &str, id: &str, remaining_ms: u32) -> String {
     let (method, rest) = match class {
         "draft" => ("GET", "\r\n".to_string()),
--- a/crates/fault-injection/src/stand_ins/mod.rs
+++ b/crates/fault-injection/src/stand_ins/mod.rs
@@ -1,5 +1,5 @@
-//! Scripted stand-ins for what a gateway connects to, with one thread for each connection: for tests that need few
-//! processes and control over every byte. A fault in a stand-in itself ends the test by a panic.
+//! Scripted stand-ins for the services that a gateway connects to, with one thread per connection. They suit tests with few
+//! processes that control every byte. An internal error in a stand-in panics and fails the test.
 
 mod discovery;
 mod endpoint;
@@ -18,5 +18,5 @@
 };
 pub use trace::Trace;
 
-/// How long a test waits for anything.
+/// Time limit of a test for any single wait.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
