--- a/crates/fault-injection/src/soak/servers.rs
+++ b/crates/fault-injection/src/soak/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoints of a soak, which record each attempt.
+//! Endpoint stand-ins of a soak, which record each attempt.
 
 use std::cell::Cell;
 use std::io::Read;
@@ -10,33 +10,33 @@
 
 use nanorand::Rng;
 
-use super::plan::{seeded, HangWindow};
+use super::plan::{seeded_rng, HangWindow};
 use super::records::{Arrival, AttemptRecord};
-use super::sampler::processor_wait;
+use super::sampler::read_processor_wait;
 use crate::stand_ins::{serve_requests, ReceivedRequest};
 
-/// How long an endpoint works on most requests, and on one in [`LONG_WORK_IN`].
+/// How long an endpoint works on most requests. One request in [`LONG_WORK_IN`] takes [`LONG_WORK_MS`] instead.
 const USUAL_WORK_MS: std::ops::RangeInclusive<u64> = 2..=40;
 const LONG_WORK_MS: std::ops::RangeInclusive<u64> = 200..=900;
 const LONG_WORK_IN: u32 = 12;
 /// One answer in this many has a long body.
 const LONG_BODY_IN: u32 = 8;
 const LONG_BODY_BYTES: usize = 60_000;
-/// An endpoint that closes its connections does so after one answer in this many.
+/// An endpoint in [`EndpointMode::Closing`] closes its connection after one answer in this many.
 const CLOSE_IN: u32 = 4;
 
-/// How an endpoint treats its requests.
+/// How an endpoint responds to requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Conduct {
-    /// Answers after some work.
-    Works,
-    /// Answers nothing.
-    Hangs,
-    /// Answers, and closes some connections behind the answer.
-    Closes,
+pub(super) enum EndpointMode {
+    /// Answers after a drawn delay.
+    Answering,
+    /// Never answers.
+    Hanging,
+    /// Answers, and closes some connections after the answer.
+    Closing,
 }
 
-/// The attempts that all endpoints have received.
+/// The attempts that all endpoints received.
 #[derive(Clone)]
 pub(super) struct AttemptLog {
     started_at: Instant,
@@ -51,7 +51,7 @@
         }
     }
 
-    /// The moment that the attempts' times count from.
+    /// The moment from which the times of the attempts count.
     pub(super) fn started_at(&self) -> Instant {
         self.started_at
     }
@@ -65,15 +65,15 @@
     }
 
     fn record(&self, endpoint: usize, request: &ReceivedRequest) {
-        let stated_ms = request
+        let stated_remaining_ms = request
             .field("X-Remaining-Ms")
             .and_then(|ms| ms.parse().ok());
         let attempt = AttemptRecord {
             id: request.field("X-Txn").unwrap_or_default().to_string(),
             endpoint,
             at: self.now(),
-            stated: Duration::from_millis(stated_ms.unwrap_or(0)),
-            arrival: take_arrival(),
+            stated_remaining: Duration::from_millis(stated_remaining_ms.unwrap_or(0)),
+            arrival: measure_arrival(),
         };
         let mut attempts = self.attempts.lock().expect("no endpoint panics");
         attempts.push(attempt);
@@ -81,34 +81,34 @@
 }
 
 thread_local! {
-    /// How long this thread had waited for a processor at the attempt before, if there was one. A connection has a thread.
-    static WAITED: Cell<Option<Duration>> = const { Cell::new(None) };
+    /// Total processor wait of this thread at the previous attempt, if any. Each connection has its own thread.
+    static PREVIOUS_WAIT: Cell<Option<Duration>> = const { Cell::new(None) };
 }
 
-fn take_arrival() -> Arrival {
-    let waited = processor_wait(Path::new("/proc/thread-self"));
-    let before = WAITED.replace(Some(waited));
+fn measure_arrival() -> Arrival {
+    let waited = read_processor_wait(Path::new("/proc/thread-self"));
+    let previous = PREVIOUS_WAIT.replace(Some(waited));
     Arrival {
-        is_first_on_connection: before.is_none(),
-        processor_wait: waited.saturating_sub(before.unwrap_or_default()),
+        is_first_on_connection: previous.is_none(),
+        processor_wait: waited.saturating_sub(previous.unwrap_or_default()),
     }
 }
 
-/// Starts an endpoint.
+/// Starts an endpoint on a loopback port and returns its address.
 pub(super) fn start_endpoint(
     endpoint: usize,
-    conduct: Conduct,
+    mode: EndpointMode,
     hang_window: Option<HangWindow>,
     seed: u64,
     log: &AttemptLog,
 ) -> SocketAddr {
     let log = log.clone();
-    let rng = Mutex::new(seeded(seed));
+    let rng = Mutex::new(seeded_rng(seed));
     serve_requests(move |request| {
         log.record(endpoint, request);
         let is_in_window = hang_window.is_some_and(|window| window.contains(log.now()));
-        if conduct == Conduct::Hangs || is_in_window {
-            // Until the gateway gives up.
+        if mode == EndpointMode::Hanging || is_in_window {
+            // Blocks until the gateway abandons the attempt and closes the connection.
             return request.stream.read(&mut [0; 1]).is_err();
         }
         let mut draw = rng.lock().expect("no endpoint panics").clone();
@@ -125,6 +125,6 @@
             body += &"x".repeat(LONG_BODY_BYTES);
         }
         let is_written = request.respond("200 OK", &body);
-        is_written && !(conduct == Conduct::Closes && draw.generate_range(0..CLOSE_IN) == 0)
+        is_written && !(mode == EndpointMode::Closing && draw.generate_range(0..CLOSE_IN) == 0)
     })
 }
--- a/crates/fault-injection/src/soak/mod.rs
+++ b/crates/fault-injection/src/soak/mod.rs
@@ -1,16 +1,17 @@
-//! A soak of restarts: built gateways under clients that use open connections until the kill, signals in series, stalls,
-//! crowds and endpoints that hang. Judged by what clients, endpoints and the kernel saw.
+//! Soak test of restarts. Built gateways are terminated by series of signals and by kills while clients use open connections
+//! until the kill. Stalls, connection bursts and hanging endpoints add to the load. The rules are checked against the records
+//! of clients and endpoints and against samples from `/proc`.
 
 mod clients;
 mod discovery;
-pub mod judge;
+mod endpoints;
 pub mod plan;
 pub mod records;
 pub mod requests;
 mod restarts;
+pub mod rules;
 mod sampler;
-mod servers;
-pub mod starts;
+pub mod startup;
 mod startup_clients;
 
 use std::io;
@@ -25,53 +26,53 @@
 use thiserror::Error;
 
 use crate::gateway_process::{gateway_program, GatewayProcess, GatewayProcessError};
-use clients::{run_client, Admission, Shared};
+use clients::{run_client, GatewayAccess, SharedState};
 use discovery::DiscoveryStandIn;
-use judge::{judge, Verdict};
-use plan::{seeded, Crowd, Plan, Restart};
+use endpoints::{start_endpoint, AttemptLog, EndpointMode};
+use plan::{seeded_rng, ConnectionBurst, Plan, Restart};
 use records::{DrainRecord, Observations};
-use restarts::{play_restart, GatewaySetup, RestartOutcome};
+use restarts::{perform_restart, GatewaySetup, RestartOutcome};
+use rules::{check_rules, Verdict};
 use sampler::{Sampler, Samples};
-use servers::{start_endpoint, AttemptLog, Conduct};
 
 const ENDPOINTS: usize = 4;
 const DRAINING_ENDPOINT: usize = 3;
 const HANGING_ENDPOINT: usize = 1;
 const CLOSING_ENDPOINT: usize = 2;
-/// How long after it began to drain an endpoint is removed from the list.
-const REMOVED_AFTER_DRAIN: Duration = Duration::from_millis(600);
+/// How long after the start of its drain an endpoint is removed from the list.
+const REMOVAL_DELAY_AFTER_DRAIN: Duration = Duration::from_millis(600);
 const CLIENTS_PER_GATEWAY: usize = 10;
-/// How long a gateway may take to be ready again.
+/// How long a restarted gateway may take to become ready.
 const READY_LIMIT: Duration = Duration::from_secs(1);
 
-/// What a soak is asked for.
+/// The settings of a soak.
 #[derive(Clone, Copy, Debug)]
 pub struct SoakSettings {
-    /// The seed of all that is drawn.
+    /// The seed of all random choices.
     pub seed: u64,
-    /// How many gateways are started.
+    /// The number of gateways.
     pub gateways: usize,
-    /// How long clients come.
+    /// How long clients send requests.
     pub duration: Duration,
 }
 
-/// Why a soak cannot be played.
+/// Why a soak can't run.
 #[derive(Debug, Error)]
 pub enum SoakError {
-    /// A gateway does not start or end.
+    /// A gateway doesn't start or shut down.
     #[error(transparent)]
     Gateway(#[from] GatewayProcessError),
-    /// The folder for the gateways' files cannot be made.
-    #[error("{path}: {source}", path = path.display())]
+    /// The folder for the gateways' files can't be created.
+    #[error("can't create {path}: {source}", path = path.display())]
     Folder {
-        /// The folder.
+        /// Path of the folder.
         path: PathBuf,
-        /// Why.
+        /// The error of the file system.
         source: io::Error,
     },
 }
 
-/// The readiness of restarted gateways.
+/// How long restarted gateways took to become ready.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct ReadyTimes {
     /// The median, in milliseconds.
@@ -80,34 +81,34 @@
     pub max: u64,
 }
 
-/// What came of a soak.
+/// The report of a soak.
 #[derive(Clone, Debug, Serialize)]
 pub struct SoakReport {
-    /// Whether every rule was kept.
+    /// Whether all rules hold.
     pub ok: bool,
-    /// The seed.
+    /// The seed of the soak.
     pub seed: u64,
-    /// What was played.
+    /// Descriptions of the faults that the seed drew.
     pub drawn: Vec<String>,
-    /// What was judged.
+    /// The counts and violations of the rules.
     #[serde(flatten)]
     pub verdict: Verdict,
-    /// How long restarted gateways took to be ready.
+    /// How long restarted gateways took to become ready.
     pub ready_ms: ReadyTimes,
-    /// The most descriptors that a gateway held.
+    /// The most file descriptors that a gateway had open.
     pub descriptors_max: usize,
-    /// The longest that the machine kept a thread of the soak itself from running, in milliseconds. All that is measured here
-    /// may be late by as much; no rule allows for it.
+    /// The longest time for which the machine kept a thread of the soak itself from running, in milliseconds. Any measured
+    /// time may be late by as much; no rule makes allowance for it.
     pub longest_pause_ms: u64,
-    /// The longest that a gateway which could run waited for a processor between two samples, in milliseconds.
+    /// The longest time that a runnable gateway waited for a processor between two samples, in milliseconds.
     pub longest_wait_ms: u64,
 }
 
-/// Plays one seed.
+/// Runs the soak of one seed.
 ///
 /// # Errors
 ///
-/// The gateway's program is not there, or a gateway does not start.
+/// The gateway program is missing, or a gateway doesn't start or shut down.
 pub fn play(settings: &SoakSettings) -> Result<SoakReport, SoakError> {
     let plan = Plan::draw(settings.seed, settings.gateways, settings.duration);
     let attempts = AttemptLog::new(Instant::now());
@@ -116,25 +117,25 @@
     for gateway in 0..settings.gateways {
         processes.push(setup.start(gateway)?);
     }
-    let admissions = processes.iter().map(|process| Admission {
+    let access = processes.iter().map(|process| GatewayAccess {
         address: process.listen_address,
-        is_admitted: true,
-        until: None,
+        accepts_connections: true,
+        accepts_until: None,
     });
-    let shared = Shared::new(settings.seed, admissions.collect(), settings.duration);
+    let shared = SharedState::new(settings.seed, access.collect(), settings.duration);
     let shared = Arc::new(shared);
     if let Some(window) = plan.discovery_window {
         setup.discovery.fail_in(window, shared.started_at);
     }
     let sampler = Sampler::start(&processes);
     let clients = start_clients(settings, &shared);
-    let drain = plan.drains_at.map(|at| start_drain(&setup, &shared, at));
-    let outcomes = play_restarts(&setup, &shared, &plan, processes, &sampler)?;
+    let drain = plan.drain_at.map(|at| schedule_drain(&setup, &shared, at));
+    let outcomes = perform_restarts(&setup, &shared, &plan, processes, &sampler)?;
     for client in clients {
-        // A client that panicked shows as requests without a record.
+        // A client that panicked leaves its last request without a record.
         let _ = client.join();
     }
-    let seen = Observations {
+    let observations = Observations {
         requests: take_all(&shared.requests),
         refused_connections: take_all(&shared.refused_connections),
         startup_connections: outcomes
@@ -147,8 +148,14 @@
         drain: drain.and_then(|drain| drain.join().ok()),
     };
     let offset = shared.started_at - attempts.started_at();
-    let verdict = judge(&seen.shifted(offset));
-    Ok(report(settings, &plan, verdict, outcomes, sampler.stop()))
+    let verdict = check_rules(&observations.with_attempts_shifted(offset));
+    Ok(build_report(
+        settings,
+        &plan,
+        verdict,
+        outcomes,
+        sampler.stop(),
+    ))
 }
 
 fn take_all<T>(records: &Mutex<Vec<T>>) -> Vec<T> {
@@ -160,15 +167,15 @@
     plan: &Plan,
     attempts: &AttemptLog,
 ) -> Result<GatewaySetup, SoakError> {
-    let conduct = |endpoint| match endpoint {
-        HANGING_ENDPOINT if plan.one_endpoint_hangs => Conduct::Hangs,
-        CLOSING_ENDPOINT if plan.one_endpoint_closes => Conduct::Closes,
-        _ => Conduct::Works,
+    let mode = |endpoint| match endpoint {
+        HANGING_ENDPOINT if plan.one_endpoint_hangs => EndpointMode::Hanging,
+        CLOSING_ENDPOINT if plan.one_endpoint_closes => EndpointMode::Closing,
+        _ => EndpointMode::Answering,
     };
     let addresses: Vec<SocketAddr> = (0..ENDPOINTS)
         .map(|index| {
-            let hang_window = plan.all_hang;
-            start_endpoint(index, conduct(index), hang_window, settings.seed, attempts)
+            let hang_window = plan.hang_window;
+            start_endpoint(index, mode(index), hang_window, settings.seed, attempts)
         })
         .collect();
     let folder = std::env::temp_dir().join(format!(
@@ -189,7 +196,10 @@
     })
 }
 
-fn start_clients(settings: &SoakSettings, shared: &Arc<Shared>) -> Vec<thread::JoinHandle<()>> {
+fn start_clients(
+    settings: &SoakSettings,
+    shared: &Arc<SharedState>,
+) -> Vec<thread::JoinHandle<()>> {
     let clients = settings.gateways * CLIENTS_PER_GATEWAY;
     let start = |client: usize| {
         let shared = shared.clone();
@@ -198,34 +208,34 @@
             .seed
             .wrapping_mul(1_000)
             .wrapping_add(client as u64);
-        thread::spawn(move || run_client(&shared, gateway, seeded(seed)))
+        thread::spawn(move || run_client(&shared, gateway, seeded_rng(seed)))
     };
     (0..clients).map(start).collect()
 }
 
-/// Has an endpoint drain later on, and go a while after, and says when every watch carries the drain.
-fn start_drain(
+/// Drains an endpoint at this time and removes it later. The record states when every stream had sent the drain.
+fn schedule_drain(
     setup: &Arc<GatewaySetup>,
-    shared: &Arc<Shared>,
+    shared: &Arc<SharedState>,
     at: Duration,
 ) -> thread::JoinHandle<DrainRecord> {
     let setup = setup.clone();
     let shared = shared.clone();
     thread::spawn(move || {
         thread::sleep(at);
-        let told_at = setup.discovery.drain(DRAINING_ENDPOINT);
-        thread::sleep(REMOVED_AFTER_DRAIN);
+        let published_at = setup.discovery.drain(DRAINING_ENDPOINT);
+        thread::sleep(REMOVAL_DELAY_AFTER_DRAIN);
         setup.discovery.remove(DRAINING_ENDPOINT);
         DrainRecord {
             endpoint: DRAINING_ENDPOINT,
-            told_at: told_at - shared.started_at,
+            published_at: published_at - shared.started_at,
         }
     })
 }
 
-fn play_restarts(
+fn perform_restarts(
     setup: &Arc<GatewaySetup>,
-    shared: &Arc<Shared>,
+    shared: &Arc<SharedState>,
     plan: &Plan,
     processes: Vec<GatewayProcess>,
     sampler: &Sampler,
@@ -236,11 +246,13 @@
         let setup = setup.clone();
         let shared = shared.clone();
         let restart = restart.clone();
-        let slot = sampler.slot(restart.gateway);
+        let slot = sampler.process_id_slot(restart.gateway);
         Some(thread::spawn(move || {
-            let lead = restart.crowd.map_or(Duration::ZERO, |_| Crowd::LEAD);
+            let lead = restart
+                .burst
+                .map_or(Duration::ZERO, |_| ConnectionBurst::LEAD);
             thread::sleep(restart.at.saturating_sub(lead + shared.now()));
-            let outcome = play_restart(&setup, &shared, &restart, process);
+            let outcome = perform_restart(&setup, &shared, &restart, process);
             if let Ok(outcome) = &outcome {
                 slot.store(outcome.process.id() as usize, Ordering::SeqCst);
             }
@@ -254,7 +266,7 @@
         .collect()
 }
 
-fn report(
+fn build_report(
     settings: &SoakSettings,
     plan: &Plan,
     mut verdict: Verdict,
--- a/crates/fault-injection/src/soak/plan.rs
+++ b/crates/fault-injection/src/soak/plan.rs
@@ -1,4 +1,4 @@
-//! What a seed draws: restarts, signals, stalls and crowds. Without sockets and clock.
+//! The plan that a seed draws: restarts, signals, stalls and connection bursts. Uses no sockets and no clock.
 
 use std::fmt;
 use std::time::Duration;
@@ -7,51 +7,51 @@
 
 /// The longest deadline that delays a kill.
 const MAX_COUNTED_DEADLINE: Duration = Duration::from_millis(3_000);
-/// How much later than the counted deadline the earliest kill comes.
+/// Time between [`MAX_COUNTED_DEADLINE`] and the earliest kill.
 const KILL_GRACE: Duration = Duration::from_millis(700);
-/// How long a process may be kept from running.
+/// The longest time for which a process is stopped.
 const MAX_STALL_MS: u64 = 150;
-/// Until how long after a signal new connections come, drawn between the two.
+/// How long after a signal clients keep opening new connections.
 const NEW_CONNECTIONS_MS: std::ops::RangeInclusive<u64> = 200..=400;
-/// When the first restart begins.
+/// The earliest start of the first restart.
 const FIRST_RESTART_MS: u64 = 800;
-/// The fraction of the golden ratio in 64 bits, which spreads numbers that follow each other.
+/// The fractional part of the golden ratio in 64 bits, which spreads consecutive numbers.
 const SEED_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
-/// How long before the first restart all endpoints begin to hang, where they do.
+/// How long before the first restart the window starts in which all endpoints hang.
 const HANG_LEAD: Duration = Duration::from_millis(100);
-/// Sets the draws of sudden kills apart from those before them, so that a seed's other draws stay what they were.
-const SUDDEN_KILL_DRAWS: u64 = 0x6b69_6c6c_0000_0000;
-/// The same for the draws of discovery's faults.
-const DISCOVERY_DRAWS: u64 = 0x6469_7363_0000_0000;
-/// When discovery begins to fail, for how long, and how late it is where it is slow.
-const DISCOVERY_FAULT_FROM_MS: std::ops::RangeInclusive<u64> = 500..=1_500;
+/// Separates the random numbers for sudden kills from a seed's other draws, which therefore stay unchanged.
+const SUDDEN_KILL_SEED_MASK: u64 = 0x6b69_6c6c_0000_0000;
+/// Separates the random numbers for discovery faults likewise.
+const DISCOVERY_SEED_MASK: u64 = 0x6469_7363_0000_0000;
+/// When a discovery fault starts, how long it lasts, and by how much delayed changes are late.
+const DISCOVERY_FAULT_START_MS: std::ops::RangeInclusive<u64> = 500..=1_500;
 const DISCOVERY_FAULT_LENGTH_MS: std::ops::RangeInclusive<u64> = 1_000..=5_500;
 const DISCOVERY_DELAY_MS: std::ops::RangeInclusive<u64> = 100..=1_500;
-/// Descriptors of a gateway, and of one that is short of them.
+/// File descriptor limit of a gateway without and with connection bursts.
 const DESCRIPTORS: usize = 400;
 const FEW_DESCRIPTORS: usize = 90;
-/// A third of the few descriptors, less one for each steady client.
-const CROWD_REQUESTS: std::ops::RangeInclusive<usize> = 5..=20;
+/// Requests of a connection burst: at most a third of [`FEW_DESCRIPTORS`], less one for each steady client.
+const BURST_REQUESTS: std::ops::RangeInclusive<usize> = 5..=20;
 
-/// The earliest kill, counted from the signal.
+/// The earliest kill that the platform guarantees, counted from the signal.
 pub const EARLIEST_KILL: Duration = MAX_COUNTED_DEADLINE.saturating_add(KILL_GRACE);
-/// The least time in which a restart begins and its gateway is up again.
+/// The shortest soak in which a restart can start and its gateway be ready again.
 pub const SHORTEST_RUN: Duration = Duration::from_secs(6);
 
 /// A signal to a gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SignalKind {
-    /// Ends it.
+    /// SIGTERM: starts a shutdown.
     Terminate,
-    /// Ends it.
+    /// SIGINT: starts a shutdown.
     Interrupt,
-    /// Has it read its configuration again.
+    /// SIGHUP: reloads the configuration.
     HangUp,
 }
 
 impl SignalKind {
-    /// Whether it begins a shutdown.
-    pub fn ends(self) -> bool {
+    /// Whether the signal starts a shutdown.
+    pub fn starts_shutdown(self) -> bool {
         self != SignalKind::HangUp
     }
 
@@ -64,7 +64,7 @@
     }
 }
 
-/// Series of signals. All but the fourth end the gateway.
+/// Series of signals. All but the fourth start a shutdown.
 const SIGNAL_SERIES: [&[SignalKind]; 6] = [
     &[SignalKind::Terminate],
     &[SignalKind::Terminate, SignalKind::Terminate],
@@ -83,75 +83,75 @@
     ],
 ];
 
-/// When a gateway's process is kept from running.
+/// When a gateway's process is stopped for a while.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stall {
     /// Never.
     None,
-    /// For this long, beginning just before the first signal.
+    /// For this long, starting right before the first signal.
     BeforeSignal(Duration),
-    /// For this long, ending at the kill.
+    /// For this long, until the kill.
     BeforeKill(Duration),
 }
 
-/// Many clients that connect at once. With the steady clients' requests theirs take a third of the descriptors at most, as the
-/// platform grants.
+/// Many clients that connect at once. Their requests and those of the steady clients together use at most a third of the
+/// file descriptors, which the platform guarantees.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Crowd {
-    /// How many connect and say nothing.
-    pub silent: usize,
-    /// How many connect and send one request each.
+pub struct ConnectionBurst {
+    /// How many clients connect and send nothing.
+    pub idle: usize,
+    /// How many clients connect and send one request each.
     pub requests: usize,
-    /// When, counted from [`Crowd::LEAD`] before the signal.
+    /// When the burst starts, counted from [`ConnectionBurst::LEAD`] before the signal.
     pub delay: Duration,
 }
 
-impl Crowd {
-    /// How long before the signal a crowd may come.
+impl ConnectionBurst {
+    /// How long before the signal a burst may start.
     pub const LEAD: Duration = Duration::from_millis(60);
 }
 
-/// How a restart ends its gateway.
+/// How a restart terminates its gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
-    /// By the signals, and a kill at the earliest moment after them.
+pub enum Termination {
+    /// By signals, followed by a kill at [`EARLIEST_KILL`] if the process still runs.
     Signals,
-    /// By a kill with no signal before it.
+    /// By a kill without a preceding signal.
     SuddenKill,
 }
 
-/// One gateway's restart.
+/// The restart of one gateway.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Restart {
-    /// The gateway.
+    /// Index of the gateway.
     pub gateway: usize,
-    /// When the first signal is sent.
+    /// When the first signal or the sudden kill is sent, counted from the start of the soak.
     pub at: Duration,
-    /// How the gateway ends.
-    pub ending: Ending,
-    /// The signals, where it ends by them.
+    /// How the gateway is terminated.
+    pub termination: Termination,
+    /// The signals that are sent unless the gateway is killed suddenly.
     pub signals: Vec<SignalKind>,
     /// The time from each signal to the next.
     pub signal_gap: Duration,
-    /// When the process is stalled.
+    /// When the process is stopped for a while.
     pub stall: Stall,
-    /// How long after the signal new connections come.
+    /// How long after the signal clients keep opening new connections.
     pub new_connections_for: Duration,
-    /// A crowd, in some restarts.
-    pub crowd: Option<Crowd>,
+    /// A connection burst; `None` in most plans.
+    pub burst: Option<ConnectionBurst>,
 }
 
-/// A time in which endpoints receive requests and answer none of them.
+/// A window in which endpoints receive requests and answer none of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HangWindow {
-    /// When it begins.
+    /// Start of the window, from the start of the soak.
     pub from: Duration,
-    /// When it ends.
+    /// End of the window, exclusive.
     pub until: Duration,
 }
 
 impl HangWindow {
-    /// Whether a request that is received now is not answered.
+    /// Whether a request that an endpoint receives at this time stays unanswered.
     pub fn contains(&self, at: Duration) -> bool {
         (self.from..self.until).contains(&at)
     }
@@ -174,49 +174,51 @@
 /// How discovery fails for a while.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryFault {
-    /// It says nothing on watches and answers no call. What changes meanwhile is told at the end.
-    Away,
-    /// It learns of changes later by this, and answers calls at once with what it has, as the platform's agent does.
-    Slow(Duration),
+    /// Discovery sends nothing on streams and answers no request. Changes are published at the end of the window.
+    Unavailable,
+    /// Discovery publishes changes with this delay. Like the platform's agent, it answers requests at once with the
+    /// published list.
+    Delayed(Duration),
 }
 
-/// A time in which discovery fails, and its list changes.
+/// A window in which discovery fails while its endpoint list changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DiscoveryWindow {
-    /// What fails.
+    /// How discovery fails.
     pub fault: DiscoveryFault,
-    /// When it begins.
+    /// Start of the window, from the start of the soak.
     pub from: Duration,
-    /// When it ends.
+    /// End of the window, exclusive.
     pub until: Duration,
 }
 
 impl DiscoveryWindow {
-    /// When a change of this moment is told. Where discovery is away, it answers calls of this moment then, too.
-    pub fn told_at(&self, at: Duration) -> Duration {
+    /// When a change that is made at this time is published. If discovery is unavailable, requests received at this time are
+    /// answered at that moment, too.
+    pub fn published_at(&self, at: Duration) -> Duration {
         match self.fault {
             _ if !(self.from..self.until).contains(&at) => at,
-            DiscoveryFault::Away => self.until,
-            DiscoveryFault::Slow(delay) => at + delay,
+            DiscoveryFault::Unavailable => self.until,
+            DiscoveryFault::Delayed(delay) => at + delay,
         }
     }
 
     fn draw(rng: &mut WyRand) -> DiscoveryWindow {
-        let from = milliseconds(rng, DISCOVERY_FAULT_FROM_MS);
-        let until = from + milliseconds(rng, DISCOVERY_FAULT_LENGTH_MS);
-        let delay = milliseconds(rng, DISCOVERY_DELAY_MS);
-        let fault = if one_in(rng, 2) {
-            DiscoveryFault::Away
+        let from = draw_milliseconds(rng, DISCOVERY_FAULT_START_MS);
+        let until = from + draw_milliseconds(rng, DISCOVERY_FAULT_LENGTH_MS);
+        let delay = draw_milliseconds(rng, DISCOVERY_DELAY_MS);
+        let fault = if draw_one_in(rng, 2) {
+            DiscoveryFault::Unavailable
         } else {
-            DiscoveryFault::Slow(delay)
+            DiscoveryFault::Delayed(delay)
         };
         DiscoveryWindow { fault, from, until }
     }
 
-    /// When an endpoint begins to drain: within the window, early enough that it is judged before the end of most runs.
-    fn draw_drain(&self, rng: &mut WyRand) -> Duration {
+    /// Draws when an endpoint starts to drain: in the first half of the window, early enough that most soaks check it.
+    fn draw_drain_time(&self, rng: &mut WyRand) -> Duration {
         let length = (self.until - self.from).as_millis() as u64;
-        self.from + milliseconds(rng, 0..=length / 2)
+        self.from + draw_milliseconds(rng, 0..=length / 2)
     }
 }
 
@@ -224,8 +226,8 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let (from, until) = (self.from.as_millis(), self.until.as_millis());
         match self.fault {
-            DiscoveryFault::Away => write!(f, "discovery is away")?,
-            DiscoveryFault::Slow(delay) => {
+            DiscoveryFault::Unavailable => write!(f, "discovery is away")?,
+            DiscoveryFault::Delayed(delay) => {
                 write!(f, "discovery is {} ms late", delay.as_millis())?;
             }
         }
@@ -233,79 +235,83 @@
     }
 }
 
-/// What is played.
+/// The faults of one soak. All times count from its start.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Plan {
-    /// The restarts, in the order of their times.
+    /// The restarts, ordered by time.
     pub restarts: Vec<Restart>,
-    /// Whether one endpoint answers nothing at all.
+    /// Whether one endpoint never answers.
     pub one_endpoint_hangs: bool,
-    /// When no endpoint answers what it receives: through the whole of the first restart, in some runs.
-    pub all_hang: Option<HangWindow>,
-    /// Whether one endpoint closes its connections after some answers.
+    /// A window that covers the first restart, in which no endpoint answers; `None` in most plans.
+    pub hang_window: Option<HangWindow>,
+    /// Whether one endpoint closes its connection after some answers.
     pub one_endpoint_closes: bool,
-    /// When one endpoint begins to drain.
-    pub drains_at: Option<Duration>,
-    /// When discovery fails, in some runs. An endpoint drains meanwhile.
+    /// When one endpoint starts to drain; `None` if none does.
+    pub drain_at: Option<Duration>,
+    /// When discovery fails, while an endpoint starts to drain; `None` in most plans.
     pub discovery_window: Option<DiscoveryWindow>,
-    /// How many descriptors each gateway may have.
+    /// File descriptor limit of each gateway.
     pub descriptors: usize,
 }
 
-pub(super) fn milliseconds(rng: &mut WyRand, range: std::ops::RangeInclusive<u64>) -> Duration {
+pub(super) fn draw_milliseconds(
+    rng: &mut WyRand,
+    range: std::ops::RangeInclusive<u64>,
+) -> Duration {
     Duration::from_millis(rng.generate_range(range))
 }
 
-pub(super) fn one_in(rng: &mut WyRand, count: u32) -> bool {
+pub(super) fn draw_one_in(rng: &mut WyRand, count: u32) -> bool {
     rng.generate_range(0..count) == 0
 }
 
-/// A generator whose draws differ between neighbouring seeds, which `WyRand` alone does not give for the first of them.
-pub fn seeded(seed: u64) -> WyRand {
+/// Creates a random generator whose draws differ between consecutive seeds. `WyRand` alone doesn't ensure this for the
+/// first draws.
+pub fn seeded_rng(seed: u64) -> WyRand {
     let mut mixed = seed.wrapping_mul(SEED_MULTIPLIER);
     mixed ^= mixed >> (u64::BITS / 2);
     WyRand::new_seed(mixed.wrapping_mul(SEED_MULTIPLIER))
 }
 
 impl Plan {
-    /// What this seed plays with so many gateways in this time.
+    /// Draws the plan of a seed for this number of gateways and this duration of the soak.
     pub fn draw(seed: u64, gateways: usize, duration: Duration) -> Plan {
-        let mut rng = seeded(seed);
-        let has_crowds = one_in(&mut rng, 3);
+        let mut rng = seeded_rng(seed);
+        let has_bursts = draw_one_in(&mut rng, 3);
         let last_ms = duration.saturating_sub(SHORTEST_RUN).as_millis() as u64;
         let mut restarts: Vec<Restart> = (0..gateways)
             .map(|gateway| {
-                let at = milliseconds(&mut rng, FIRST_RESTART_MS..=FIRST_RESTART_MS + last_ms);
-                draw_restart(&mut rng, gateway, at, has_crowds)
+                let at = draw_milliseconds(&mut rng, FIRST_RESTART_MS..=FIRST_RESTART_MS + last_ms);
+                draw_restart(&mut rng, gateway, at, has_bursts)
             })
             .collect();
         restarts.sort_by_key(|restart| restart.at);
-        let drains_at = milliseconds(&mut rng, 500..=2_000);
+        let drain_at = draw_milliseconds(&mut rng, 500..=2_000);
         for restart in &mut restarts {
-            if one_in(
-                &mut seeded(seed ^ (SUDDEN_KILL_DRAWS + restart.gateway as u64)),
+            if draw_one_in(
+                &mut seeded_rng(seed ^ (SUDDEN_KILL_SEED_MASK + restart.gateway as u64)),
                 4,
             ) {
-                restart.ending = Ending::SuddenKill;
+                restart.termination = Termination::SuddenKill;
             }
         }
-        let mut discovery_rng = seeded(seed ^ DISCOVERY_DRAWS);
+        let mut discovery_rng = seeded_rng(seed ^ DISCOVERY_SEED_MASK);
         let discovery_window =
-            one_in(&mut discovery_rng, 3).then(|| DiscoveryWindow::draw(&mut discovery_rng));
-        let drain_meanwhile = discovery_window.map(|w| w.draw_drain(&mut discovery_rng));
+            draw_one_in(&mut discovery_rng, 3).then(|| DiscoveryWindow::draw(&mut discovery_rng));
+        let drain_during_fault = discovery_window.map(|w| w.draw_drain_time(&mut discovery_rng));
         let first_restart = restarts.first().map_or(Duration::ZERO, |first| first.at);
-        let all_hang = HangWindow {
+        let hang_window = HangWindow {
             from: first_restart.saturating_sub(HANG_LEAD),
             until: first_restart + EARLIEST_KILL,
         };
         Plan {
             restarts,
-            one_endpoint_hangs: one_in(&mut rng, 3),
-            all_hang: one_in(&mut rng, 4).then_some(all_hang),
-            one_endpoint_closes: one_in(&mut rng, 3),
-            drains_at: drain_meanwhile.or(one_in(&mut rng, 3).then_some(drains_at)),
+            one_endpoint_hangs: draw_one_in(&mut rng, 3),
+            hang_window: draw_one_in(&mut rng, 4).then_some(hang_window),
+            one_endpoint_closes: draw_one_in(&mut rng, 3),
+            drain_at: drain_during_fault.or(draw_one_in(&mut rng, 3).then_some(drain_at)),
             discovery_window,
-            descriptors: if has_crowds {
+            descriptors: if has_bursts {
                 FEW_DESCRIPTORS
             } else {
                 DESCRIPTORS
@@ -315,60 +321,63 @@
 }
 
 impl Plan {
-    /// What is played, in words.
+    /// Describes the plan for the report, one text per fault.
     pub fn describe(&self) -> Vec<String> {
         let mut drawn: Vec<String> = self.restarts.iter().map(Restart::to_string).collect();
-        let all_hang = "no endpoint answers during the first restart";
-        drawn.extend(self.all_hang.map(|_| all_hang.into()));
+        let hang_window = "no endpoint answers during the first restart";
+        drawn.extend(self.hang_window.map(|_| hang_window.into()));
         drawn.extend(self.one_endpoint_hangs.then(|| "an endpoint hangs".into()));
         drawn.extend(
             self.one_endpoint_closes
                 .then(|| "an endpoint closes connections".into()),
         );
         let drain = |at: Duration| format!("an endpoint drains at {} ms", at.as_millis());
-        drawn.extend(self.drains_at.map(drain));
+        drawn.extend(self.drain_at.map(drain));
         drawn.extend(self.discovery_window.map(|window| window.to_string()));
         drawn.push(format!("{} descriptors a gateway", self.descriptors));
         drawn
     }
 }
 
-fn draw_restart(rng: &mut WyRand, gateway: usize, at: Duration, has_crowds: bool) -> Restart {
+fn draw_restart(rng: &mut WyRand, gateway: usize, at: Duration, has_bursts: bool) -> Restart {
     let series = rng.generate_range(0..SIGNAL_SERIES.len());
-    let length = milliseconds(rng, 20..=MAX_STALL_MS);
+    let length = draw_milliseconds(rng, 20..=MAX_STALL_MS);
     let stall = match rng.generate_range(0..3_u32) {
         0 => Stall::BeforeSignal(length),
         1 => Stall::BeforeKill(length),
         _ => Stall::None,
     };
-    let crowd = Crowd {
-        silent: rng.generate_range(100..=300),
-        requests: rng.generate_range(CROWD_REQUESTS),
-        delay: milliseconds(rng, 0..=2 * Crowd::LEAD.as_millis() as u64),
+    let burst = ConnectionBurst {
+        idle: rng.generate_range(100..=300),
+        requests: rng.generate_range(BURST_REQUESTS),
+        delay: draw_milliseconds(rng, 0..=2 * ConnectionBurst::LEAD.as_millis() as u64),
     };
     Restart {
         gateway,
         at,
-        ending: Ending::Signals,
+        termination: Termination::Signals,
         signals: SIGNAL_SERIES[series].to_vec(),
-        signal_gap: milliseconds(rng, 1..=16),
+        signal_gap: draw_milliseconds(rng, 1..=16),
         stall,
-        new_connections_for: milliseconds(rng, NEW_CONNECTIONS_MS),
-        crowd: has_crowds.then_some(crowd),
+        new_connections_for: draw_milliseconds(rng, NEW_CONNECTIONS_MS),
+        burst: has_bursts.then_some(burst),
     }
 }
 
 impl fmt::Display for Restart {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "n{} at {} ms: ", self.gateway, self.at.as_millis())?;
-        match self.ending {
-            Ending::SuddenKill => write!(f, "KILL")?,
-            Ending::Signals => self.fmt_signals(f)?,
+        match self.termination {
+            Termination::SuddenKill => write!(f, "KILL")?,
+            Termination::Signals => self.fmt_signals(f)?,
         }
-        match self.crowd {
-            Some(Crowd {
-                silent, requests, ..
-            }) => write!(f, ", crowd of {silent} silent and {requests} asking"),
+        match self.burst {
+            Some(ConnectionBurst { idle, requests, .. }) => {
+                write!(
+                    f,
+                    ", crowd of {idle} idle and {requests} requesting clients"
+                )
+            }
             None => Ok(()),
         }
     }
--- a/crates/fault-injection/src/soak/records.rs
+++ b/crates/fault-injection/src/soak/records.rs
@@ -1,73 +1,74 @@
-//! What clients, endpoints and the kernel saw of a soak. All times count from its start.
+//! What clients and endpoints recorded during a soak. All times count from the start of the soak.
 
 use std::time::Duration;
 
 use super::requests::RequestClass;
-use super::starts::StartupConnection;
+use super::startup::StartupConnection;
 
-/// How a request ended for its client.
+/// How a request ended from the client's point of view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RequestEnd {
-    /// It has a whole answer.
+pub enum RequestOutcome {
+    /// The client received a complete answer.
     Answered {
-        /// When its last byte was read.
+        /// When the client read the last byte of the answer.
         at: Duration,
-        /// Whether it is the answer made for this request.
-        is_own: bool,
+        /// Whether the answer belongs to this request.
+        is_matching: bool,
     },
-    /// The connection ended, or the client gave up waiting long after the deadline.
+    /// The connection ended, or the client stopped waiting long after the deadline.
     Unanswered {
-        /// When.
+        /// When the connection ended or the client stopped waiting.
         at: Duration,
-        /// How many bytes of an answer had come.
+        /// How many bytes of an answer the client had received.
         received_bytes: usize,
     },
-    /// The client closed its connection.
-    Left {
-        /// When.
+    /// The client closed its connection before an answer.
+    ClientClosed {
+        /// When the client closed the connection.
         at: Duration,
     },
-    /// The client ended its writing side and read on. The gateway sees what it sees of one that closes, and counts it as gone.
+    /// The client shut down its sending side and kept reading. The gateway can't tell this from a full close and treats the
+    /// client as disconnected.
     HalfClosed {
-        /// When.
+        /// When the client shut down its sending side.
         at: Duration,
-        /// Whether a whole answer came all the same, and was the one made for this request.
+        /// What the client received afterwards.
         answer: HalfCloseAnswer,
     },
 }
 
-/// What came to a client that had ended its writing side.
+/// What a client received after it shut down its sending side.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HalfCloseAnswer {
-    /// No whole answer.
+    /// No complete answer.
     None,
-    /// The answer made for its request.
-    Own,
-    /// Another's.
-    Foreign,
+    /// The answer to its request.
+    Matching,
+    /// The answer to another request.
+    Mismatched,
 }
 
-/// A request whose last byte was written.
+/// A request that a client wrote in full.
 #[derive(Clone, Debug)]
 pub struct RequestRecord {
-    /// Its id.
+    /// The id that the client sent with the request.
     pub id: String,
-    /// The gateway.
+    /// Index of the gateway.
     pub gateway: usize,
-    /// Its class.
+    /// How safe the request is to repeat.
     pub class: RequestClass,
-    /// When its last byte was written.
+    /// When the client wrote the last byte.
     pub written_at: Duration,
-    /// The time that it stated.
+    /// The remaining time that the request stated, counted from `written_at`.
     pub deadline: Duration,
-    /// Whether its connection had carried an answer before.
+    /// Whether the connection had carried an earlier answer.
     pub is_connection_reused: bool,
-    /// Whether its connection was tried from the spawn of its gateway on.
-    pub is_in_start: bool,
-    /// Whether its client reads with pauses.
+    /// Whether the client had tried to connect since its gateway was spawned.
+    pub is_startup_client: bool,
+    /// Whether the client reads with pauses.
     pub reads_slowly: bool,
-    /// How it ended.
-    pub end: RequestEnd,
+    /// How the request ended.
+    pub outcome: RequestOutcome,
 }
 
 /// An attempt that an endpoint received.
@@ -75,88 +76,88 @@
 pub struct AttemptRecord {
     /// The request's id.
     pub id: String,
-    /// The endpoint.
+    /// Index of the endpoint.
     pub endpoint: usize,
-    /// When its last byte came.
+    /// When the endpoint had received the whole request.
     pub at: Duration,
-    /// The time that it stated.
-    pub stated: Duration,
-    /// How far the machine and the connection may have made it late.
+    /// The remaining time that the gateway stated to the endpoint.
+    pub stated_remaining: Duration,
+    /// What may have delayed the attempt on the machine or the connection.
     pub arrival: Arrival,
 }
 
-/// How an attempt came to its endpoint. Told with a violation; no rule allows for it.
+/// How an attempt arrived at its endpoint. Reported with a violation; no rule makes allowance for it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Arrival {
-    /// Whether it is the first on its connection.
+    /// Whether the attempt is the first on its connection.
     pub is_first_on_connection: bool,
-    /// How long the endpoint's thread waited for a processor since the attempt before, or since it was started.
+    /// How long the endpoint's thread waited for a processor since the previous attempt, or since the thread started.
     pub processor_wait: Duration,
 }
 
 /// A gateway's shutdown.
 #[derive(Clone, Copy, Debug)]
 pub struct ShutdownRecord {
-    /// The gateway.
+    /// Index of the gateway.
     pub gateway: usize,
-    /// When the signal was sent.
+    /// When the first signal that starts a shutdown was sent.
     pub signal_at: Duration,
-    /// When it was killed, if it still ran.
+    /// When the gateway was killed; `None` if it exited by itself.
     pub killed_at: Option<Duration>,
 }
 
-/// A kill of a gateway with no signal before it.
+/// A kill of a gateway without a preceding signal.
 #[derive(Clone, Copy, Debug)]
 pub struct SuddenKillRecord {
-    /// The gateway.
+    /// Index of the gateway.
     pub gateway: usize,
-    /// When it was about to be killed.
+    /// Right before the kill.
     pub from: Duration,
-    /// When its process was gone.
+    /// When the process had exited.
     pub until: Duration,
 }
 
-/// A connection that did not come up while its gateway was to accept connections.
+/// A connection that could not be established although its gateway had to accept connections.
 #[derive(Clone, Copy, Debug)]
 pub struct RefusedConnection {
-    /// The gateway.
+    /// Index of the gateway.
     pub gateway: usize,
-    /// When it was refused.
+    /// When the connection failed.
     pub at: Duration,
 }
 
-/// An endpoint that drains.
+/// A drain of an endpoint.
 #[derive(Clone, Copy, Debug)]
 pub struct DrainRecord {
-    /// The endpoint.
+    /// Index of the endpoint.
     pub endpoint: usize,
-    /// When discovery had written it to every gateway.
-    pub told_at: Duration,
+    /// When discovery had sent the drain to every gateway.
+    pub published_at: Duration,
 }
 
-/// All that was seen.
+/// Everything recorded during a soak.
 #[derive(Clone, Debug, Default)]
 pub struct Observations {
-    /// The clients' requests.
+    /// The requests that clients wrote.
     pub requests: Vec<RequestRecord>,
-    /// The attempts.
+    /// The attempts that endpoints received.
     pub attempts: Vec<AttemptRecord>,
-    /// The connections that did not come up.
+    /// The connections that could not be established.
     pub refused_connections: Vec<RefusedConnection>,
-    /// The connections of clients that connect from the spawn of a gateway on.
+    /// The connections of clients that try to connect as soon as a gateway is spawned.
     pub startup_connections: Vec<StartupConnection>,
-    /// The shutdowns.
+    /// The shutdowns by signal.
     pub shutdowns: Vec<ShutdownRecord>,
-    /// The kills with no signal before them.
+    /// The kills without a preceding signal.
     pub sudden_kills: Vec<SuddenKillRecord>,
-    /// The drain, if one was played.
+    /// The drain of an endpoint, if the plan has one.
     pub drain: Option<DrainRecord>,
 }
 
 impl Observations {
-    /// The same with the attempts' times counted from a moment that is later by this.
+    /// Subtracts this offset from the times of the attempts, which count from an earlier moment.
     #[must_use]
-    pub fn shifted(mut self, offset: Duration) -> Observations {
+    pub fn with_attempts_shifted(mut self, offset: Duration) -> Observations {
         for attempt in &mut self.attempts {
             attempt.at = attempt.at.saturating_sub(offset);
         }
--- a/crates/fault-injection/src/soak/requests.rs
+++ b/crates/fault-injection/src/soak/requests.rs
@@ -1,27 +1,27 @@
-//! What a client draws for each of its requests. Without sockets and clock.
+//! Random parameters of each client request. Uses no sockets and no clock.
 
 use std::time::Duration;
 
 use nanorand::{Rng, WyRand};
 
-use super::plan::{milliseconds, one_in};
+use super::plan::{draw_milliseconds, draw_one_in};
 
-/// The longest deadline of a request, of which the platform counts less for a kill.
+/// The longest deadline of a request. Longer than the longest deadline that delays a kill.
 const LONGEST_DEADLINE_MS: u64 = 3_251;
 
-/// How safe a request is to repeat.
+/// Retry safety of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestClass {
     /// Safe to repeat.
     Idempotent,
     /// Safe to repeat with its key.
     Keyed,
-    /// Not to be repeated once it may have run.
+    /// Must not be repeated once it may have taken effect.
     NonIdempotent,
 }
 
 impl RequestClass {
-    /// The class's name in the gateway's settings.
+    /// The request class's name in the gateway's settings.
     pub fn name(self) -> &'static str {
         match self {
             RequestClass::Idempotent => "draft",
@@ -31,29 +31,30 @@
     }
 }
 
-/// How a client sends a request and takes its answer.
+/// How a client sends a request and reads the answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestPlan {
-    /// The request's class.
+    /// Retry safety of the request.
     pub class: RequestClass,
-    /// The time that the client states.
+    /// The remaining time that the client states.
     pub deadline: Duration,
-    /// How many pieces it is written in.
+    /// In how many pieces the client writes the request.
     pub pieces: usize,
-    /// The pause between two pieces.
+    /// The pause between two pieces of the request.
     pub piece_pause: Duration,
-    /// Whether the answer is read in small parts with pauses.
+    /// Whether the client reads the answer in small parts with pauses.
     pub reads_slowly: bool,
-    /// After how long the client closes its connection without an answer.
-    pub leaves_after: Option<Duration>,
-    /// After how long the client without an answer ends its writing side, and reads on.
+    /// How long the client waits for an answer before it closes its connection; `None` if it waits past the deadline.
+    pub closes_after: Option<Duration>,
+    /// How long the client waits for an answer before it shuts down its sending side and keeps reading; `None` if it
+    /// doesn't.
     pub half_closes_after: Option<Duration>,
-    /// How long the client waits before its next request.
+    /// The pause before the client's next request.
     pub pause: Duration,
 }
 
 impl RequestPlan {
-    /// The next request of a client.
+    /// Draws the next request of a client.
     pub fn draw(rng: &mut WyRand) -> RequestPlan {
         let classes = [
             RequestClass::Idempotent,
@@ -61,60 +62,60 @@
             RequestClass::NonIdempotent,
         ];
         let deadlines_ms = [150, 400, 1_000, 2_000, LONGEST_DEADLINE_MS];
-        let leaves_after = one_in(rng, 20).then_some(milliseconds(rng, 5..=300));
-        let half_closes_after = one_in(rng, 20).then_some(draw_half_close(rng));
+        let closes_after = draw_one_in(rng, 20).then_some(draw_milliseconds(rng, 5..=300));
+        let half_closes_after = draw_one_in(rng, 20).then_some(draw_half_close_delay(rng));
         RequestPlan {
             class: classes[rng.generate_range(0..classes.len())],
             deadline: Duration::from_millis(
                 deadlines_ms[rng.generate_range(0..deadlines_ms.len())],
             ),
-            pieces: if one_in(rng, 6) {
+            pieces: if draw_one_in(rng, 6) {
                 rng.generate_range(2..=4)
             } else {
                 1
             },
-            piece_pause: milliseconds(rng, 1..=60),
-            reads_slowly: one_in(rng, 12),
-            leaves_after,
-            half_closes_after: half_closes_after.filter(|_| leaves_after.is_none()),
-            pause: if one_in(rng, 2) {
+            piece_pause: draw_milliseconds(rng, 1..=60),
+            reads_slowly: draw_one_in(rng, 12),
+            closes_after,
+            half_closes_after: half_closes_after.filter(|_| closes_after.is_none()),
+            pause: if draw_one_in(rng, 2) {
                 Duration::ZERO
             } else {
-                milliseconds(rng, 1..=120)
+                draw_milliseconds(rng, 1..=120)
             },
         }
     }
 
-    /// The request of a client that connects in a start: written at once, and waited for.
-    pub fn of_start(rng: &mut WyRand) -> RequestPlan {
+    /// Draws the request of a client that connects during a gateway's startup: written at once and awaited.
+    pub fn for_startup_client(rng: &mut WyRand) -> RequestPlan {
         let drawn = RequestPlan::draw(rng);
         RequestPlan {
             class: drawn.class,
             deadline: drawn.deadline,
-            ..RequestPlan::of_crowd()
+            ..RequestPlan::for_burst()
         }
     }
 
-    /// One request of a crowd: written at once, and waited for.
-    pub fn of_crowd() -> RequestPlan {
+    /// One request of a connection burst: written at once and awaited.
+    pub fn for_burst() -> RequestPlan {
         RequestPlan {
             class: RequestClass::Idempotent,
             deadline: Duration::from_millis(2_000),
             pieces: 1,
             piece_pause: Duration::ZERO,
             reads_slowly: false,
-            leaves_after: None,
+            closes_after: None,
             half_closes_after: None,
             pause: Duration::ZERO,
         }
     }
 }
 
-/// Right behind the request in half of the cases, as a client does that sends a file and waits.
-fn draw_half_close(rng: &mut WyRand) -> Duration {
-    if one_in(rng, 2) {
+/// Draws a half-close right after the request in half of the cases, like a client that sends a file and waits.
+fn draw_half_close_delay(rng: &mut WyRand) -> Duration {
+    if draw_one_in(rng, 2) {
         Duration::ZERO
     } else {
-        milliseconds(rng, 1..=100)
+        draw_milliseconds(rng, 1..=100)
     }
 }
--- a/crates/fault-injection/src/soak/restarts.rs
+++ b/crates/fault-injection/src/soak/restarts.rs
@@ -1,4 +1,4 @@
-//! Restarts: signals in series, a kill at the earliest moment that the platform grants, and the start anew.
+//! Restarts of gateways: a series of signals, a kill at the earliest time that the platform guarantees, and the new start.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -10,29 +10,29 @@
 use rustix::process::Signal;
 use serde_json::{json, Value};
 
-use super::clients::{run_asking_client, run_silent_client, Shared};
+use super::clients::{run_idle_client, run_requesting_client, SharedState};
 use super::discovery::DiscoveryStandIn;
-use super::plan::{Crowd, Ending, Restart, SignalKind, Stall, EARLIEST_KILL};
+use super::plan::{ConnectionBurst, Restart, SignalKind, Stall, Termination, EARLIEST_KILL};
 use super::records::{ShutdownRecord, SuddenKillRecord};
-use super::starts::StartupConnection;
+use super::startup::StartupConnection;
 use super::startup_clients::{StartupClients, StartupTarget};
 use crate::gateway_process::{GatewayCommand, GatewayProcess, GatewayProcessError};
 use crate::stand_ins::policy_settings;
 
-/// How often it is checked whether a process has ended, or is ready.
+/// How often the soak checks whether a process has exited or is ready.
 const CHECK_INTERVAL: Duration = Duration::from_millis(1);
-/// How long a gateway may take to be ready.
+/// Time limit for a gateway to become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
 const READY_REQUEST: &[u8] = b"GET /ready HTTP/1.1\r\nConnection: close\r\n\r\n";
 const MEMORY_MB: u32 = 192;
-/// How far the seeds of two gateways' clients of a start lie apart.
+/// Distance between the seeds of two gateways' startup clients.
 const STARTUP_SEED_STEP: u64 = 1_000_000_007;
 const ANY_PORT: &str = "127.0.0.1:0";
-/// A crowd's clients connect within this time.
-const CROWD_SPREAD: Duration = Duration::from_millis(50);
-const CROWD_STACK_BYTES: usize = 256 * 1024;
+/// The clients of a connection burst connect within this time.
+const BURST_SPREAD: Duration = Duration::from_millis(50);
+const BURST_STACK_BYTES: usize = 256 * 1024;
 
-/// What the gateways of a soak are started with.
+/// What is needed to start the gateways of a soak.
 pub(super) struct GatewaySetup {
     pub(super) program: PathBuf,
     pub(super) folder: PathBuf,
@@ -43,7 +43,7 @@
 
 impl Drop for GatewaySetup {
     fn drop(&mut self) {
-        // Configurations that stay behind harm nobody.
+        // A leftover configuration file is harmless.
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
@@ -55,14 +55,14 @@
             "limits": {"memory_mb": MEMORY_MB, "sockets": self.descriptors}, "settings": policy_settings()})
     }
 
-    /// Starts a gateway on a port of the system's choice, and waits until it listens.
+    /// Starts a gateway on a port chosen by the system, and waits until it listens.
     pub(super) fn start(&self, gateway: usize) -> Result<GatewayProcess, GatewayProcessError> {
         let configuration = self.configuration(gateway, ANY_PORT);
         let name = format!("n{gateway}");
         GatewayProcess::start(&self.program, &self.folder, &name, &configuration, None)
     }
 
-    /// Spawns a gateway at an address, which its environment names too, as the platform does.
+    /// Spawns a gateway at an address, which is also set in its environment, as on the platform.
     fn spawn(
         &self,
         target: StartupTarget,
@@ -92,21 +92,23 @@
     }
 }
 
-/// What came of a restart beside its shutdown.
+/// The result of a restart.
 pub(super) struct RestartOutcome {
+    /// The running process: the new one if the gateway was restarted.
     pub(super) process: GatewayProcess,
+    /// `None` if no signal started a shutdown.
     pub(super) shutdown: Option<ShutdownRecord>,
     pub(super) sudden_kill: Option<SuddenKillRecord>,
-    /// From the start anew until the gateway was ready.
+    /// Time from the new spawn until the gateway was ready; `None` if it never was, or was not restarted.
     pub(super) ready_after: Option<Duration>,
-    /// What clients saw that connected from the spawn on.
+    /// Results of the clients that tried to connect from the spawn on.
     pub(super) startup_connections: Vec<StartupConnection>,
     pub(super) violations: Vec<String>,
 }
 
 impl RestartOutcome {
-    /// Of a gateway that goes on as it is.
-    fn unchanged(process: GatewayProcess) -> RestartOutcome {
+    /// The outcome for a gateway that keeps running.
+    fn still_running(process: GatewayProcess) -> RestartOutcome {
         RestartOutcome {
             process,
             shutdown: None,
@@ -118,34 +120,34 @@
     }
 }
 
-/// Plays a restart. The time until it begins has passed.
-pub(super) fn play_restart(
+/// Performs a restart that is due now.
+pub(super) fn perform_restart(
     setup: &GatewaySetup,
-    shared: &Arc<Shared>,
+    shared: &Arc<SharedState>,
     restart: &Restart,
     process: GatewayProcess,
 ) -> Result<RestartOutcome, GatewayProcessError> {
-    let crowd = restart
-        .crowd
-        .map(|crowd| start_crowd(shared, restart.gateway, crowd));
-    let mut outcome = RestartOutcome::unchanged(process);
-    match restart.ending {
-        Ending::Signals => shut_down(shared, restart, &mut outcome),
-        Ending::SuddenKill => kill_suddenly(shared, restart.gateway, &mut outcome),
+    let burst = restart
+        .burst
+        .map(|burst| start_burst(shared, restart.gateway, burst));
+    let mut outcome = RestartOutcome::still_running(process);
+    match restart.termination {
+        Termination::Signals => shut_down(shared, restart, &mut outcome),
+        Termination::SuddenKill => kill_suddenly(shared, restart.gateway, &mut outcome),
     }
     if outcome.shutdown.is_none() && outcome.sudden_kill.is_none() {
         return Ok(outcome);
     }
-    start_anew(setup, shared, restart.gateway, &mut outcome)?;
-    if let Some(crowd) = crowd {
-        // A crowd's client ends with its request.
-        let _ = crowd.join();
+    start_replacement(setup, shared, restart.gateway, &mut outcome)?;
+    if let Some(burst) = burst {
+        // Each client of the burst ends after its request.
+        let _ = burst.join();
     }
     Ok(outcome)
 }
 
-/// Sends the signals, and waits until the gateway has ended or its kill has come, if one of them ends it.
-fn shut_down(shared: &Shared, restart: &Restart, outcome: &mut RestartOutcome) {
+/// Sends the signals. If one of them starts a shutdown, waits until the gateway has exited or was killed.
+fn shut_down(shared: &SharedState, restart: &Restart, outcome: &mut RestartOutcome) {
     let Some(signal_at) = send_signals(shared, restart, &outcome.process) else {
         return;
     };
@@ -154,7 +156,7 @@
         violations,
         ..
     } = outcome;
-    let killed_at = end(shared, restart, process, signal_at, violations);
+    let killed_at = wait_for_exit_or_kill(shared, restart, process, signal_at, violations);
     outcome.shutdown = Some(ShutdownRecord {
         gateway: restart.gateway,
         signal_at: signal_at - shared.started_at,
@@ -162,10 +164,10 @@
     });
 }
 
-/// Kills the gateway. No connection is tried from then on.
-fn kill_suddenly(shared: &Shared, gateway: usize, outcome: &mut RestartOutcome) {
+/// Kills the gateway. Clients open no new connections to it from then on.
+fn kill_suddenly(shared: &SharedState, gateway: usize, outcome: &mut RestartOutcome) {
     let from = shared.now();
-    shared.set_admission(gateway, |admission| admission.is_admitted = false);
+    shared.update_access(gateway, |access| access.accepts_connections = false);
     outcome.process.kill();
     let until = shared.now();
     outcome.process.read_log();
@@ -177,15 +179,15 @@
     });
 }
 
-/// Starts the gateway anew at its address, and waits until it is ready and the clients of its start have ended.
-fn start_anew(
+/// Starts the gateway again at its address, and waits until it is ready and the startup clients have finished.
+fn start_replacement(
     setup: &GatewaySetup,
-    shared: &Arc<Shared>,
+    shared: &Arc<SharedState>,
     gateway: usize,
     outcome: &mut RestartOutcome,
 ) -> Result<(), GatewayProcessError> {
     let address = outcome.process.listen_address;
-    shared.set_admission(gateway, |admission| admission.is_admitted = false);
+    shared.update_access(gateway, |access| access.accepts_connections = false);
     let target = setup.startup_target(gateway, address);
     let startup_clients = StartupClients::prepare(shared, target);
     let mut process = setup.spawn(target, |spawned_at| startup_clients.connect(spawned_at))?;
@@ -196,15 +198,15 @@
         outcome.violations.push(violation);
     }
     outcome.process = process;
-    shared.set_admission(gateway, |admission| {
-        admission.is_admitted = true;
-        admission.until = None;
+    shared.update_access(gateway, |access| {
+        access.accepts_connections = true;
+        access.accepts_until = None;
     });
     outcome.startup_connections = startup_clients.join();
     Ok(())
 }
 
-fn system_signal(kind: SignalKind) -> Signal {
+fn to_system_signal(kind: SignalKind) -> Signal {
     match kind {
         SignalKind::Terminate => Signal::TERM,
         SignalKind::Interrupt => Signal::INT,
@@ -212,8 +214,12 @@
     }
 }
 
-/// Sends the signals, and returns when the first that ends the gateway was sent.
-fn send_signals(shared: &Shared, restart: &Restart, process: &GatewayProcess) -> Option<Instant> {
+/// Sends the signals, and returns when the first one that starts a shutdown was sent.
+fn send_signals(
+    shared: &SharedState,
+    restart: &Restart,
+    process: &GatewayProcess,
+) -> Option<Instant> {
     let stall = match restart.stall {
         Stall::BeforeSignal(length) => Some(length),
         Stall::None | Stall::BeforeKill(_) => None,
@@ -227,13 +233,13 @@
         if index > 0 {
             thread::sleep(restart.signal_gap);
         }
-        if kind.ends() && signal_at.is_none() {
+        if kind.starts_shutdown() && signal_at.is_none() {
             let now = Instant::now();
             signal_at = Some(now);
             let until = now + restart.new_connections_for;
-            shared.set_admission(restart.gateway, |admission| admission.until = Some(until));
+            shared.update_access(restart.gateway, |access| access.accepts_until = Some(until));
         }
-        process.signal(system_signal(*kind));
+        process.signal(to_system_signal(*kind));
     }
     if let Some(length) = stall {
         thread::sleep(length.saturating_sub(stalled_at.elapsed()));
@@ -242,9 +248,9 @@
     signal_at
 }
 
-/// Waits until the process has ended, or kills it at the earliest moment. Returns when it was killed.
-fn end(
-    shared: &Shared,
+/// Waits until the process has exited, or kills it at [`EARLIEST_KILL`]. Returns when it was killed, if it was.
+fn wait_for_exit_or_kill(
+    shared: &SharedState,
     restart: &Restart,
     process: &mut GatewayProcess,
     signal_at: Instant,
@@ -286,9 +292,9 @@
         return false;
     };
     let mut response = [0; 12];
-    let has_asked = stream.set_read_timeout(Some(READY_TIMEOUT)).is_ok()
+    let is_request_sent = stream.set_read_timeout(Some(READY_TIMEOUT)).is_ok()
         && stream.write_all(READY_REQUEST).is_ok();
-    has_asked && stream.read_exact(&mut response).is_ok() && response.ends_with(b"200")
+    is_request_sent && stream.read_exact(&mut response).is_ok() && response.ends_with(b"200")
 }
 
 fn wait_until_ready(address: SocketAddr, started_at: Instant) -> Option<Duration> {
@@ -301,32 +307,36 @@
     None
 }
 
-/// Starts a crowd on a thread of its own, which ends with its last client.
-fn start_crowd(shared: &Arc<Shared>, gateway: usize, crowd: Crowd) -> thread::JoinHandle<()> {
+/// Starts a connection burst on a separate thread, which ends with the last client.
+fn start_burst(
+    shared: &Arc<SharedState>,
+    gateway: usize,
+    burst: ConnectionBurst,
+) -> thread::JoinHandle<()> {
     let shared = shared.clone();
     thread::spawn(move || {
-        thread::sleep(crowd.delay);
-        let size = crowd.silent + crowd.requests;
-        let pause = CROWD_SPREAD / size.max(1) as u32;
-        // Those that ask come evenly among the others.
-        let asks =
-            |index: usize| index * crowd.requests / size != (index + 1) * crowd.requests / size;
+        thread::sleep(burst.delay);
+        let size = burst.idle + burst.requests;
+        let pause = BURST_SPREAD / size.max(1) as u32;
+        // The clients with requests are spread evenly among the idle ones.
+        let sends_request =
+            |index: usize| index * burst.requests / size != (index + 1) * burst.requests / size;
         let mut clients = Vec::with_capacity(size);
         for index in 0..size {
             let shared = shared.clone();
-            let play = if asks(index) {
-                run_asking_client
+            let run_burst_client = if sends_request(index) {
+                run_requesting_client
             } else {
-                run_silent_client
+                run_idle_client
             };
             let client = thread::Builder::new()
-                .stack_size(CROWD_STACK_BYTES)
-                .spawn(move || play(&shared, gateway));
+                .stack_size(BURST_STACK_BYTES)
+                .spawn(move || run_burst_client(&shared, gateway));
             clients.extend(client);
             thread::sleep(pause);
         }
         for client in clients {
-            // A client that panicked would have left no record: its request counts as none.
+            // A client that panicked leaves no record, so its request isn't counted.
             let _ = client.join();
         }
     })
--- a/crates/fault-injection/src/soak/sampler.rs
+++ b/crates/fault-injection/src/soak/sampler.rs
@@ -1,4 +1,4 @@
-//! Samples the gateways' processes while a soak runs, and how far the machine holds up the sampling itself.
+//! Samples the gateways' processes during a soak, and measures how far the machine delays the sampling itself.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -11,74 +11,75 @@
 
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What was sampled.
+/// Maxima over all samples.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Samples {
-    /// The most descriptors that a gateway held.
+    /// The most file descriptors that a gateway had open.
     pub(super) descriptors_max: usize,
-    /// The longest that the sampling was late.
+    /// The longest delay of a sample.
     pub(super) longest_pause: Duration,
-    /// The longest that a gateway waited for a processor between two samples.
+    /// The longest time that a gateway waited for a processor between two samples.
     pub(super) longest_wait: Duration,
 }
 
-/// Samples on a thread of its own.
+/// Samples the gateways on a separate thread.
 pub(super) struct Sampler {
     process_ids: Vec<Arc<AtomicUsize>>,
-    is_over: Arc<AtomicBool>,
+    stop_requested: Arc<AtomicBool>,
     thread: thread::JoinHandle<Samples>,
 }
 
 impl Sampler {
     pub(super) fn start(processes: &[GatewayProcess]) -> Sampler {
-        let id_of = |process: &GatewayProcess| Arc::new(AtomicUsize::new(process.id() as usize));
-        let process_ids: Vec<_> = processes.iter().map(id_of).collect();
-        let is_over = Arc::new(AtomicBool::new(false));
-        let (sampled, ends) = (process_ids.clone(), is_over.clone());
+        let shared_id =
+            |process: &GatewayProcess| Arc::new(AtomicUsize::new(process.id() as usize));
+        let process_ids: Vec<_> = processes.iter().map(shared_id).collect();
+        let stop_requested = Arc::new(AtomicBool::new(false));
+        let (sampled_ids, stop) = (process_ids.clone(), stop_requested.clone());
         Sampler {
             process_ids,
-            is_over,
-            thread: thread::spawn(move || sample(&sampled, &ends)),
+            stop_requested,
+            thread: thread::spawn(move || sample_until(&sampled_ids, &stop)),
         }
     }
 
-    /// Where the id of a gateway's process stands.
-    pub(super) fn slot(&self, gateway: usize) -> Arc<AtomicUsize> {
+    /// The shared process id of a gateway, to be updated after a restart.
+    pub(super) fn process_id_slot(&self, gateway: usize) -> Arc<AtomicUsize> {
         self.process_ids[gateway].clone()
     }
 
-    /// Ends, and returns what was sampled.
+    /// Stops sampling and returns the maxima.
     pub(super) fn stop(self) -> Samples {
-        self.is_over.store(true, Ordering::SeqCst);
+        self.stop_requested.store(true, Ordering::SeqCst);
         self.thread.join().unwrap_or_default()
     }
 }
 
-/// A gateway's process at a sample.
+/// The processor wait of a gateway's process at one sample.
 #[derive(Clone, Copy, Default, PartialEq, Eq)]
 struct WaitSample {
     process_id: usize,
-    /// How long it has waited for a processor since its start.
+    /// Total wait for a processor since the process started.
     waited: Duration,
 }
 
-fn sample(process_ids: &[Arc<AtomicUsize>], ends: &AtomicBool) -> Samples {
+fn sample_until(process_ids: &[Arc<AtomicUsize>], stop: &AtomicBool) -> Samples {
     let mut samples = Samples::default();
     let mut last_waits = vec![WaitSample::default(); process_ids.len()];
-    while !ends.load(Ordering::SeqCst) {
+    while !stop.load(Ordering::SeqCst) {
         for (slot, last) in process_ids.iter().zip(&mut last_waits) {
             let process_id = slot.load(Ordering::SeqCst);
-            samples.descriptors_max = samples.descriptors_max.max(descriptor_count(process_id));
-            let waited = processor_wait(&process_folder(process_id));
+            samples.descriptors_max = samples.descriptors_max.max(count_descriptors(process_id));
+            let waited = read_processor_wait(&process_folder(process_id));
             if last.process_id == process_id {
                 let wait = waited.saturating_sub(last.waited);
                 samples.longest_wait = samples.longest_wait.max(wait);
             }
             *last = WaitSample { process_id, waited };
         }
-        let slept_from = Instant::now();
+        let sleep_started_at = Instant::now();
         thread::sleep(SAMPLE_INTERVAL);
-        let pause = slept_from.elapsed().saturating_sub(SAMPLE_INTERVAL);
+        let pause = sleep_started_at.elapsed().saturating_sub(SAMPLE_INTERVAL);
         samples.longest_pause = samples.longest_pause.max(pause);
     }
     samples
@@ -88,14 +89,14 @@
     PathBuf::from("/proc").join(process_id.to_string())
 }
 
-/// How many descriptors a process holds now.
-fn descriptor_count(process_id: usize) -> usize {
+/// Counts the open file descriptors of a process.
+fn count_descriptors(process_id: usize) -> usize {
     fs::read_dir(process_folder(process_id).join("fd")).map_or(0, Iterator::count)
 }
 
-/// How long the thread with this folder, or the one thread of the process, could run and had no processor since its start: the
-/// second field of `schedstat`. Zero where the system says nothing.
-pub(super) fn processor_wait(folder: &Path) -> Duration {
+/// Total time that a thread was runnable and waited for a processor: the second field of `schedstat`. The folder is the
+/// `/proc` folder of the thread, or of a process with one thread. Zero if `schedstat` can't be read.
+pub(super) fn read_processor_wait(folder: &Path) -> Duration {
     let text = fs::read_to_string(folder.join("schedstat")).unwrap_or_default();
     let nanoseconds = text
         .split_whitespace()
--- a/crates/fault-injection/src/soak/startup_clients.rs
+++ b/crates/fault-injection/src/soak/startup_clients.rs
@@ -1,4 +1,4 @@
-//! Clients that connect from the moment in which a gateway is spawned, until it listens.
+//! Clients that try to connect from the moment a gateway is spawned until it listens.
 
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
@@ -9,25 +9,25 @@
 
 use socket2::{Domain, Socket, Type};
 
-use super::clients::{send_request, ClientConnection, ConnectionUse, Shared, CONNECT_TIMEOUT};
-use super::plan::seeded;
+use super::clients::{send_request, ClientConnection, ConnectionUse, SharedState, CONNECT_TIMEOUT};
+use super::plan::seeded_rng;
 use super::requests::RequestPlan;
-use super::starts::StartupConnection;
+use super::startup::StartupConnection;
 
-/// How many clients connect in a start.
-const CLIENTS: u64 = 5;
-/// How long a client waits after a refusal.
+/// How many clients connect during one startup.
+const CLIENTS_PER_STARTUP: u64 = 5;
+/// The pause between two connection attempts of a client.
 const RETRY_INTERVAL: Duration = Duration::from_millis(1);
-/// How long a client goes on trying.
-const GIVE_UP_AFTER: Duration = Duration::from_secs(10);
-/// Where these clients connect from. From the gateway's own address, a client that connects to a port where nobody listens yet
-/// could be given that port by the system, and be connected to itself.
+/// How long a client tries to connect.
+const MAX_CONNECT_TIME: Duration = Duration::from_secs(10);
+/// The source address of these clients. With the gateway's own address, the system could pick the gateway's port as the
+/// source port while no process listens there, and the client would connect to itself.
 const CLIENT_ADDRESS: SocketAddr = SocketAddr::new(
     std::net::IpAddr::V4(std::net::Ipv4Addr::new(127, 0, 0, 2)),
     0,
 );
 
-/// Which gateway's clients these are, and what they draw their requests from.
+/// The gateway to which the clients of a startup connect, and the seed of their requests.
 #[derive(Clone, Copy)]
 pub(super) struct StartupTarget {
     pub(super) gateway: usize,
@@ -35,40 +35,43 @@
     pub(super) seed: u64,
 }
 
-/// The clients of one start, each on a thread of its own.
+/// The clients of one startup, each on its own thread.
 pub(super) struct StartupClients {
-    spawned: Vec<Sender<Instant>>,
+    spawn_senders: Vec<Sender<Instant>>,
     clients: Vec<thread::JoinHandle<Option<StartupConnection>>>,
 }
 
 impl StartupClients {
-    /// Has them wait for the spawn, so that no thread has to be started once it has come.
-    pub(super) fn prepare(shared: &Arc<Shared>, target: StartupTarget) -> StartupClients {
-        let (spawned, clients) = (0..CLIENTS)
+    /// Starts the clients' threads before the spawn, so that no client is delayed by the start of its thread.
+    pub(super) fn prepare(shared: &Arc<SharedState>, target: StartupTarget) -> StartupClients {
+        let (spawn_senders, clients) = (0..CLIENTS_PER_STARTUP)
             .map(|client| {
                 let shared = shared.clone();
-                let (spawned, spawn) = channel::<Instant>();
+                let (sender, receiver) = channel::<Instant>();
                 let start = move || {
-                    let spawned_at = spawn.recv().ok()?;
+                    let spawned_at = receiver.recv().ok()?;
                     Some(run_startup_client(&shared, target, client, spawned_at))
                 };
-                (spawned, thread::spawn(start))
+                (sender, thread::spawn(start))
             })
             .unzip();
-        StartupClients { spawned, clients }
+        StartupClients {
+            spawn_senders,
+            clients,
+        }
     }
 
-    /// Has them connect from now on.
+    /// Makes the clients connect from now on.
     pub(super) fn connect(&self, spawned_at: Instant) {
-        for client in &self.spawned {
-            // A client that has ended shows as one too few.
+        for client in &self.spawn_senders {
+            // A client that has panicked is missing from the count of clients.
             let _ = client.send(spawned_at);
         }
     }
 
-    /// Waits until each has its answer or has given up.
+    /// Waits until each client has received its answer or stopped trying.
     pub(super) fn join(self) -> Vec<StartupConnection> {
-        drop(self.spawned);
+        drop(self.spawn_senders);
         let clients = self.clients.into_iter();
         clients
             .filter_map(|client| client.join().expect("a client does not panic"))
@@ -77,7 +80,7 @@
 }
 
 fn run_startup_client(
-    shared: &Shared,
+    shared: &SharedState,
     target: StartupTarget,
     client: u64,
     spawned_at: Instant,
@@ -87,42 +90,42 @@
         address,
         seed,
     } = target;
-    let plan = RequestPlan::of_start(&mut seeded(seed.wrapping_add(client)));
-    let mut seen = StartupConnection {
+    let plan = RequestPlan::for_startup_client(&mut seeded_rng(seed.wrapping_add(client)));
+    let mut result = StartupConnection {
         gateway,
         tried: 0,
         refused: 0,
         last_refused_after: None,
         connected_after: None,
     };
-    // The clients' tries are spread over the time between two of one.
-    thread::sleep(RETRY_INTERVAL * client as u32 / CLIENTS as u32);
-    while spawned_at.elapsed() < GIVE_UP_AFTER {
-        seen.tried += 1;
-        let result = connect(address);
+    // Staggers the clients over one retry interval.
+    thread::sleep(RETRY_INTERVAL * client as u32 / CLIENTS_PER_STARTUP as u32);
+    while spawned_at.elapsed() < MAX_CONNECT_TIME {
+        result.tried += 1;
+        let connected = connect(address);
         let after = spawned_at.elapsed();
-        match result {
+        match connected {
             Ok(socket) => {
-                seen.connected_after = Some(after);
+                result.connected_after = Some(after);
                 let mut connection = ClientConnection::new(socket, plan.reads_slowly);
                 send_request(
                     shared,
                     gateway,
                     &mut connection,
                     &plan,
-                    ConnectionUse::Start,
+                    ConnectionUse::Startup,
                 );
                 break;
             }
             Err(error) if error.kind() == ErrorKind::ConnectionRefused => {
-                seen.refused += 1;
-                seen.last_refused_after = Some(after);
+                result.refused += 1;
+                result.last_refused_after = Some(after);
             }
             Err(_) => break,
         }
         thread::sleep(RETRY_INTERVAL);
     }
-    seen
+    result
 }
 
 fn connect(address: SocketAddr) -> io::Result<Socket> {
