--- a/crates/fault-injection/src/gateway_process.rs
+++ b/crates/fault-injection/src/gateway_process.rs
@@ -14,7 +14,7 @@
 use thiserror::Error;
 
 /// Time limit for a gateway to start, and for it to shut down.
-const START_TIMEOUT: Duration = Duration::from_secs(20);
+const START_OR_SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(20);
 /// Environment variable with the path of the gateway program.
 const PROGRAM_VARIABLE: &str = "HARRIERDOCK";
 /// Environment variable with the gateway's listen address.
@@ -236,7 +236,7 @@
     ///
     /// The gateway exits, or doesn't log its listen address in time.
     pub fn wait_until_listening(&mut self) -> Result<(), GatewayProcessError> {
-        let deadline = Instant::now() + START_TIMEOUT;
+        let deadline = Instant::now() + START_OR_SHUTDOWN_TIMEOUT;
         loop {
             let remaining = deadline.saturating_duration_since(Instant::now());
             let Ok(line) = self.log.recv_timeout(remaining) else {
@@ -300,7 +300,7 @@
     pub fn shut_down(&mut self) -> Result<Vec<String>, GatewayProcessError> {
         kill_process(Pid::from_child(&self.child), Signal::TERM)
             .map_err(|error| GatewayProcessError::Signal(error.into()))?;
-        let deadline = Instant::now() + START_TIMEOUT;
+        let deadline = Instant::now() + START_OR_SHUTDOWN_TIMEOUT;
         let remaining = || deadline.saturating_duration_since(Instant::now());
         let mut lines = Vec::new();
         while let Ok(line) = self.log.recv_timeout(remaining()) {
--- a/crates/fault-injection/src/soak/clients.rs
+++ b/crates/fault-injection/src/soak/clients.rs
@@ -317,10 +317,12 @@
             match self.stream.read(&mut part) {
                 Ok(0) => return Some(self.truncated_response()),
                 Ok(count) => self.received.extend_from_slice(&part[..count]),
-                Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
+                Err(error)
+                    if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) =>
+                {
                     return None;
                 }
-                Err(e) if e.kind() == ErrorKind::Interrupted => {}
+                Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(_) => return Some(self.truncated_response()),
             }
             if self.reads_slowly {
--- a/crates/fault-injection/src/soak/mod.rs
+++ b/crates/fault-injection/src/soak/mod.rs
@@ -42,7 +42,7 @@
 /// How long after the start of its drain an endpoint is removed from the list.
 const REMOVAL_DELAY_AFTER_DRAIN: Duration = Duration::from_millis(600);
 const CLIENTS_PER_GATEWAY: usize = 10;
-/// How long a restarted gateway may take to become ready.
+/// Time within which at least nine in ten restarted gateways must be ready.
 const READY_LIMIT: Duration = Duration::from_secs(1);
 
 /// The settings of a soak.
@@ -111,8 +111,8 @@
 /// The gateway program is missing, or a gateway doesn't start or shut down.
 pub fn play(settings: &SoakSettings) -> Result<SoakReport, SoakError> {
     let plan = Plan::draw(settings.seed, settings.gateways, settings.duration);
-    let attempts = AttemptLog::new(Instant::now());
-    let setup = Arc::new(start_stand_ins(settings, &plan, &attempts)?);
+    let attempt_log = AttemptLog::new(Instant::now());
+    let setup = Arc::new(start_stand_ins(settings, &plan, &attempt_log)?);
     let mut processes = Vec::new();
     for gateway in 0..settings.gateways {
         processes.push(setup.start(gateway)?);
@@ -142,12 +142,12 @@
             .iter()
             .flat_map(|o| o.startup_connections.iter().copied())
             .collect(),
-        attempts: attempts.take(),
+        attempts: attempt_log.take(),
         shutdowns: outcomes.iter().filter_map(|o| o.shutdown).collect(),
         sudden_kills: outcomes.iter().filter_map(|o| o.sudden_kill).collect(),
         drain: drain.and_then(|drain| drain.join().ok()),
     };
-    let offset = shared.started_at - attempts.started_at();
+    let offset = shared.started_at - attempt_log.started_at();
     let verdict = check_rules(&observations.with_attempts_shifted(offset));
     Ok(build_report(
         settings,
@@ -165,9 +165,9 @@
 fn start_stand_ins(
     settings: &SoakSettings,
     plan: &Plan,
-    attempts: &AttemptLog,
+    attempt_log: &AttemptLog,
 ) -> Result<GatewaySetup, SoakError> {
-    let mode = |endpoint| match endpoint {
+    let mode_of = |endpoint| match endpoint {
         HANGING_ENDPOINT if plan.one_endpoint_hangs => EndpointMode::Hanging,
         CLOSING_ENDPOINT if plan.one_endpoint_closes => EndpointMode::Closing,
         _ => EndpointMode::Answering,
@@ -175,7 +175,13 @@
     let addresses: Vec<SocketAddr> = (0..ENDPOINTS)
         .map(|index| {
             let hang_window = plan.hang_window;
-            start_endpoint(index, mode(index), hang_window, settings.seed, attempts)
+            start_endpoint(
+                index,
+                mode_of(index),
+                hang_window,
+                settings.seed,
+                attempt_log,
+            )
         })
         .collect();
     let folder = std::env::temp_dir().join(format!(
@@ -241,7 +247,7 @@
     sampler: &Sampler,
 ) -> Result<Vec<RestartOutcome>, GatewayProcessError> {
     let mut processes: Vec<Option<GatewayProcess>> = processes.into_iter().map(Some).collect();
-    let start = |restart: &Restart| {
+    let start_restart = |restart: &Restart| {
         let process = processes[restart.gateway].take()?;
         let setup = setup.clone();
         let shared = shared.clone();
@@ -259,7 +265,7 @@
             outcome
         }))
     };
-    let running: Vec<_> = plan.restarts.iter().filter_map(start).collect();
+    let running: Vec<_> = plan.restarts.iter().filter_map(start_restart).collect();
     running
         .into_iter()
         .map(|restart| restart.join().expect("a restart does not panic"))
@@ -280,13 +286,16 @@
         violations.append(&mut outcome.violations);
         violations.append(&mut outcome.process.violations);
     }
-    let mut ready: Vec<Duration> = outcomes.iter().filter_map(|o| o.ready_after).collect();
-    ready.sort();
-    let in_time = ready.iter().filter(|after| **after <= READY_LIMIT).count();
-    if in_time * 10 < ready.len() * 9 {
+    let mut ready_times: Vec<Duration> = outcomes.iter().filter_map(|o| o.ready_after).collect();
+    ready_times.sort();
+    let in_time = ready_times
+        .iter()
+        .filter(|after| **after <= READY_LIMIT)
+        .count();
+    if in_time * 10 < ready_times.len() * 9 {
         violations.push(format!(
             "{in_time} of {} restarts were ready in time",
-            ready.len()
+            ready_times.len()
         ));
     }
     if descriptors_max > plan.descriptors {
@@ -295,15 +304,19 @@
             plan.descriptors
         ));
     }
-    let at = |index: usize| ready.get(index).map_or(0, |after| after.as_millis() as u64);
+    let ready_ms_at = |index: usize| {
+        ready_times
+            .get(index)
+            .map_or(0, |after| after.as_millis() as u64)
+    };
     SoakReport {
         ok: verdict.is_ok() && verdict.violations.is_empty(),
         seed: settings.seed,
         drawn: plan.describe(),
         verdict,
         ready_ms: ReadyTimes {
-            median: at(ready.len() / 2),
-            max: at(ready.len().saturating_sub(1)),
+            median: ready_ms_at(ready_times.len() / 2),
+            max: ready_ms_at(ready_times.len().saturating_sub(1)),
         },
         descriptors_max,
         longest_pause_ms: samples.longest_pause.as_millis() as u64,
--- a/crates/fault-injection/src/soak/rules.rs
+++ b/crates/fault-injection/src/soak/rules.rs
@@ -236,7 +236,7 @@
     request: &RequestRecord,
     ended_at: Duration,
 ) -> bool {
-    sudden_kills_of(observations, request.gateway).any(|kill| {
+    find_sudden_kills(observations, request.gateway).any(|kill| {
         request.written_at <= kill.until + MEASUREMENT_TOLERANCE
             && (kill.from..=kill.until + CROSSING_TIME).contains(&ended_at)
     })
@@ -245,11 +245,11 @@
 /// Whether a connection was refused because its gateway was killed during the attempt to connect. After the kill, clients
 /// stop connecting until the gateway has restarted.
 fn is_refused_by_sudden_kill(observations: &Observations, refused: &RefusedConnection) -> bool {
-    sudden_kills_of(observations, refused.gateway)
+    find_sudden_kills(observations, refused.gateway)
         .any(|kill| (kill.from..=kill.until + MEASUREMENT_TOLERANCE).contains(&refused.at))
 }
 
-fn sudden_kills_of(
+fn find_sudden_kills(
     observations: &Observations,
     gateway: usize,
 ) -> impl Iterator<Item = &SuddenKillRecord> {
@@ -309,7 +309,7 @@
             && at + span > shutdown.signal_at
             && at < shutdown.signal_at + EARLIEST_KILL
     });
-    let kill = sudden_kills_of(observations, gateway).next();
+    let kill = find_sudden_kills(observations, gateway).next();
     match (in_shutdown, kill) {
         (Some(shutdown), _) => {
             let after_signal = at.as_millis() as i64 - shutdown.signal_at.as_millis() as i64;
--- a/crates/fault-injection/src/soak/startup.rs
+++ b/crates/fault-injection/src/soak/startup.rs
@@ -35,10 +35,11 @@
 impl Spread {
     /// From times in ascending order.
     fn from_sorted(times: &[Duration]) -> Spread {
-        let at = |index: usize| times.get(index).map_or(0, |time| time.as_micros() as u64);
+        let microseconds_at =
+            |index: usize| times.get(index).map_or(0, |time| time.as_micros() as u64);
         Spread {
-            median: at(times.len() / 2),
-            max: at(times.len().saturating_sub(1)),
+            median: microseconds_at(times.len() / 2),
+            max: microseconds_at(times.len().saturating_sub(1)),
         }
     }
 }
