--- a/crates/fault-injection/src/cli/mod.rs
+++ b/crates/fault-injection/src/cli/mod.rs
@@ -182,26 +182,26 @@
     if !is_possible {
         return Err(CliError::WireFormat);
     }
-    let day = flows::Day {
+    let scenario = flows::Scenario {
         seed: arguments.seed,
-        seconds: arguments.seconds,
-        form: arguments.wire_format,
+        duration_seconds: arguments.seconds,
+        wire_format: arguments.wire_format,
         transport,
-        collector_down: arguments.collector_outage,
-        slow: arguments.slow_collector,
-        churn: arguments.churn,
-        surge: arguments.surge,
-        bad: arguments.failure_ratio,
-        loss: arguments.loss_ratio,
-        rate: arguments.requests_per_second,
-        keep: arguments.output_folder,
+        collector_outage: arguments.collector_outage,
+        is_collector_slow: arguments.slow_collector,
+        renames_endpoints: arguments.churn,
+        has_surge: arguments.surge,
+        failure_ratio: arguments.failure_ratio,
+        loss_ratio: arguments.loss_ratio,
+        requests_per_second: arguments.requests_per_second,
+        output_folder: arguments.output_folder,
     };
-    let report = flows::play(&day, ratio_progress()).map_err(CliError::Run)?;
+    let report = flows::run_scenario(&scenario, ratio_progress()).map_err(CliError::Run)?;
     print_report(&report, report.ok)
 }
 
 fn run_collector(arguments: &CollectorArguments) -> Verdict {
-    flows::collect(
+    flows::run_standalone_collector(
         arguments.listen,
         arguments.transport.parse()?,
         arguments.seconds,
@@ -282,7 +282,7 @@
 
 fn run_membership(arguments: &MembershipArguments) -> Verdict {
     let bar = progress_bar(MEMBERSHIP_STEPS);
-    let report = membership::play(
+    let report = membership::run_simulations(
         arguments.gateways.max(1),
         arguments.seed,
         arguments.bound_rounds,
--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -1,11 +1,11 @@
-//! Fault injection: runs gateways, or their decisions alone, against stand-ins for all that they meet, plays failures drawn
-//! by a seed, and checks the rules that hold whatever happens. Everything stays on loopback.
+//! Fault injection: runs built gateways, or simulations of their logic, against stand-ins for the outside systems. Injects
+//! failures drawn from a seed and checks the rules that must hold under any failure. All sockets are on loopback.
 //!
-//! - without sockets, in simulated time: [`core`] (two sites), [`duties`] (leases), [`membership`] (members of a site),
-//!   [`admission`] (admission policies compared), [`elimination`] (rules that eliminate a canary compared);
+//! - without sockets, in simulated time: [`core`] (two sites), [`duties`] (leases), [`membership`] (gossip on members),
+//!   [`admission`] (comparison of admission policies), [`elimination`] (comparison of rules that eliminate a canary);
 //! - with built gateways: [`sites`] (two sites), [`fleet`] (leases and rollouts), [`flows`] (flow export), [`soak`]
 //!   (restarts under load);
-//! - what these share: [`gateway_process`], [`gateway_keys`], [`run_folder`], [`collector`], [`record_tables`], [`stand_ins`],
+//! - shared by these: [`gateway_process`], [`gateway_keys`], [`run_folder`], [`collector`], [`record_tables`], [`stand_ins`],
 //!   [`schedule`], [`simulation`], [`statistics`];
 //! - [`cli`]: the command line.
 
--- a/crates/fault-injection/src/main.rs
+++ b/crates/fault-injection/src/main.rs
@@ -1,5 +1,6 @@
-//! `harrierdock-fault-injection`: plays failures against the built gateway, or against its decisions alone, and ends with
-//! one JSON line on standard output. Exit code 0 if every property in it holds, 1 if one does not, 2 for bad usage.
+//! `harrierdock-fault-injection`: injects failures into built gateways, or into simulations of their logic, and prints a
+//! report as one JSON line on standard output. Exit code 0 if every property in the report holds, 1 if one doesn't, 2 for
+//! bad usage.
 
 use std::process::ExitCode;
 
--- a/crates/fault-injection/src/membership.rs
+++ b/crates/fault-injection/src/membership.rs
@@ -1,4 +1,5 @@
-//! Membership at full size without sockets: hundreds of gateways a site, in rounds, with beats lost at random.
+//! Simulates membership with hundreds of gateways a site, without sockets: in rounds of one heartbeat interval, with
+//! heartbeats lost at random. Measures how many rounds a change takes to reach all gateways, and how many bytes.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,255 +13,332 @@
 use serde::Serialize;
 
 const SITES: [&str; 2] = ["hobart", "launceston"];
-/// Rounds for gateways to find each other, and the most waited for a change to be known to all.
-const SETTLE: usize = 120;
-const MOST: usize = 400;
+const LOSS_RATIOS: [f64; 3] = [0.0, 0.1, 0.3];
+/// Rounds in which gateways discover each other, and settle after a change.
+const SETTLING_ROUNDS: usize = 120;
+/// Rounds after which a change counts as not known to all.
+const MAX_ROUNDS: usize = 400;
+/// Gateways whose state is changed, one after another.
+const STATE_CHANGES: usize = 9;
+/// Gateways of the other site that a gateway's settings list.
+const CONFIGURED_PEERS: usize = 3;
+/// The bound on rounds after a restart, over the bound after one gateway's change.
+const RESTART_BOUND_FACTOR: usize = 4;
+const MAX_PATHS_PER_GATEWAY: usize = 24;
 
+/// What was measured at one loss ratio.
 #[derive(Debug, Default, Serialize)]
-pub struct AtLoss {
-    pub loss: f64,
-    /// Rounds until every gateway knew one gateway's change, and the most over the changes tried.
-    pub rounds_median: usize,
-    pub rounds_most: usize,
-    /// Rounds until every gateway knew the new incarnations after half of all had restarted at once.
+pub struct LossReport {
+    /// The share of heartbeats that is lost.
+    #[serde(rename = "loss")]
+    pub loss_ratio: f64,
+    /// Rounds until every gateway knew one gateway's change: the median and the most over all changes.
+    #[serde(rename = "rounds_median")]
+    pub median_rounds: usize,
+    #[serde(rename = "rounds_most")]
+    pub max_rounds: usize,
+    /// Rounds until every gateway knew the new incarnations, after half of all gateways restarted at once.
     pub rounds_after_restart: usize,
-    /// Bytes of beats a gateway sends in a round, in the mean while nothing changes, and just after the restart.
-    pub bytes_quiet: f64,
-    pub bytes_restart: f64,
-    pub roads_mean: f64,
-    pub roads_most: usize,
-    /// Gateways wrongly suspected or lost at the end, as others hold it.
+    /// Heartbeat bytes that a gateway sends in one round: the mean over all gateways, while nothing changes.
+    #[serde(rename = "bytes_quiet")]
+    pub idle_round_bytes: f64,
+    /// The same for the first round after the restart.
+    #[serde(rename = "bytes_restart")]
+    pub restart_round_bytes: f64,
+    /// Open paths of a gateway.
+    #[serde(rename = "roads_mean")]
+    pub mean_paths: f64,
+    #[serde(rename = "roads_most")]
+    pub max_paths: usize,
+    /// Records at the end, over all gateways, that list a running gateway as suspected or lost.
     pub wrongly_suspected: usize,
 }
 
+/// What was measured at all loss ratios, and whether the bounds hold.
 #[derive(Debug, Default, Serialize)]
-pub struct Found {
-    pub gateways_a_site: usize,
+pub struct Report {
+    #[serde(rename = "gateways_a_site")]
+    pub gateways_per_site: usize,
     pub seed: u64,
+    /// The most rounds that one gateway's change may take.
     pub bound_rounds: usize,
-    pub at: Vec<AtLoss>,
+    #[serde(rename = "at")]
+    pub by_loss_ratio: Vec<LossReport>,
+    /// All bounds hold at every loss ratio.
     pub ok: bool,
 }
 
-struct World {
+struct Simulation {
     now: Timestamp,
-    chance: WyRand,
-    loss: f64,
-    all: Vec<Membership>,
-    by_party: BTreeMap<GatewayName, usize>,
-    links: BTreeMap<u64, (usize, usize)>,
-    last: u64,
-    bytes: usize,
+    rng: WyRand,
+    loss_ratio: f64,
+    members: Vec<Membership>,
+    index_by_name: BTreeMap<GatewayName, usize>,
+    /// The indexes of the two gateways at the ends of each open path.
+    paths: BTreeMap<u64, (usize, usize)>,
+    last_path_id: u64,
+    /// Heartbeat bytes sent in the current round.
+    round_bytes: usize,
 }
 
-fn party(ix: usize) -> GatewayName {
+/// Gateways with even indexes are at the first site.
+fn gateway_name(index: usize) -> GatewayName {
     GatewayName {
-        site: SITES[ix % 2].into(),
-        gateway: format!("gateway-{:03}", ix / 2),
+        site: SITES[index % 2].into(),
+        gateway: format!("gateway-{:03}", index / 2),
     }
 }
 
-fn address(ix: usize) -> SocketAddr {
-    SocketAddr::from(([10, 0, (ix / 250) as u8, (ix % 250) as u8], 7443))
+fn gateway_address(index: usize) -> SocketAddr {
+    SocketAddr::from(([10, 0, (index / 250) as u8, (index % 250) as u8], 7443))
 }
 
-impl World {
-    fn new(each: usize, seed: u64, loss: f64) -> World {
-        let mut world = World {
+impl Simulation {
+    fn new(gateways_per_site: usize, seed: u64, loss_ratio: f64) -> Simulation {
+        let mut simulation = Simulation {
             now: Timestamp(1_000_000_000),
-            chance: WyRand::new_seed(seed),
-            loss,
-            all: Vec::new(),
-            by_party: (0..2 * each).map(|ix| (party(ix), ix)).collect(),
-            links: BTreeMap::new(),
-            last: 0,
-            bytes: 0,
+            rng: WyRand::new_seed(seed),
+            loss_ratio,
+            members: Vec::new(),
+            index_by_name: (0..2 * gateways_per_site)
+                .map(|index| (gateway_name(index), index))
+                .collect(),
+            paths: BTreeMap::new(),
+            last_path_id: 0,
+            round_bytes: 0,
         };
-        world.all = (0..2 * each).map(|ix| world.member(ix, each)).collect();
-        world
+        simulation.members = (0..2 * gateways_per_site)
+            .map(|index| simulation.start_member(index, gateways_per_site))
+            .collect();
+        simulation
     }
 
-    /// Each knows three gateways of the other site from its file; the rest it must learn.
-    fn member(&self, ix: usize, each: usize) -> Membership {
-        let other = 1 - ix % 2;
-        let seeds: Vec<(GatewayName, SocketAddr)> = (0..3.min(each))
-            .map(|n| 2 * ((ix * 7 + n * 31) % each) + other)
-            .map(|ix| (party(ix), address(ix)))
+    /// Starts a gateway with the current time as its incarnation. Its settings list three gateways of the other site; it
+    /// learns of all others by gossip.
+    fn start_member(&self, index: usize, gateways_per_site: usize) -> Membership {
+        let other_site = 1 - index % 2;
+        let configured_peers: Vec<(GatewayName, SocketAddr)> = (0..CONFIGURED_PEERS
+            .min(gateways_per_site))
+            .map(|n| 2 * ((index * 7 + n * 31) % gateways_per_site) + other_site)
+            .map(|peer| (gateway_name(peer), gateway_address(peer)))
             .collect();
-        let (incarnation, address) = (self.now.0 as u64, Some(address(ix)));
-        let own = MemberRecord {
-            gateway: party(ix),
+        let (incarnation, address) = (self.now.0 as u64, Some(gateway_address(index)));
+        let own_record = MemberRecord {
+            gateway: gateway_name(index),
             address,
             incarnation,
             version: 1,
             state: MemberState::Serving,
         };
         Membership::new(
-            own,
-            SITES[other].into(),
-            &seeds,
-            self.now.0 as u64 ^ ix as u64,
+            own_record,
+            SITES[other_site].into(),
+            &configured_peers,
+            self.now.0 as u64 ^ index as u64,
         )
     }
 
-    fn obey(&mut self, ix: usize, asked: Vec<MembershipAction>) {
-        for asked in asked {
-            match asked {
+    fn apply_actions(&mut self, index: usize, actions: Vec<MembershipAction>) {
+        for action in actions {
+            match action {
                 MembershipAction::Connect { peer, .. } => {
-                    let Some(to) = self.by_party.get(&peer).copied() else {
+                    let Some(peer_index) = self.index_by_name.get(&peer).copied() else {
                         continue;
                     };
-                    self.last += 1;
-                    let (now, path) = (self.now, PathId(self.last));
-                    self.links.insert(self.last, (ix, to));
-                    let mut more = self.all[ix].handle_path_opened(now, path, peer);
-                    more.extend(self.all[to].handle_path_opened(now, path, party(ix)));
-                    // One that holds as many roads as it may hangs up at once.
-                    if more
+                    self.last_path_id += 1;
+                    let (now, path) = (self.now, PathId(self.last_path_id));
+                    self.paths.insert(self.last_path_id, (index, peer_index));
+                    let mut next_actions = self.members[index].handle_path_opened(now, path, peer);
+                    next_actions.extend(self.members[peer_index].handle_path_opened(
+                        now,
+                        path,
+                        gateway_name(index),
+                    ));
+                    // A gateway at its limit of paths closes the new one at once.
+                    if next_actions
                         .iter()
-                        .any(|a| matches!(a, MembershipAction::ClosePath { .. }))
+                        .any(|action| matches!(action, MembershipAction::ClosePath { .. }))
                     {
-                        self.drop_link(self.last, true);
+                        self.close_path(self.last_path_id, true);
                     }
                 }
-                MembershipAction::ClosePath { path } => self.drop_link(path.0, true),
+                MembershipAction::ClosePath { path } => self.close_path(path.0, true),
                 _ => {}
             }
         }
     }
 
-    fn drop_link(&mut self, link: u64, orderly: bool) {
-        let Some((a, b)) = self.links.remove(&link) else {
+    fn close_path(&mut self, path_id: u64, is_orderly: bool) {
+        let Some((first, second)) = self.paths.remove(&path_id) else {
             return;
         };
         let now = self.now;
-        for ix in [a, b] {
-            let asked = self.all[ix].handle_path_closed(now, PathId(link), orderly);
-            self.obey(ix, asked);
+        for index in [first, second] {
+            let actions = self.members[index].handle_path_closed(now, PathId(path_id), is_orderly);
+            self.apply_actions(index, actions);
         }
     }
 
-    fn round(&mut self) {
+    /// Advances the time by one heartbeat interval, and exchanges the heartbeats of all gateways.
+    fn run_round(&mut self) {
         self.now = self.now + HEARTBEAT_INTERVAL;
-        self.bytes = 0;
-        let mut beats: Vec<(usize, u64, Heartbeat)> = Vec::new();
-        for ix in 0..self.all.len() {
-            let interval = self.all[ix].start_interval(self.now);
-            self.obey(ix, interval.actions);
+        self.round_bytes = 0;
+        let mut heartbeats: Vec<(usize, u64, Heartbeat)> = Vec::new();
+        for index in 0..self.members.len() {
+            let interval = self.members[index].start_interval(self.now);
+            self.apply_actions(index, interval.actions);
             let sent = interval.heartbeats.into_iter();
-            beats.extend(sent.map(|sent| (ix, sent.path.0, sent.heartbeat)));
+            heartbeats.extend(sent.map(|sent| (index, sent.path.0, sent.heartbeat)));
         }
-        for (ix, link, beat) in beats {
-            let Some((a, b)) = self.links.get(&link).copied() else {
+        for (sender, path_id, heartbeat) in heartbeats {
+            let Some((first, second)) = self.paths.get(&path_id).copied() else {
                 continue;
             };
-            let letter = SiteMessage::Heartbeat(beat);
-            self.bytes += encode(&letter).map_or(0, |bytes| bytes.len());
-            if self.chance.generate::<f64>() < self.loss {
+            let message = SiteMessage::Heartbeat(heartbeat);
+            self.round_bytes += encode(&message).map_or(0, |bytes| bytes.len());
+            if self.rng.generate::<f64>() < self.loss_ratio {
                 continue;
             }
-            let to = if a == ix { b } else { a };
-            if let SiteMessage::Heartbeat(beat) = &letter {
-                let asked = self.all[to].handle_heartbeat_received(self.now, PathId(link), beat);
-                self.obey(to, asked);
+            let receiver = if first == sender { second } else { first };
+            if let SiteMessage::Heartbeat(heartbeat) = &message {
+                let actions = self.members[receiver].handle_heartbeat_received(
+                    self.now,
+                    PathId(path_id),
+                    heartbeat,
+                );
+                self.apply_actions(receiver, actions);
             }
         }
     }
 
-    /// Rounds until every other gateway holds this of these.
-    fn known(&mut self, of: &[usize], holds: impl Fn(&MemberRecord) -> bool) -> usize {
-        for rounds in 1..=MOST {
-            self.round();
-            let all_know = self.all.iter().enumerate().all(|(ix, members)| {
-                of.iter()
-                    .filter(|o| **o != ix)
-                    .all(|o| members.record(&party(*o)).is_some_and(&holds))
+    /// Runs rounds until every gateway has records of the changed gateways for which `is_current` holds. Returns the number
+    /// of rounds, or [`MAX_ROUNDS`] + 1 if that many weren't enough.
+    fn run_until_known(
+        &mut self,
+        changed: &[usize],
+        is_current: impl Fn(&MemberRecord) -> bool,
+    ) -> usize {
+        for rounds in 1..=MAX_ROUNDS {
+            self.run_round();
+            let all_know = self.members.iter().enumerate().all(|(index, member)| {
+                changed
+                    .iter()
+                    .filter(|other| **other != index)
+                    .all(|other| {
+                        member
+                            .record(&gateway_name(*other))
+                            .is_some_and(&is_current)
+                    })
             });
             if all_know {
                 return rounds;
             }
         }
-        MOST + 1
+        MAX_ROUNDS + 1
+    }
+
+    /// Crashes these gateways at once and starts them again.
+    fn restart(&mut self, restarted: &[usize], gateways_per_site: usize) {
+        for index in restarted {
+            let open_paths = self
+                .paths
+                .iter()
+                .filter(|(_, ends)| ends.0 == *index || ends.1 == *index)
+                .map(|(path_id, _)| *path_id);
+            for path_id in open_paths.collect::<Vec<u64>>() {
+                self.close_path(path_id, false);
+            }
+            self.members[*index] = self.start_member(*index, gateways_per_site);
+        }
     }
 
-    fn per_gateway(&self) -> f64 {
-        self.bytes as f64 / self.all.len() as f64
+    fn bytes_per_gateway(&self) -> f64 {
+        self.round_bytes as f64 / self.members.len() as f64
     }
 }
 
-fn at(each: usize, seed: u64, loss: f64, mut progress: impl FnMut()) -> AtLoss {
-    let mut world = World::new(each, seed, loss);
-    (0..SETTLE).for_each(|_| world.round());
-    let mut found = AtLoss {
-        loss,
-        ..AtLoss::default()
+fn measure_at_loss(
+    gateways_per_site: usize,
+    seed: u64,
+    loss_ratio: f64,
+    mut progress: impl FnMut(),
+) -> LossReport {
+    let mut simulation = Simulation::new(gateways_per_site, seed, loss_ratio);
+    (0..SETTLING_ROUNDS).for_each(|_| simulation.run_round());
+    let mut report = LossReport {
+        loss_ratio,
+        ..LossReport::default()
     };
     let mut all_rounds = Vec::new();
-    for n in 0..9_usize {
-        let ix = (n * 37 + 5) % (2 * each);
-        let standing = if n.is_multiple_of(2) {
+    for change in 0..STATE_CHANGES {
+        let index = (change * 37 + 5) % (2 * gateways_per_site);
+        let state = if change.is_multiple_of(2) {
             MemberState::Draining
         } else {
             MemberState::Serving
         };
-        world.all[ix].set_own_state(standing);
-        let version = world.all[ix].own_record().version;
-        all_rounds.push(world.known(&[ix], |r| r.version >= version));
+        simulation.members[index].set_own_state(state);
+        let version = simulation.members[index].own_record().version;
+        all_rounds.push(simulation.run_until_known(&[index], |record| record.version >= version));
         progress();
     }
     all_rounds.sort_unstable();
-    (found.rounds_median, found.rounds_most) = (
+    (report.median_rounds, report.max_rounds) = (
         all_rounds[all_rounds.len() / 2],
         all_rounds[all_rounds.len() - 1],
     );
-    (0..SETTLE).for_each(|_| world.round());
-    found.bytes_quiet = world.per_gateway();
-    // Every other pair of gateways, at both sites.
-    let again: Vec<usize> = (0..2 * each).filter(|ix| (ix / 2) % 2 == 0).collect();
-    for ix in &again {
-        let ends = world
-            .links
-            .iter()
-            .filter(|(_, e)| e.0 == *ix || e.1 == *ix)
-            .map(|(no, _)| *no);
-        for link in ends.collect::<Vec<u64>>() {
-            world.drop_link(link, false);
-        }
-        world.all[*ix] = world.member(*ix, each);
-    }
-    let from = world.now.0 as u64;
-    world.round();
-    found.bytes_restart = world.per_gateway();
-    found.rounds_after_restart = world.known(&again, |r| {
-        r.incarnation >= from && r.state < MemberState::Suspected
+    (0..SETTLING_ROUNDS).for_each(|_| simulation.run_round());
+    report.idle_round_bytes = simulation.bytes_per_gateway();
+    // Every other gateway of each site.
+    let restarted: Vec<usize> = (0..2 * gateways_per_site)
+        .filter(|index| (index / 2) % 2 == 0)
+        .collect();
+    simulation.restart(&restarted, gateways_per_site);
+    let restart_incarnation = simulation.now.0 as u64;
+    simulation.run_round();
+    report.restart_round_bytes = simulation.bytes_per_gateway();
+    report.rounds_after_restart = simulation.run_until_known(&restarted, |record| {
+        record.incarnation >= restart_incarnation && record.state < MemberState::Suspected
     }) + 1;
     progress();
-    (0..SETTLE).for_each(|_| world.round());
-    let roads: Vec<usize> = world.all.iter().map(|m| m.paths().len()).collect();
-    found.roads_mean = roads.iter().sum::<usize>() as f64 / roads.len() as f64;
-    found.roads_most = roads.iter().copied().max().unwrap_or(0);
-    let wrong = world
-        .all
+    (0..SETTLING_ROUNDS).for_each(|_| simulation.run_round());
+    let path_counts: Vec<usize> = simulation
+        .members
+        .iter()
+        .map(|member| member.paths().len())
+        .collect();
+    report.mean_paths = path_counts.iter().sum::<usize>() as f64 / path_counts.len() as f64;
+    report.max_paths = path_counts.iter().copied().max().unwrap_or(0);
+    let suspicions = simulation
+        .members
         .iter()
-        .flat_map(|m| m.records())
-        .filter(|(r, _)| r.state >= MemberState::Suspected);
-    found.wrongly_suspected = wrong.count();
-    found
+        .flat_map(|member| member.records())
+        .filter(|(record, _)| record.state >= MemberState::Suspected);
+    report.wrongly_suspected = suspicions.count();
+    report
 }
 
-/// Plays at three rates of loss. `bound` is the most rounds that one gateway's change may take.
-pub fn play(gateways: usize, seed: u64, bound: usize, mut progress: impl FnMut()) -> Found {
-    let at: Vec<AtLoss> = [0.0, 0.1, 0.3]
-        .map(|loss| at(gateways, seed, loss, &mut progress))
+/// Runs the simulation at each loss ratio. `bound_rounds` is the most rounds that one gateway's change may take; `progress`
+/// is called after each measured change.
+pub fn run_simulations(
+    gateways_per_site: usize,
+    seed: u64,
+    bound_rounds: usize,
+    mut progress: impl FnMut(),
+) -> Report {
+    let by_loss_ratio: Vec<LossReport> = LOSS_RATIOS
+        .map(|loss_ratio| measure_at_loss(gateways_per_site, seed, loss_ratio, &mut progress))
         .into();
-    let ok = at.iter().all(|a| {
-        a.rounds_most <= bound && a.rounds_after_restart <= 4 * bound && a.roads_most <= 24
+    let ok = by_loss_ratio.iter().all(|report| {
+        report.max_rounds <= bound_rounds
+            && report.rounds_after_restart <= RESTART_BOUND_FACTOR * bound_rounds
+            && report.max_paths <= MAX_PATHS_PER_GATEWAY
     });
-    Found {
-        gateways_a_site: gateways,
+    Report {
+        gateways_per_site,
         seed,
-        bound_rounds: bound,
-        at,
+        bound_rounds,
+        by_loss_ratio,
         ok,
     }
 }
