--- a/crates/fault-injection/src/cli/mod.rs
+++ b/crates/fault-injection/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! The command line: runs one sub-command and prints its report as one JSON line.
+//! The command line: runs one command and prints its report as one JSON line.
 
 mod arguments;
 
@@ -18,34 +18,35 @@
     SitesArguments, SoakArguments,
 };
 
-const EXIT_VIOLATED_PROPERTY: u8 = 1;
+const EXIT_PROPERTY_VIOLATED: u8 = 1;
 const EXIT_BAD_USAGE: u8 = 2;
 const HELP_COLUMNS: usize = 100;
-/// Steps of the progress bar where progress is a ratio.
+/// Steps of a progress bar that shows a ratio.
 const RATIO_STEPS: f64 = 1000.0;
+/// How often a run of `membership` reports progress: 10 changes at each of 3 loss ratios.
 const MEMBERSHIP_STEPS: u64 = 30;
-const SMALLEST_FLEET: usize = 3;
-const MOST_SOAK_GATEWAYS: usize = 20;
-const SHORTEST_LEASE_MS: u32 = 100;
-/// Heartbeats of a lease.
+const MIN_FLEET_GATEWAYS: usize = 3;
+const MAX_SOAK_GATEWAYS: usize = 20;
+const MIN_LEASE_MS: u32 = 100;
+/// Heartbeats in the duration of a lease.
 const HEARTBEATS_PER_LEASE: u32 = 4;
 
-/// Why a sub-command ends without a report.
+/// Why a command ends without a report.
 #[derive(Debug, Error)]
 enum CliError {
-    #[error("--seeds is above 0, --gateways from 1 to {most_gateways}")]
-    AdmissionRange { most_gateways: usize },
-    #[error("--loss is from 0 to 1; --seconds, --rate, --gateways and --servers are above 0")]
+    #[error("--seeds must be above 0 and --gateways between 1 and {max_gateways}")]
+    AdmissionRange { max_gateways: usize },
+    #[error("--loss must be between 0 and 1; --seconds, --rate, --gateways and --servers must be above 0")]
     SitesRange,
-    #[error("--gateways is 3 or more, --lease 100 or more, --seconds and --rate above 0")]
+    #[error("--gateways must be at least 3 and --lease at least 100; --seconds and --rate must be above 0")]
     FleetRange,
-    #[error("--seeds is 1 or more")]
+    #[error("--seeds must be at least 1")]
     SoakSeeds,
-    #[error("--gateways is from 1 to {MOST_SOAK_GATEWAYS}")]
+    #[error("--gateways must be between 1 and {MAX_SOAK_GATEWAYS}")]
     SoakGateways,
-    #[error("--seconds is {shortest} or more: a shutdown and the start anew take that long", shortest = soak::plan::SHORTEST_RUN.as_secs())]
+    #[error("--seconds must be at least {min_seconds}, the time that a shutdown and a restart take", min_seconds = soak::plan::SHORTEST_RUN.as_secs())]
     SoakSeconds,
-    #[error("--form is ipfix, or v9 with --road udp")]
+    #[error("--form must be ipfix, or v9 with --road udp")]
     WireFormat,
     #[error(transparent)]
     Transport(#[from] UnknownTransport),
@@ -55,11 +56,11 @@
     Report(#[from] serde_json::Error),
 }
 
-/// Whether all properties hold.
+/// `true` if all properties hold.
 type Verdict = Result<bool, CliError>;
 
-/// Runs the sub-command that the process's arguments name. Exit code 0 if every property holds, 1 if one does not, 2 if
-/// the run is not possible as asked.
+/// Runs the command in the process's arguments. Returns exit code 0 if every property holds, 1 if one doesn't, and 2 if the
+/// arguments are wrong or the run fails.
 pub fn run() -> ExitCode {
     let command = match command_line().run_inner(Args::current_args()) {
         Ok(command) => command,
@@ -67,7 +68,7 @@
     };
     match run_command(command) {
         Ok(true) => ExitCode::SUCCESS,
-        Ok(false) => ExitCode::from(EXIT_VIOLATED_PROPERTY),
+        Ok(false) => ExitCode::from(EXIT_PROPERTY_VIOLATED),
         Err(error) => {
             let message = error.to_string().replace('\n', " ");
             eprintln!("harrierdock-fault-injection: {message}");
@@ -76,7 +77,7 @@
     }
 }
 
-/// Prints help, or what is wrong with the arguments.
+/// Prints the help, or the error in the arguments.
 fn report_parse_failure(failure: ParseFailure) -> ExitCode {
     failure.print_message(HELP_COLUMNS);
     if failure.exit_code() == 0 {
@@ -114,9 +115,9 @@
 }
 
 fn run_admission(arguments: &AdmissionArguments) -> Verdict {
-    let most_gateways = admission::MOST_GATEWAYS;
-    if arguments.seeds == 0 || !(1..=most_gateways).contains(&arguments.gateways) {
-        return Err(CliError::AdmissionRange { most_gateways });
+    let max_gateways = admission::MOST_GATEWAYS;
+    if arguments.seeds == 0 || !(1..=max_gateways).contains(&arguments.gateways) {
+        return Err(CliError::AdmissionRange { max_gateways });
     }
     let bar = progress_bar(arguments.seeds);
     let report = admission::play(
@@ -124,7 +125,7 @@
         arguments.seeds,
         arguments.gateways,
         arguments.fault,
-        |played| bar.set_position(played),
+        |completed| bar.set_position(completed),
     );
     print_report(&report, report.ok)
 }
@@ -174,12 +175,12 @@
 
 fn run_flows(arguments: FlowsArguments) -> Verdict {
     let transport: CollectorTransport = arguments.transport.parse()?;
-    let is_possible = match arguments.wire_format.as_str() {
+    let is_supported = match arguments.wire_format.as_str() {
         "ipfix" => true,
         "v9" => transport == CollectorTransport::Udp,
         _ => false,
     };
-    if !is_possible {
+    if !is_supported {
         return Err(CliError::WireFormat);
     }
     let scenario = flows::Scenario {
@@ -213,10 +214,10 @@
 }
 
 fn run_fleet(arguments: FleetArguments) -> Verdict {
-    if arguments.gateways < SMALLEST_FLEET
+    if arguments.gateways < MIN_FLEET_GATEWAYS
         || arguments.seconds <= 0.0
         || arguments.requests_per_second <= 0.0
-        || arguments.lease_ms < SHORTEST_LEASE_MS
+        || arguments.lease_ms < MIN_LEASE_MS
     {
         return Err(CliError::FleetRange);
     }
@@ -244,7 +245,8 @@
     print_report(&report, report.ok)
 }
 
-/// Prints the tables for people; a share of wrong verdicts is a finding and no broken property.
+/// Prints the tables to standard error and the report to standard output. Wrong eliminations are measured, and violate no
+/// property.
 fn run_elimination(arguments: &EliminationArguments) -> Verdict {
     let settings = elimination::ModelSettings::all_rows(arguments.seed, arguments.draws);
     let bar = progress_bar(settings.steps() as u64);
@@ -259,12 +261,12 @@
     if arguments.seeds == 0 {
         return Err(CliError::SoakSeeds);
     }
-    if !(1..=MOST_SOAK_GATEWAYS).contains(&arguments.gateways) {
+    if !(1..=MAX_SOAK_GATEWAYS).contains(&arguments.gateways) {
         return Err(CliError::SoakGateways);
     }
-    let shortest = soak::plan::SHORTEST_RUN;
+    let min_duration = soak::plan::SHORTEST_RUN;
     let duration = Duration::try_from_secs_f64(arguments.seconds).unwrap_or_default();
-    if duration < shortest {
+    if duration < min_duration {
         return Err(CliError::SoakSeconds);
     }
     let mut all_hold = true;
@@ -300,7 +302,7 @@
     ProgressBar::with_draw_target(Some(length), ProgressDrawTarget::stderr())
 }
 
-/// Shows progress given as a ratio from 0 to 1.
+/// Shows a progress bar; the returned function sets it to a ratio from 0 to 1.
 fn ratio_progress() -> impl FnMut(f64) {
     let bar = progress_bar(RATIO_STEPS as u64);
     move |ratio| bar.set_position((ratio * RATIO_STEPS) as u64)
--- a/crates/fault-injection/src/collector/counts.rs
+++ b/crates/fault-injection/src/collector/counts.rs
@@ -1,4 +1,4 @@
-//! What a collector has counted.
+//! A collector's counts of what it has received.
 
 use std::collections::BTreeMap;
 
@@ -6,60 +6,60 @@
 
 use super::record::{element, CollectedRecord, RecordKind};
 
-/// How many records are kept for a table, at the most.
+/// Records kept for the CSV and Parquet tables; later ones are counted only.
 const TABLE_RECORD_LIMIT: usize = 1_000_000;
-/// The version number of IPFIX messages; their sequence numbers count records, those of NetFlow v9 messages.
+/// The version number of IPFIX messages. IPFIX sequence numbers count records, those of NetFlow v9 count messages.
 const IPFIX_VERSION: u16 = 10;
 
-/// What is counted apart.
+/// The key by which attempts and requests are counted.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RecordKey {
     /// `submission` for attempts, `txn` for requests.
     pub kind: String,
-    /// The build that answered.
+    /// The build of the endpoint that answered.
     pub build: u64,
-    /// The request class.
+    /// The name of the request class.
     pub class: String,
 }
 
-/// What the messages of one exporter's observation domain said.
+/// Counts of one exporter's observation domain.
 #[derive(Clone, Default)]
 pub struct DomainCounts {
-    /// The next sequence number if nothing is lost.
+    /// The sequence number expected in the next message; `None` before the first message.
     pub next_sequence_number: Option<u32>,
     /// Data records received.
     pub records: u64,
     /// Records (IPFIX) or messages (NetFlow v9) that the sequence numbers show to be missing.
     pub sequence_gap: u64,
-    /// What it last said that it had dropped: attempts, requests.
+    /// Attempts and requests that the exporter dropped, as it last reported them.
     pub dropped: [u64; 2],
 }
 
-/// What a collector has counted, and what it has kept for a table and a search.
+/// A collector's counts, with the octets and records that it received.
 #[derive(Default)]
 pub struct Counts {
-    /// Attempts and requests, as the records count them.
+    /// Sums of the counts in attempt and request records.
     pub totals: BTreeMap<RecordKey, u64>,
-    /// By observation domain.
+    /// Counts by observation domain.
     pub domains: BTreeMap<u32, DomainCounts>,
-    /// Octets by observation domain and second since the start.
+    /// Octets received, by observation domain and second since the collector's start.
     pub octets: BTreeMap<(u32, u64), u64>,
     /// Messages received.
     pub messages: u64,
     /// Messages that can't be decoded.
     pub malformed_messages: u64,
-    /// Sets without a template.
+    /// Data sets received without their template.
     pub unknown_sets: u64,
-    /// Datagrams that the collector dropped itself.
+    /// Datagrams that the collector dropped, as configured or while it wasn't running.
     pub dropped_datagrams: u64,
-    /// All octets received.
+    /// The octets of all messages counted.
     pub raw: Vec<u8>,
-    /// The first records received.
+    /// The first records received, for the CSV and Parquet tables.
     pub records: Vec<CollectedRecord>,
 }
 
 impl Counts {
-    /// Counts a message that came in this second since the start.
+    /// Counts a message received in the given second since the collector's start.
     pub(super) fn add_message(&mut self, reader: &mut MessageReader, octets: &[u8], second: u64) {
         self.raw.extend_from_slice(octets);
         self.messages += 1;
@@ -122,8 +122,8 @@
     }
 }
 
-/// How many records or messages are missing before this sequence number. A session that begins anew, or a message that
-/// comes late, shows none.
+/// Returns how many records or messages are missing before this sequence number. The first message of a session, and one
+/// that arrives late, count as no gap.
 fn sequence_gap(expected: Option<u32>, sequence_number: u32) -> u64 {
     let gap = expected.map_or(0, |expected| sequence_number.wrapping_sub(expected));
     if sequence_number == 0 || gap > u32::MAX / 2 {
--- a/crates/fault-injection/src/collector/mod.rs
+++ b/crates/fault-injection/src/collector/mod.rs
@@ -1,6 +1,6 @@
-//! A flow collector that counts what it gets by UDP, TCP or TLS, and can be stopped, slow, or lose datagrams.
+//! A flow collector that counts what it receives by UDP, TCP or TLS. It can be stopped, read slowly, or drop datagrams.
 //!
-//! It owns its listener and a thread for each stream; both end with [`Collector::stop`].
+//! It has a thread for its listener and one for each stream; all of them end with [`Collector::stop`].
 
 mod counts;
 mod record;
@@ -23,47 +23,47 @@
 pub use record::{CollectedRecord, NUMBER_COLUMNS, TEXT_COLUMNS};
 pub use transport::{CollectorTransport, UnknownTransport};
 
-/// How long a read waits before the thread looks whether the collector is stopped.
+/// How long a read blocks before the thread checks whether the collector is stopped.
 const DATAGRAM_READ_TIMEOUT: Duration = Duration::from_millis(20);
 const STREAM_READ_TIMEOUT: Duration = Duration::from_millis(50);
 const ACCEPT_INTERVAL: Duration = Duration::from_millis(5);
-/// How long a slow collector takes for each octet.
+/// How long a slow collector pauses after each octet.
 const SLOW_READ_INTERVAL: Duration = Duration::from_secs(1);
 const LARGEST_DATAGRAM_BYTES: usize = 65_536;
 const STREAM_BUFFER_BYTES: usize = 16 * 1024;
 const LOSS_SEED: u64 = 7;
 
-/// Why a collector can't be used.
+/// Why a collector couldn't start, or its counts can't be read.
 #[derive(Debug, Error)]
 pub enum CollectorError {
-    /// It can't listen.
+    /// The collector can't listen.
     #[error("{address}: {source}")]
     Listen {
-        /// Where it was to listen.
+        /// The address in [`CollectorOptions`].
         address: SocketAddr,
-        /// Why.
+        /// The error of the system.
         source: io::Error,
     },
-    /// A thread panicked while it counted.
-    #[error("poisoned lock: another task failed inside")]
+    /// A thread panicked while it held the counts.
+    #[error("a collector thread panicked while it held the counts")]
     CountsPoisoned,
 }
 
-/// How a collector listens and what it does wrong.
+/// How a collector listens, and which faults it injects.
 pub struct CollectorOptions {
-    /// Where it listens; port 0 for any port.
+    /// The address to listen on; with port 0 the system picks the port.
     pub listen: SocketAddr,
-    /// The protocol.
+    /// The transport protocol of the flow messages.
     pub transport: CollectorTransport,
-    /// It reads one octet a second, and writes to the exporter as well.
+    /// The collector reads one octet a second from a stream, and writes to the exporter after each.
     pub is_slow: bool,
-    /// The share of datagrams that it loses.
+    /// The share of datagrams that it drops, from 0 to 1.
     pub loss_ratio: f64,
-    /// Its end of TLS, where the transport needs one.
+    /// The server's TLS configuration; `None` unless the transport is TLS.
     pub tls: Option<Arc<ServerConfig>>,
 }
 
-/// A collector that listens.
+/// A running collector.
 pub struct Collector {
     address: SocketAddr,
     options: CollectorOptions,
@@ -73,18 +73,18 @@
     is_stopped: AtomicBool,
 }
 
-/// The socket of a collector, by its transport.
+/// The collector's socket.
 enum Listener {
     Datagrams(UdpSocket),
     Streams(TcpListener),
 }
 
 impl Collector {
-    /// Listens, and counts in threads of its own until [`stop`](Collector::stop).
+    /// Listens, and counts messages in background threads until [`stop`](Collector::stop).
     ///
     /// # Errors
     ///
-    /// The address is not to be had.
+    /// The address can't be bound.
     pub fn start(options: CollectorOptions) -> Result<Arc<Collector>, CollectorError> {
         let (listener, address) = listen(&options).map_err(|source| CollectorError::Listen {
             address: options.listen,
@@ -110,28 +110,28 @@
         Ok(collector)
     }
 
-    /// Where it listens.
+    /// The address it listens on, with the port that the system picked.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// What it has counted so far; nothing is counted while this is held.
+    /// Locks the counts. The collector's threads wait while the guard is held.
     ///
     /// # Errors
     ///
-    /// A thread panicked while it counted.
+    /// A thread panicked while it held the counts.
     pub fn counts(&self) -> Result<MutexGuard<'_, Counts>, CollectorError> {
         self.counts
             .lock()
             .map_err(|_| CollectorError::CountsPoisoned)
     }
 
-    /// Takes it away from its exporters, or gives it back to them.
+    /// Simulates an outage: while not running, the collector drops datagrams and closes its streams and their listener.
     pub fn set_running(&self, is_running: bool) {
         self.is_running.store(is_running, Ordering::SeqCst);
     }
 
-    /// Ends its threads.
+    /// Makes all threads of the collector end; returns without waiting for them.
     pub fn stop(&self) {
         self.is_stopped.store(true, Ordering::SeqCst);
     }
@@ -151,7 +151,7 @@
         }
     }
 
-    /// Nobody answers while it isn't running; the system's report that the port is closed is not imitated.
+    /// Drops datagrams while the collector isn't running. The socket stays open, so exporters get no ICMP port unreachable.
     fn receive_datagrams(&self, socket: &UdpSocket) {
         let mut readers = BTreeMap::<SocketAddr, MessageReader>::new();
         let mut rng = WyRand::new_seed(LOSS_SEED);
@@ -189,7 +189,8 @@
         }
     }
 
-    /// Reads what has come before it closes a stream, so that what was received is counted.
+    /// Reads from a stream until the exporter closes it, or the collector stops or isn't running. The latter two are checked
+    /// after a read without data, so that octets already received are counted. A slow collector stops without this wait.
     fn read_stream(&self, mut stream: TcpStream) {
         let _ = stream.set_nonblocking(false);
         let _ = stream.set_read_timeout(Some(STREAM_READ_TIMEOUT));
@@ -219,7 +220,7 @@
                 Err(_) => return,
             }
             if self.options.is_slow {
-                // Exporters must cope with a collector that writes to them, which no protocol allows.
+                // Exporters must tolerate a collector that writes to them, although the protocol forbids it.
                 let _ = stream.write(b"?");
                 thread::sleep(SLOW_READ_INTERVAL);
                 if self.is_stopped() {
@@ -230,7 +231,7 @@
         }
     }
 
-    /// Counts the messages that have come whole, and keeps the rest.
+    /// Counts the messages received completely, and leaves an incomplete one in `received`.
     fn count_complete_messages(&self, reader: &mut MessageReader, received: &mut Vec<u8>) {
         while let Ok(Some(length)) = MessageReader::message_length(received) {
             if received.len() < length {
--- a/crates/fault-injection/src/collector/record.rs
+++ b/crates/fault-injection/src/collector/record.rs
@@ -1,12 +1,12 @@
-//! Data records of the gateways' templates, as rows of a table.
+//! Converts data records of the gateways' templates to table rows.
 
 use harrierdock_ipfix::{DataRecord, ENTERPRISE_NUMBER};
 
-/// Information elements by which IPFIX says when something started and ended.
+/// Standard information elements: flowStartMilliseconds and flowEndMilliseconds.
 const START_MS: u16 = 152;
 const END_MS: u16 = 153;
 
-/// The gateways' own information elements.
+/// Numbers of the enterprise-specific information elements that gateways export.
 pub(super) mod element {
     pub(in crate::collector) const BUILD: u16 = 1;
     pub(in crate::collector) const STAGE: u16 = 2;
@@ -23,16 +23,16 @@
     pub(in crate::collector) const DROPPED_REQUESTS: u16 = 18;
 }
 
-/// Names of the columns with numbers, in order.
+/// Names of the numeric columns, in order.
 pub const NUMBER_COLUMNS: [&str; 11] = [
     "domain", "start_ms", "end_ms", "build", "stage", "count", "second", "late", "time_us",
     "taken", "cap_ppm",
 ];
 
-/// Names of the columns with text, in order; they follow those with numbers.
+/// Names of the text columns, in order; they follow the numeric columns.
 pub const TEXT_COLUMNS: [&str; 4] = ["kind", "product", "outcome", "road"];
 
-/// What a record is about.
+/// The kind of a record, by its template.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RecordKind {
     Attempt,
@@ -41,7 +41,7 @@
 }
 
 impl RecordKind {
-    /// The kind that a template's records have, if it is one of the gateways' templates.
+    /// Returns the kind of a template's records; `None` for a template that gateways don't send.
     pub(super) fn of_template(template_id: u16) -> Option<RecordKind> {
         match template_id {
             256 => Some(RecordKind::Attempt),
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Its name in tables and in gateways' logs.
+    /// The kind's name in tables and in the gateways' log.
     pub(super) fn name(self) -> &'static str {
         match self {
             RecordKind::Attempt => "submission",
@@ -70,7 +70,7 @@
 }
 
 impl CollectedRecord {
-    /// Takes the columns out of a record; those that it lacks are 0 or empty.
+    /// Reads the columns from a record; columns without a value are 0 or empty.
     pub(super) fn new(domain: u32, kind: RecordKind, record: &DataRecord) -> CollectedRecord {
         let standard = |element| record.number(0, element).unwrap_or(0);
         let number = |element| record.number(ENTERPRISE_NUMBER, element).unwrap_or(0);
--- a/crates/fault-injection/src/collector/transport.rs
+++ b/crates/fault-injection/src/collector/transport.rs
@@ -1,4 +1,4 @@
-//! The transport protocols on which a collector listens.
+//! The transport protocols of flow export.
 
 use std::str::FromStr;
 
@@ -7,11 +7,11 @@
 /// How flow messages reach a collector.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CollectorTransport {
-    /// One message in a datagram.
+    /// One message per datagram.
     Udp,
-    /// Messages in a stream.
+    /// A stream of messages.
     Tcp,
-    /// Messages in a stream, with TLS in both directions.
+    /// A stream of messages over TLS, with certificates on both sides.
     Tls,
 }
 
@@ -22,7 +22,7 @@
 ];
 
 impl CollectorTransport {
-    /// Its name on the command line and in a gateway's settings.
+    /// The transport's name on the command line and in a gateway's settings.
     pub fn name(self) -> &'static str {
         NAMES
             .iter()
@@ -31,11 +31,11 @@
     }
 }
 
-/// No transport has this name.
+/// The name isn't that of a transport.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-#[error("'{name}' is none of udp, tcp, tls")]
+#[error("'{name}' is not a transport: expected udp, tcp or tls")]
 pub struct UnknownTransport {
-    /// What was given.
+    /// The unknown name.
     pub name: String,
 }
 
