--- a/crates/fault-injection/src/flows/scenario.rs
+++ b/crates/fault-injection/src/flows/scenario.rs
@@ -39,7 +39,7 @@
 }
 
 impl Scenario {
-    /// The steps beside the clients' requests, each with its second.
+    /// The steps in addition to the clients' requests, each with its second.
     pub(super) fn steps(&self) -> Vec<(f64, ScenarioStep)> {
         let samples = (self.duration_seconds / USAGE_SAMPLE_SECONDS) as u32;
         let mut steps: Vec<(f64, ScenarioStep)> = (0..=samples)
--- a/crates/fault-injection/src/membership.rs
+++ b/crates/fault-injection/src/membership.rs
@@ -18,7 +18,7 @@
 const SETTLING_ROUNDS: usize = 120;
 /// Rounds after which a change counts as not known to all.
 const MAX_ROUNDS: usize = 400;
-/// Gateways whose state is changed, one after another.
+/// State changes measured at each loss ratio, one after another.
 const STATE_CHANGES: usize = 9;
 /// Gateways of the other site that a gateway's settings list.
 const CONFIGURED_PEERS: usize = 3;
