--- a/crates/site-transport/src/error.rs
+++ b/crates/site-transport/src/error.rs
@@ -13,7 +13,7 @@
 
 /// A site or gateway name that is not a valid DNS label.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-#[error("'{name}' is not a valid name: use 1 to {MAX_LABEL_LENGTH} lowercase letters, digits and inner hyphens")]
+#[error("'{name}' is no name: 1 to {MAX_LABEL_LENGTH} small letters, digits and inner hyphens")]
 pub struct LabelError {
     /// The invalid name.
     pub name: String,
@@ -26,22 +26,22 @@
     #[error("{0}")]
     Pem(#[source] pem::Error),
     /// The PEM text contains no certificate.
-    #[error("no PEM-encoded certificate found")]
+    #[error("no certificate in PEM form")]
     Missing,
     /// The data is not an X.509 certificate.
-    #[error("cannot be parsed: {0}")]
+    #[error("cannot be read: {0}")]
     Malformed(#[source] nom::Err<X509Error>),
     /// The subject alternative names cannot be parsed.
-    #[error("cannot be parsed: {0}")]
+    #[error("cannot be read: {0}")]
     MalformedNames(#[source] X509Error),
     /// The certificate does not have exactly one DNS name.
-    #[error("has {count} DNS names, expected one")]
+    #[error("names {count} gateways, not one")]
     NotOneName {
         /// Number of DNS names in the certificate.
         count: usize,
     },
     /// The DNS name does not have the form of a gateway's name.
-    #[error("DNS name '{name}' does not identify a gateway")]
+    #[error("names '{name}', which is no gateway")]
     NotAGateway {
         /// The DNS name of the certificate.
         name: String,
@@ -114,16 +114,19 @@
 }
 
 /// The peer's certificate is rejected after a completed handshake.
+///
+/// Its text is sent to the peer as the close reason of the connection and therefore stays stable. This includes the texts of
+/// [`CertificateError`] and [`LabelError`], which it contains.
 #[derive(Debug, Error)]
 pub enum HandshakeError {
     /// The peer presented no certificate.
-    #[error("no certificate presented")]
+    #[error("certificate shows no certificate")]
     NoCertificate,
     /// The peer's certificate does not identify a gateway.
     #[error("certificate {0}")]
     Certificate(#[source] CertificateError),
     /// The peer's certificate identifies a gateway of a site other than the expected one.
-    #[error("certificate is for {gateway}, which is not a gateway of site {other_site}")]
+    #[error("certificate names {gateway}, no gateway of {other_site}")]
     WrongSite {
         /// The gateway that the certificate identifies.
         gateway: GatewayName,
