--- a/crates/gateway/src/dispatch/answers.rs
+++ b/crates/gateway/src/dispatch/answers.rs
@@ -132,7 +132,11 @@
 
     /// Finishes a request whose client has disconnected, or which the other site has abandoned.
     pub(super) fn handle_client_disconnected(&mut self, now: Timestamp, id: RequestId) {
-        if !self.finish_request(id, RequestEnd::ClientGone, FlowOutcome::ClientDisconnected) {
+        if !self.finish_request(
+            id,
+            RequestEnd::ClientDisconnected,
+            FlowOutcome::ClientDisconnected,
+        ) {
             return;
         }
         self.answer_inbound(
@@ -140,7 +144,7 @@
             id,
             InboundAnswer::without_body(ForwardingOutcome::Failed),
         );
-        self.handle_multi_site_event(now, MultiSiteEvent::ClientGone { id });
+        self.handle_multi_site_event(now, MultiSiteEvent::ClientDisconnected { id });
         self.handle_policy_event(now, Event::ClientDisconnected { id });
         self.dispatcher.requests.remove_if_complete(id);
     }
@@ -152,7 +156,7 @@
             .check_invariant(false, "every request is answered by its deadline");
         self.answer(id, Answer::Failed);
         let now = self.context.now();
-        self.handle_multi_site_event(now, MultiSiteEvent::ClientGone { id });
+        self.handle_multi_site_event(now, MultiSiteEvent::ClientDisconnected { id });
         self.handle_policy_event(now, Event::ClientDisconnected { id });
     }
 
--- a/crates/multi-site/src/event.rs
+++ b/crates/multi-site/src/event.rs
@@ -26,7 +26,7 @@
     /// It failed, or was rejected although it may have run.
     Failed,
     /// Its client disconnected.
-    ClientGone,
+    ClientDisconnected,
 }
 
 /// An event that may change a decision.
@@ -51,7 +51,7 @@
         remaining: TimeDelta,
     },
     /// The client of a request disconnected.
-    ClientGone {
+    ClientDisconnected {
         /// The request from [`Event::RequestReceived`].
         id: RequestId,
     },
--- a/crates/multi-site/src/failover.rs
+++ b/crates/multi-site/src/failover.rs
@@ -116,7 +116,7 @@
 
     /// Records the result of a request at the local site's endpoints.
     pub(crate) fn record_request_end(&mut self, now: Timestamp, end: RequestEnd) {
-        if end == RequestEnd::ClientGone {
+        if end == RequestEnd::ClientDisconnected {
             return;
         }
         self.results.push_back(LocalResult {
--- a/crates/multi-site/src/multi_site/mod.rs
+++ b/crates/multi-site/src/multi_site/mod.rs
@@ -114,7 +114,7 @@
                 class,
                 remaining,
             } => self.handle_locally_rejected(id, class, remaining),
-            Event::ClientGone { id } => self.handle_client_gone(id),
+            Event::ClientDisconnected { id } => self.handle_client_disconnected(id),
             Event::RequestEnded {
                 class,
                 end,
--- a/crates/multi-site/src/multi_site/outbound.rs
+++ b/crates/multi-site/src/multi_site/outbound.rs
@@ -114,7 +114,7 @@
     }
 
     /// Sends a cancel for a forwarded request whose client disconnected.
-    pub(super) fn handle_client_gone(&mut self, id: RequestId) {
+    pub(super) fn handle_client_disconnected(&mut self, id: RequestId) {
         let Some((forwarding_id, request)) = self.outbound.take_abandoned(id) else {
             return;
         };
--- a/crates/multi-site/src/offered_capacity.rs
+++ b/crates/multi-site/src/offered_capacity.rs
@@ -90,7 +90,7 @@
 
     /// Records the end of a client's or an inbound request that the local policy handled.
     pub(crate) fn record_request_end(&mut self, end: RequestEnd, is_late: bool) {
-        if end == RequestEnd::ClientGone {
+        if end == RequestEnd::ClientDisconnected {
             return;
         }
         let succeeded = end == RequestEnd::Succeeded;
