--- a/crates/lease/src/candidate.rs
+++ b/crates/lease/src/candidate.rs
@@ -13,7 +13,7 @@
 
 /// How many heartbeat intervals to wait for replies.
 const REPLY_TIMEOUT_HEARTBEATS: f64 = 0.5;
-/// After timeouts moved the probes to another elector, one probe in this many, drawn at random, returns to the first.
+/// After a timeout, probes go to another elector. One probe in this many, drawn at random, goes to the first elector again.
 const FIRST_ELECTOR_INTERVAL: u32 = 8;
 /// How many heartbeat intervals after the first release message the second one is sent.
 const REPEATED_RELEASE_HEARTBEATS: f64 = 1.0 / 8.0;
@@ -234,7 +234,7 @@
         });
     }
 
-    /// Performs the actions of a lease whose time has come.
+    /// Performs the actions of a lease whose deadlines have passed.
     pub(crate) fn handle_deadlines(&mut self, now: Timestamp, lease: LeaseName) {
         self.repeat_release(now, lease);
         let Some(state) = self.states.get(&lease) else {
--- a/crates/lease/src/event.rs
+++ b/crates/lease/src/event.rs
@@ -18,14 +18,14 @@
     TimerFired,
     /// This gateway becomes a candidate for the lease, or stops being one and transfers the lease if it holds it.
     CandidacyChanged {
-        /// The lease.
+        /// The lease to seek or to give up.
         lease: LeaseName,
         /// Whether this gateway is to seek and hold the lease.
         is_candidate: bool,
     },
     /// The receiver of an operation has refused its epoch as older than `newest`.
     EpochRejected {
-        /// The lease.
+        /// The lease under which the operation was sent.
         lease: LeaseName,
         /// The newest epoch that the receiver knows of.
         newest: Epoch,
@@ -39,9 +39,9 @@
 /// Why this gateway no longer holds a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LossReason {
-    /// A majority did not renew it in time.
+    /// No majority of the electors renewed the lease in time.
     Expired,
-    /// This gateway gave it up, because it shuts down or is no longer a candidate.
+    /// This gateway gave up the lease, because it shuts down or is no longer a candidate.
     Transferred,
     /// The receiver of an operation knows a newer epoch.
     Superseded,
@@ -59,23 +59,23 @@
     },
     /// This gateway holds the lease from now on.
     Acquired {
-        /// The lease.
+        /// The acquired lease.
         lease: LeaseName,
         /// The epoch to send along with operations under the lease.
         epoch: Epoch,
     },
     /// This gateway no longer holds the lease.
     Lost {
-        /// The lease.
+        /// The lost lease.
         lease: LeaseName,
         /// The epoch in which it was held.
         epoch: Epoch,
-        /// What ended it.
+        /// Why the lease was lost.
         reason: LossReason,
     },
     /// Deliver `Event::TimerFired` after this time. Replaces the previous timer.
     SetTimer {
-        /// The time from now, by the clock that events are stamped with.
+        /// The delay from the handled event, on the clock that `LeaseManager::handle` receives as `now`.
         after: TimeDelta,
     },
 }
--- a/crates/lease/src/known_leases.rs
+++ b/crates/lease/src/known_leases.rs
@@ -1,5 +1,5 @@
-//! Which gateways are known to hold which leases, and the gossip of this knowledge. About once in a heartbeat interval, one message goes
-//! to another gateway. Its size is bounded in a fleet of any size.
+//! The known holders of leases, and their gossip. About once in a heartbeat interval, one message with known holders goes to another
+//! gateway. Its size is bounded in a fleet of any size.
 
 use std::collections::BTreeMap;
 
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Sends known holders to a random gateway if it is time: every 0.75 to 1.25 heartbeat intervals.
+    /// Sends known holders to a random gateway every 0.75 to 1.25 heartbeat intervals.
     pub(crate) fn gossip_known_leases(&mut self, now: Timestamp) {
         if now < self.known_leases.next_gossip_at {
             return;
--- a/crates/lease/src/lease_name.rs
+++ b/crates/lease/src/lease_name.rs
@@ -16,7 +16,7 @@
 pub enum LeaseName {
     /// Promotes and rolls back rollout stages by the gateways' votes. Without a holder, the current stage doesn't change.
     RolloutController,
-    /// Settles forwarded requests that a crashed gateway left open. Without a holder, they stay open until they expire.
+    /// Finishes forwarded requests that a crashed gateway left open. Without a holder, they stay open until they expire.
     RecoveryOwner,
     /// Aggregates the outcome reports of the gossip group with this number. Without a holder, each member uses its own outcomes only.
     Aggregator(u16),
--- a/crates/lease/src/message.rs
+++ b/crates/lease/src/message.rs
@@ -56,9 +56,9 @@
 /// The kinds of lease messages, each about one lease except `KnownLeases`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MessageBody {
-    /// Asks an elector to promise the lease to the sender in this epoch.
+    /// Requests a promise of the lease in this epoch from an elector.
     Prepare {
-        /// The lease.
+        /// The lease to promise.
         lease: LeaseName,
         /// The proposed epoch.
         epoch: Epoch,
@@ -67,27 +67,27 @@
     },
     /// The elector promises the lease in the proposed epoch, and rejects proposals with older epochs from now on.
     Promised {
-        /// The lease.
+        /// The promised lease.
         lease: LeaseName,
-        /// The proposal.
+        /// The accepted proposal.
         proposal: ProposalId,
     },
-    /// Asks an elector to grant the lease, or to renew its grant.
+    /// Requests a grant of the lease, or the renewal of a grant, from an elector.
     Acquire {
-        /// The lease.
+        /// The lease to grant.
         lease: LeaseName,
-        /// The epoch.
+        /// The promised epoch; in a renewal, the epoch in which the sender holds the lease.
         epoch: Epoch,
         /// 1 for the first grant; renewals have higher numbers.
         round: u16,
-        /// For how long the grant is to last.
+        /// For how long the grant is to last by the elector's clock.
         lease_ms: u16,
     },
     /// The elector has granted the lease.
     Granted {
-        /// The lease.
+        /// The granted lease.
         lease: LeaseName,
-        /// The proposal.
+        /// The proposal that led to the grant.
         proposal: ProposalId,
         /// The round of the answered request.
         round: u16,
@@ -96,9 +96,9 @@
     },
     /// The elector gives no promise or grant now.
     Rejected {
-        /// The lease.
+        /// The requested lease.
         lease: LeaseName,
-        /// The proposal.
+        /// The rejected proposal.
         proposal: ProposalId,
         /// The newest epoch that the elector knows of.
         epoch: Epoch,
@@ -111,21 +111,21 @@
     },
     /// The holder gives up the lease, or a candidate returns the grants of a failed acquisition.
     Release {
-        /// The lease.
+        /// The lease to release.
         lease: LeaseName,
-        /// The holder's epoch.
+        /// The epoch of the grants and promises to release.
         epoch: Epoch,
     },
-    /// The holder gives up the lease and asks the receiver to acquire it.
+    /// The holder gives up the lease, and the receiver is to acquire it.
     Transfer {
-        /// The lease.
+        /// The lease to acquire.
         lease: LeaseName,
-        /// The holder's epoch.
+        /// The epoch of the holder that gives up the lease.
         epoch: Epoch,
     },
     /// Gossip: the holders that the sender knows of.
     KnownLeases {
-        /// At most `codec::MAX_KNOWN_LEASES` of them.
+        /// One record for each lease, at most `codec::MAX_KNOWN_LEASES`.
         records: Vec<LeaseRecord>,
     },
 }
--- a/crates/lease/src/replies.rs
+++ b/crates/lease/src/replies.rs
@@ -183,7 +183,7 @@
     }
 
     /// Learns the epoch and holder from a rejection. The epoch may be the elector's floor after its start, which belongs to no holder. So
-    /// it raises the epoch of this gateway's next try, but not the epoch that its own elector requires.
+    /// it raises the epoch of this gateway's next try, but not the epoch that this gateway's own elector requires.
     fn learn_from_rejection(
         &mut self,
         now: Timestamp,
--- a/crates/lease/src/retry_delay.rs
+++ b/crates/lease/src/retry_delay.rs
@@ -15,7 +15,7 @@
 const LATER_PROBE_LEASES: f64 = 12.0;
 /// How often the delay after failed tries doubles at most.
 const MAX_DOUBLINGS: u32 = 4;
-/// How many probes in a lease duration all candidates together send before they know their places.
+/// How many probes all candidates together send in a lease duration before electors have reported their places.
 const FIRST_PROBES_PER_LEASE: f64 = 64.0;
 
 impl LeaseManager {
@@ -55,14 +55,15 @@
         self.parameters.heartbeat_interval * (CANDIDATE_SPACING * (before as f64 + 0.5 * draw))
     }
 
-    /// Draws the delay of a candidate that is far behind the first ones. All of these together probe about once in a lease duration.
+    /// Draws the delay of a candidate that ranks behind the `MAX_CANDIDATES` that electors keep. All these candidates together probe about
+    /// once in a lease duration.
     fn draw_distant_delay(&mut self) -> TimeDelta {
         let peers = self.parameters.name_hashes.len() as f64;
         self.parameters.lease_duration * (2.0 * peers * self.rng.generate::<f64>()).max(0.5)
     }
 
-    /// Draws the delay of a candidate to which no elector has reported its place yet. The candidates of a large fleet together send 64
-    /// probes in a lease duration, each candidate one. Their number is unknown yet, and a few candidates must not wait long.
+    /// Draws the delay of a candidate to which no elector has reported its place yet. Up to 64 gateways probe within one lease duration; a
+    /// larger fleet spreads its probes to 64 in each. A wider spread would make a few candidates wait long, and their number is unknown.
     pub(crate) fn draw_first_delay(&mut self) -> TimeDelta {
         let peers = self.parameters.name_hashes.len() as f64;
         let leases = (peers / FIRST_PROBES_PER_LEASE).max(1.0);
--- a/crates/lease/tests/exhaustive_model/main.rs
+++ b/crates/lease/tests/exhaustive_model/main.rs
@@ -36,6 +36,7 @@
     Arrives(Message),
 }
 
+/// The model with one planted fault, or with none.
 struct LeaseModel(PlantedFault);
 
 impl LeaseModel {
--- a/crates/lease/tests/exhaustive_model/state.rs
+++ b/crates/lease/tests/exhaustive_model/state.rs
@@ -6,7 +6,7 @@
 use harrierdock_lease::{Epoch, LeaseName};
 use harrierdock_types::{PeerId, TimeDelta, Timestamp};
 
-/// In clock steps.
+/// The duration of the lease in clock steps.
 pub const LEASE_DURATION: i64 = 2;
 pub const LEASE: LeaseName = LeaseName::RolloutController;
 
--- a/crates/lease/tests/support/mod.rs
+++ b/crates/lease/tests/support/mod.rs
@@ -44,7 +44,7 @@
     pub stalled_until_us: Vec<i64>,
     /// Whether a message from one gateway to another, sent at a time in microseconds, arrives.
     pub passes: fn(usize, usize, i64) -> bool,
-    /// One line for each event.
+    /// One line for each crash and each acquired or lost lease.
     pub trace: String,
     /// How often two gateways held the lease at the same time.
     pub double_holders: u32,
@@ -167,7 +167,7 @@
         }
     }
 
-    /// Sends a message that arrives after a delay, whatever `passes` says.
+    /// Sends a message that arrives after a delay, even if `passes` would drop it.
     pub fn send(&mut self, from: usize, to: usize, bytes: Vec<u8>, delay_us: i64) {
         self.last_sequence += 1;
         self.in_transit.insert(
