--- a/crates/multi-site/benches/decisions.rs
+++ b/crates/multi-site/benches/decisions.rs
@@ -18,7 +18,7 @@
 const START: Timestamp = Timestamp(1_000_000_000);
 const PATH: PathId = PathId(1);
 const OWN_INCARNATION: u64 = 5;
-/// Credit is granted again before it is used up.
+/// Forwarded requests between two grants: fewer than one grant covers, so that credit never runs out.
 const REQUESTS_PER_GRANT: u64 = 50_000;
 
 fn gateway_name(site: &str, gateway: &str) -> GatewayName {
--- a/crates/multi-site/src/action.rs
+++ b/crates/multi-site/src/action.rs
@@ -25,7 +25,7 @@
         path: PathId,
         /// This gateway's id for the forwarded request.
         forwarding_id: u64,
-        /// The receiver must refuse the request if it now runs under another incarnation.
+        /// The receiver's incarnation. A receiver that now runs under another one refuses the request.
         receiver_incarnation: u64,
         /// The sequence number of the newest heartbeat sent before the request.
         heartbeat_sequence: u32,
@@ -113,9 +113,9 @@
         gateway: GatewayName,
         /// Its new state.
         state: MemberState,
-        /// Its former state was suspected or lost.
+        /// Whether its former state was suspected or lost.
         returned: bool,
-        /// Its incarnation has changed.
+        /// Whether its incarnation has changed.
         restarted: bool,
     },
     /// This gateway's traffic was moved between the sites.
--- a/crates/multi-site/src/config.rs
+++ b/crates/multi-site/src/config.rs
@@ -19,7 +19,7 @@
     pub latency_objective: TimeDelta,
     /// The longest time that a client waits for a response.
     pub timeout: TimeDelta,
-    /// The value of a request answered in time, relative to other classes. Scarce credit goes to the highest first.
+    /// The value of a request answered in time, relative to other classes. Scarce credit goes to the highest weight first.
     pub priority_weight: f64,
     /// Whether a deduplication group of this class has endpoints at both sites.
     pub deduplicates_across_sites: bool,
@@ -30,7 +30,7 @@
 pub struct MultiSiteConfig {
     /// This gateway's site and name.
     pub own_name: GatewayName,
-    /// The address at which the other site's gateways reach this gateway.
+    /// The address at which the other site's gateways reach this gateway; `None` to announce none.
     pub address: Option<SocketAddr>,
     /// The number of this start, higher than that of every earlier start.
     pub incarnation: u64,
--- a/crates/multi-site/src/event.rs
+++ b/crates/multi-site/src/event.rs
@@ -16,7 +16,7 @@
     Resume,
 }
 
-/// How a request ended that the local policy handled.
+/// How a request that the local policy handled has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestEnd {
     /// An endpoint answered it.
--- a/crates/multi-site/src/failover.rs
+++ b/crates/multi-site/src/failover.rs
@@ -20,7 +20,7 @@
 const MIN_FAILOVER: TimeDelta = TimeDelta(2_000_000);
 const MAX_MIN_FAILOVER: TimeDelta = TimeDelta(30_000_000);
 const FLAPPING_WINDOW: TimeDelta = TimeDelta(60_000_000);
-/// Makes the random draws differ from those of membership, which uses the same seed.
+/// Makes the random numbers differ from those of membership, which uses the same seed.
 const SEED_SALT: u64 = 0x5157;
 
 /// The result of one request at the local site's endpoints.
@@ -42,8 +42,9 @@
     status: TrafficStatus,
     /// Whether an operator has drained this site.
     is_drained: bool,
-    /// When the current failover may end, and its minimum duration.
+    /// When traffic may return at the earliest.
     earliest_return: Timestamp,
+    /// The minimum duration of the latest failover.
     min_failover: TimeDelta,
     last_failover: Option<Timestamp>,
     /// The latest results, oldest first.
--- a/crates/multi-site/src/membership/connections.rs
+++ b/crates/multi-site/src/membership/connections.rs
@@ -11,7 +11,7 @@
 const OPENED_PATHS: usize = 3;
 /// The maximum number of paths, whichever end opened them.
 const MAX_PATHS: usize = 8 * OPENED_PATHS;
-/// Heartbeat intervals before a failed connect is retried, and their maximum. The delay doubles with each failure.
+/// Heartbeat intervals before the first retry of a failed connect, and their maximum. The delay doubles with each failure.
 const CONNECT_RETRY_INTERVALS: f64 = 2.0;
 const MAX_CONNECT_RETRY_INTERVALS: f64 = 32.0;
 /// Keeps the power of two in the retry delay small.
--- a/crates/multi-site/src/membership/failure_detection.rs
+++ b/crates/multi-site/src/membership/failure_detection.rs
@@ -46,6 +46,7 @@
             if was_usable && !is_usable {
                 self.actions.push(MembershipAction::PathLost { path: *id });
             }
+            // A path that has lasted resets the connect backoff.
             let is_proven = now - path.opened_at > HEARTBEAT_INTERVAL * LOST_AFTER_INTERVALS;
             if is_usable && is_proven {
                 if let Some(member) = self.members.get_mut(&path.peer) {
@@ -55,8 +56,8 @@
         }
     }
 
-    /// Suspects gateways whose heartbeats have stopped. A gateway that only doesn't receive ours is not suspected, since it
-    /// may serve others.
+    /// Suspects gateways whose heartbeats have stopped. A gateway that sends heartbeats but does not receive this gateway's is
+    /// not suspected, since it may serve others.
     fn handle_unresponsive_paths(&mut self, now: Timestamp) {
         let unresponsive_path = |(id, path): (&PathId, &super::Path)| UnresponsivePath {
             id: *id,
--- a/crates/multi-site/src/multi_site/paths.rs
+++ b/crates/multi-site/src/multi_site/paths.rs
@@ -132,8 +132,8 @@
         }
     }
 
-    /// Finishes requests forwarded to an earlier incarnation, which will not answer them. Abandons the requests that it
-    /// forwarded here, since their clients are gone.
+    /// Finishes requests forwarded to an earlier incarnation, which will not answer them. Abandons the inbound requests from
+    /// that incarnation, since their clients were disconnected.
     fn handle_peer_restarted(&mut self, peer: &GatewayName, incarnation: u64) {
         for request in self.outbound.take_lost_by_restart(peer, incarnation) {
             self.finish_unknown(request);
--- a/crates/multi-site/src/offered_capacity.rs
+++ b/crates/multi-site/src/offered_capacity.rs
@@ -19,24 +19,25 @@
 const MIN_OVERLOAD_REQUESTS: f64 = 2.0;
 /// The share of the offer that must be used before the offer grows.
 const USED_RATIO: f64 = 0.5;
-/// Intervals without overload before the offer may grow. Without them, an overloaded site would offer capacity whenever no
-/// request happens to fail for a moment.
+/// Intervals without overload before the offer may grow. Without this wait, an overloaded site would offer capacity whenever
+/// no request happens to fail for a moment.
 const RECOVERY_INTERVALS: u32 = 10;
 /// An unused offer shrinks by this factor in each interval, down to the initial offer.
 const UNUSED_FACTOR: f64 = 0.97;
 /// The weight of a new interval in the moving average.
 const SMOOTHING: f64 = 0.1;
-/// How many times its grant a path may use: requests of the last grant may still be in flight.
+/// A path may use its grant this many times over, since requests of the last grant may still be in flight.
 const IN_FLIGHT_FACTOR: f64 = 2.0;
 /// For how many intervals a gateway may save up its credit. Requests within the saved credit are admitted.
 pub(crate) const CREDIT_SAVED_INTERVALS: f64 = 3.0;
 
-/// The credit of one path, by request class.
+/// The credit of one path: requests per interval, indexed by request class.
 #[derive(Default)]
 struct PathGrant {
+    /// How many requests the other end would forward.
     demand: Vec<f64>,
     granted: Vec<f64>,
-    /// How many more requests are admitted.
+    /// How many more requests are admitted, including saved credit.
     admissible: Vec<f64>,
 }
 
@@ -147,10 +148,10 @@
             self.intervals_since_overload.saturating_add(1)
         };
         if is_overloaded {
-            // The local site's own clients come first.
+            // The local site's own clients have precedence.
             self.offer *= OVERLOAD_FACTOR;
         } else if !self.has_recovered() {
-            // The endpoints' capacity is unknown until they have recovered.
+            // Keeps the offer, since the endpoints' capacity is unknown until they have recovered.
         } else if current.admitted >= USED_RATIO * self.offer.floor().max(1.0) {
             self.offer = self.offer * GROWTH_FACTOR + 1.0;
         } else if self.offer < initial_offer {
--- a/crates/multi-site/src/path_selection.rs
+++ b/crates/multi-site/src/path_selection.rs
@@ -10,17 +10,18 @@
 
 /// Heartbeat intervals after which credit expires.
 const CREDIT_VALID_INTERVALS: f64 = 5.0;
-/// The weight of a new response in moving averages.
+/// The weight of a new response time in the mean; half of it is the weight in the ratio of refused requests. Windows and
+/// demand shrink by this share.
 const SMOOTHING: f64 = 0.1;
 /// A path is paused for [`PAUSE`] once more than this share of its requests is refused.
 const REFUSED_RATIO: f64 = 0.08;
 const PAUSE: TimeDelta = TimeDelta(1_000_000);
-/// The window of requests in flight on a path: its initial size, and its bounds as it adapts to the responses.
+/// The limit of requests in flight on a path (its window): the initial value, and the bounds as it adapts to the responses.
 const INITIAL_WINDOW: f64 = 16.0;
 const MIN_WINDOW: f64 = 4.0;
 const MAX_WINDOW: f64 = 512.0;
 /// A request is forwarded only if its remaining time is at least this many mean response times.
-const RESPONSE_TIMES_LEFT: f64 = 2.0;
+const MIN_RESPONSE_TIMES_LEFT: f64 = 2.0;
 /// The assumed mean response time before the first response, as a share of the latency objective.
 const INITIAL_RESPONSE_TIME_RATIO: f64 = 0.25;
 
@@ -64,7 +65,7 @@
     /// The mean response time of served requests of each class.
     response_times: Vec<TimeDelta>,
     credit: BTreeMap<PathId, PathCredit>,
-    /// How many requests of each class were meant to be forwarded in this interval.
+    /// How many requests of each class this gateway tried to forward in this interval.
     requested: Vec<f64>,
     /// The slowly decaying maximum of `requested`.
     demand: Vec<f64>,
@@ -112,7 +113,7 @@
         remaining: TimeDelta,
     ) -> Option<PathId> {
         self.requested[class.0] += 1.0;
-        if remaining < self.response_times[class.0] * RESPONSE_TIMES_LEFT {
+        if remaining < self.response_times[class.0] * MIN_RESPONSE_TIMES_LEFT {
             return None;
         }
         let is_serving = |id: &PathId| {
--- a/crates/multi-site/src/requests/inbound.rs
+++ b/crates/multi-site/src/requests/inbound.rs
@@ -1,4 +1,4 @@
-//! Inbound requests: those that run here for the other site, and the stored completions of earlier ones, so that no copy runs.
+//! Inbound requests: the running ones, and the stored completions of earlier ones, by which late copies are recognized.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
--- a/crates/multi-site/src/requests/outbound.rs
+++ b/crates/multi-site/src/requests/outbound.rs
@@ -53,9 +53,10 @@
     }
 }
 
-/// A request of a lost path to run again at the local site.
+/// A request of a lost path that runs again at the local site.
 pub(crate) struct LocalRetry {
     pub(crate) request: OutboundRequest,
+    /// The time within which the local site must answer.
     pub(crate) remaining: TimeDelta,
 }
 
--- a/crates/multi-site/tests/multi_site/fixture.rs
+++ b/crates/multi-site/tests/multi_site/fixture.rs
@@ -73,8 +73,9 @@
 pub struct Fixture {
     pub site: MultiSite,
     pub now: Timestamp,
-    /// The sequence numbers of the newest heartbeats of the other end and of this one.
+    /// The sequence number of the newest heartbeat received from the other end.
     pub peer_sequence: u32,
+    /// The sequence number of the newest heartbeat that this gateway sent.
     pub own_sequence: u32,
     pub trace: String,
 }
--- a/crates/site-messages/src/forwarding.rs
+++ b/crates/site-messages/src/forwarding.rs
@@ -9,7 +9,7 @@
     pub forwarding_id: u64,
     /// The incarnation of the gateway that forwards the request.
     pub sender_incarnation: u64,
-    /// The incarnation for which the request is meant; the receiver doesn't run it under another one.
+    /// The receiver's incarnation as known to the sender. A receiver under another incarnation does not run the request.
     pub receiver_incarnation: u64,
     /// The sequence number of the sender's newest heartbeat, from which the receiver bounds the request's age.
     pub heartbeat_sequence: u32,
@@ -38,18 +38,18 @@
 /// The outcome of a forwarded request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ForwardingOutcome {
-    /// An endpoint answered it.
+    /// An endpoint answered the request.
     Succeeded,
-    /// It was rejected. A retry is safe at endpoints that deduplicate it.
+    /// The request was rejected. A retry is safe at endpoints that deduplicate it.
     Rejected {
-        /// Whether it may have taken effect despite the rejection.
+        /// Whether the request may have taken effect despite the rejection.
         may_have_run: bool,
     },
-    /// It failed; whether it took effect is unknown.
+    /// The request failed; whether it took effect is unknown.
     Failed,
-    /// The receiver did not accept it: it has not run and never will.
+    /// The receiver did not accept the request, which has not run and never will.
     NotAccepted,
-    /// It may have run, but the receiver no longer has its outcome.
+    /// The request may have run, but the receiver no longer has its outcome.
     Unknown,
 }
 
--- a/crates/site-messages/src/heartbeat.rs
+++ b/crates/site-messages/src/heartbeat.rs
@@ -23,15 +23,15 @@
 /// The state of a gateway. The gateway itself announces the first three; other gateways announce the last two about it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum MemberState {
-    /// It accepts forwarded requests.
+    /// The gateway accepts forwarded requests.
     Serving,
-    /// An operator has drained its site: it accepts none.
+    /// An operator has drained the site: the gateway accepts no forwarded requests.
     Draining,
-    /// It is shutting down.
+    /// The gateway is shutting down.
     Leaving,
-    /// Its heartbeats have stopped arriving.
+    /// The gateway's heartbeats have stopped arriving.
     Suspected,
-    /// It was suspected and did not refute that in time.
+    /// The gateway was suspected and did not refute that in time.
     Lost,
 }
 
--- a/crates/site-transport/src/connection.rs
+++ b/crates/site-transport/src/connection.rs
@@ -177,7 +177,7 @@
         });
     }
 
-    /// Closes the connection because the peer is not accepted, and sends it the reason.
+    /// Closes the connection because the peer is not accepted, and sends the text of the error to the peer.
     fn refuse(
         &mut self,
         now: Instant,
--- a/crates/site-transport/src/event.rs
+++ b/crates/site-transport/src/event.rs
@@ -36,7 +36,7 @@
         /// Description of the cause, for the log.
         reason: String,
     },
-    /// A connection was refused before its path opened.
+    /// An inbound connection failed in its handshake, or this end refused the peer after the handshake.
     Refused {
         /// Address of the other end.
         remote: SocketAddr,
