--- a/crates/gateway/src/dispatch/leases.rs
+++ b/crates/gateway/src/dispatch/leases.rs
@@ -8,7 +8,7 @@
 use crate::config::gateway::GatewayConfig;
 use crate::lease::participant::{LeaseAction, LeaseParticipant, Participation};
 use crate::metrics::Counter;
-use crate::rollout::commands::{CommandTimes, Controller, RolloutCommands};
+use crate::rollout::commands::{CommandSender, CommandTimes, RolloutCommands};
 use crate::runtime::error::StartError;
 use crate::runtime::gateway::Gateway;
 use crate::runtime::timer::Timer;
@@ -31,13 +31,13 @@
         let parameters = settings.parameters(&config.fleet_context())?;
         let now = self.context.now();
         if let Some(controller) = &settings.rollout_controller {
-            let controller = Controller {
+            let sender = CommandSender {
                 settings: controller,
                 name: &config.name,
                 local_peer: parameters.local_peer,
                 gateway_count: parameters.name_hashes.len(),
             };
-            let commands = RolloutCommands::new(now, &controller, times);
+            let commands = RolloutCommands::new(now, &sender, times);
             self.rollout_commands = Some(Box::new(commands));
         }
         tracing::info!("fleet: {}", settings.summary(&config.name));
--- a/crates/gateway/src/gossip.rs
+++ b/crates/gateway/src/gossip.rs
@@ -10,7 +10,7 @@
 use harrierdock_types::{Event, GossipMessage, PeerId};
 
 use crate::config::gateway::GatewayConfig;
-use crate::lease::participant::FIRST_LEASE_BYTE;
+use crate::lease::participant::MIN_BINARY_FIRST_BYTE;
 use crate::metrics::Counter;
 use crate::runtime::context::{Context, InternalEvent};
 
@@ -87,7 +87,10 @@
         let Some(from) = from else {
             return context.counters.add(Counter::GossipRefused);
         };
-        if datagram.first().is_some_and(|b| *b >= FIRST_LEASE_BYTE) {
+        if datagram
+            .first()
+            .is_some_and(|b| *b >= MIN_BINARY_FIRST_BYTE)
+        {
             return context.emit(InternalEvent::PeerMessage {
                 from,
                 bytes: datagram.to_vec(),
--- a/crates/gateway/src/lease/message_version.rs
+++ b/crates/gateway/src/lease/message_version.rs
@@ -50,7 +50,7 @@
         }
     }
 
-    /// The time of the lease clock when the event loop's clock shows `now`.
+    /// Converts a time of the event loop's clock to the lease clock.
     pub(super) fn at(self, now: Timestamp) -> Timestamp {
         if self.rate == 1.0 {
             return now;
--- a/crates/gateway/src/lease/participant.rs
+++ b/crates/gateway/src/lease/participant.rs
@@ -9,8 +9,8 @@
 use super::message_version::{LeaseClock, MessageVersion};
 use crate::config::lease::{LeaseConfig, LeaseConfigError};
 
-/// The first byte of a binary message, about leases or rollout votes, is at least this one. Text in UTF-8 never contains such a byte.
-pub(crate) const FIRST_LEASE_BYTE: u8 = 0xF5;
+/// A datagram whose first byte is at least this is a binary message, about leases or rollout votes. UTF-8 text never contains such a byte.
+pub(crate) const MIN_BINARY_FIRST_BYTE: u8 = 0xF5;
 /// The minimum time between two log lines about undecodable messages.
 const UNDECODABLE_LOG_INTERVAL: TimeDelta = TimeDelta(10_000_000);
 
--- a/crates/gateway/src/multi_site/control_socket.rs
+++ b/crates/gateway/src/multi_site/control_socket.rs
@@ -137,7 +137,7 @@
         self.update_accepting(handle);
     }
 
-    /// Removes a connection that has its response. Its event source closes it.
+    /// Stops counting a connection that has been answered. The event loop closes its stream.
     pub(crate) fn forget_connection<D>(
         &mut self,
         handle: &LoopHandle<'static, D>,
--- a/crates/gateway/src/multi_site/forwarding.rs
+++ b/crates/gateway/src/multi_site/forwarding.rs
@@ -105,7 +105,8 @@
 }
 
 impl OutboundAttributes {
-    /// Builds the message that forwards the request. `blank` has the ids, and the other fields are filled in.
+    /// Builds the message that forwards the request. Takes the ids and the heartbeat sequence number from `blank`, and sets all
+    /// other fields.
     pub(crate) fn into_message(
         self,
         request: &OutboundRequest<'_>,
--- a/crates/gateway/src/rollout/commands.rs
+++ b/crates/gateway/src/rollout/commands.rs
@@ -28,8 +28,8 @@
     pub(crate) heartbeat: TimeDelta,
 }
 
-/// The sender and destination of commands.
-pub(crate) struct Controller<'a> {
+/// The gateway that sends commands, with the settings of its rollout controller.
+pub(crate) struct CommandSender<'a> {
     /// The settings of the rollout controller.
     pub(crate) settings: &'a RolloutControllerConfig,
     /// The name of this gateway.
@@ -65,7 +65,7 @@
     pub(crate) vote: Vote,
     /// Whether the command took effect.
     pub(crate) outcome: CallOutcome,
-    /// The later epoch with which the deployment controller rejected the command.
+    /// The later epoch for which the deployment controller rejected the command; `None` without such a rejection.
     pub(crate) later_epoch: Option<Epoch>,
     /// The connection of the command, which is closed.
     pub(crate) connection_id: ConnectionId,
@@ -73,7 +73,7 @@
     pub(crate) deadline: Timestamp,
 }
 
-/// The result of a command.
+/// How a command ended, by its response or without one.
 struct CommandResult {
     outcome: CallOutcome,
     later_epoch: Option<Epoch>,
@@ -127,15 +127,15 @@
     /// Starts without a pending command.
     pub(crate) fn new(
         now: Timestamp,
-        controller: &Controller<'_>,
+        sender: &CommandSender<'_>,
         times: &CommandTimes,
     ) -> RolloutCommands {
         // Unix time in milliseconds, since timestamps are based on Unix time.
         let incarnation = (now.0 / 1000) as u64;
-        let settings = controller.settings;
+        let settings = sender.settings;
         let parameters = RolloutControllerParameters {
-            local_peer: controller.local_peer,
-            gateway_count: controller.gateway_count,
+            local_peer: sender.local_peer,
+            gateway_count: sender.gateway_count,
             promote_votes_ratio: settings.promote_ratio,
             roll_back_votes_ratio: settings.roll_back_ratio,
             decision_timeout: TimeDelta::from_millis(i64::from(settings.decision_timeout_ms)),
@@ -149,7 +149,7 @@
             timer_deadline: None,
             controller: RolloutController::new(now, parameters),
             address: settings.deployment_controller,
-            gateway_name: controller.name.into(),
+            gateway_name: sender.name.into(),
             incarnation,
             timeout: times.timeout,
             pending: None,
@@ -243,7 +243,7 @@
             .post(io, COMMANDS_PATH, message.to_json().as_bytes())
     }
 
-    /// Finishes a command whose timeout has passed.
+    /// Finishes a command whose timeout has passed. `None` if the connection has no pending command.
     pub(crate) fn time_out<D>(
         &mut self,
         io: &mut IoContext<D>,
--- a/crates/gateway/src/rollout/elimination_log.rs
+++ b/crates/gateway/src/rollout/elimination_log.rs
@@ -14,7 +14,7 @@
     pub(crate) stage: usize,
     /// The arm voted against.
     pub(crate) arm: Arm,
-    /// The weight of the vote, in factors of η.
+    /// The confidence of the vote, as an exponent of η (see `harrierdock_policy::payoff`).
     pub(crate) weight: usize,
 }
 
