--- a/crates/gateway/src/lease/message_version.rs
+++ b/crates/gateway/src/lease/message_version.rs
@@ -1,5 +1,5 @@
-//! Faults injected into one gateway, to test that the other gateways tolerate them: another message version, and a clock that runs too
-//! fast or too slow.
+//! Faults injected into one gateway: another message version, and a clock that runs too fast or too slow. They test that the other
+//! gateways tolerate such a gateway.
 
 use harrierdock_lease::codec;
 use harrierdock_types::{TimeDelta, Timestamp};
--- a/crates/lease/src/codec.rs
+++ b/crates/lease/src/codec.rs
@@ -1,5 +1,5 @@
-//! The encoding of lease messages: a first byte that never occurs in UTF-8 text, the format version, the message encoded by postcard, and
-//! a checksum of the preceding bytes.
+//! The encoding of lease messages. A message starts with a byte that never occurs in UTF-8 text and with the format version. Its content
+//! follows, encoded by postcard, and a checksum of the preceding bytes.
 
 use thiserror::Error;
 
--- a/crates/lease/src/elector.rs
+++ b/crates/lease/src/elector.rs
@@ -233,7 +233,7 @@
         if let Some(rejection) = entry.rejection_by_grant(now, requester) {
             return ElectorReply::Rejected(rejection);
         }
-        // A first grant needs a promise, so an older epoch can't follow a newer one: a restart that loses the newer epoch also loses the
+        // A first grant needs a promise, so an older epoch can't follow a newer one. A restart that loses the newer epoch also loses the
         // promise to the older one. If the prepare message was lost, this elector grants the lease at the first renewal.
         let is_promised = entry.is_promised(epoch, requester);
         // A longer lease could still be valid when this elector starts to grant again after a restart.
--- a/crates/lease/src/known_leases.rs
+++ b/crates/lease/src/known_leases.rs
@@ -113,8 +113,8 @@
         }
     }
 
-    /// Draws the receiver of a gossip message at random among the other gateways. While the electorate is not in force, an elector sends
-    /// every second message on average to another elector, since electors must learn each other's electorate number.
+    /// Draws the receiver of a gossip message at random among the other gateways. While the electorate is not in force, electors must learn
+    /// each other's electorate number. So an elector then sends every second message on average to another elector.
     fn draw_gossip_target(&mut self) -> Option<PeerId> {
         let local_peer = self.parameters.local_peer;
         let prefers_electors = self.quorum.is_elector(local_peer) && !self.quorum.is_in_force();
--- a/crates/lease/src/message_handling.rs
+++ b/crates/lease/src/message_handling.rs
@@ -233,7 +233,7 @@
         );
     }
 
-    /// The name hash of the next candidate that this elector knows: its own gateway if that waits for the lease, else the first by rank.
+    /// The name hash of the next candidate: this gateway if it waits for the lease, else the lowest-ranked candidate known to this elector.
     fn next_candidate_hash(&self, now: Timestamp, lease: LeaseName, except: PeerId) -> Option<u32> {
         let local_peer = self.parameters.local_peer;
         let is_waiting = self
--- a/crates/lease/tests/exhaustive_model/main.rs
+++ b/crates/lease/tests/exhaustive_model/main.rs
@@ -1,5 +1,5 @@
-//! Checks all states of a small model: three real electors, two candidates for one lease, messages that are lost, late or out of order, one
-//! elector restart, and a clock that advances in steps.
+//! Checks all states of a small model with three real electors, two candidates for one lease, and a clock that advances in steps. Messages
+//! may be lost, late or out of order, and one elector may restart.
 //!
 //! Two gateways may never act at the same time, and no holder may start with an epoch that isn't newer than those before it. Two
 //! planted faults show that the model finds violations.
--- a/crates/multi-site/src/lib.rs
+++ b/crates/multi-site/src/lib.rs
@@ -1,5 +1,5 @@
-//! Decisions about forwarding between two sites, without I/O: which requests go to the other site, how they end, which of
-//! the other site's requests are served here, and which of its gateways are alive.
+//! Decisions about forwarding between two sites, without I/O. They determine which requests go to the other site and how they
+//! end, which of the other site's requests are served here, and which of its gateways are available.
 //!
 //! [`MultiSite`] makes the decisions of one gateway. [`MultiSite::handle`] takes an event and the current time, and returns
 //! the actions to carry out in order. It reads no clock and draws random numbers only from the configured seed.
--- a/crates/multi-site/src/multi_site/inbound.rs
+++ b/crates/multi-site/src/multi_site/inbound.rs
@@ -76,8 +76,8 @@
         Ok((class, remaining))
     }
 
-    /// The time left for a request. With an idempotency key, its maximum age is subtracted: it may have run at the other site
-    /// meanwhile, and both runs must lie within the deduplication window.
+    /// The time left for a request. A request with an idempotency key may have run at the other site meanwhile, and both runs
+    /// must lie within the deduplication window. So the maximum age of such a request is subtracted.
     fn remaining(&self, path: PathId, class: ClassId, request: &ForwardedRequest) -> TimeDelta {
         let remaining = TimeDelta(i64::from(request.remaining_ms) * 1000);
         match self.config.classes[class.0].retry_safety {
--- a/crates/multi-site/src/multi_site/outbound.rs
+++ b/crates/multi-site/src/multi_site/outbound.rs
@@ -206,8 +206,8 @@
     }
 }
 
-/// The time within which the receiver must answer. With an idempotency key, it is bounded by the deduplication window: if
-/// the path is lost, the request may run locally as well, and both runs must lie within the window.
+/// The time within which the receiver must answer. If the path is lost, a request with an idempotency key may run locally as
+/// well, and both runs must lie within the deduplication window. So the window bounds the time of such a request.
 fn remaining_at_receiver(
     safety: RetrySafety,
     remaining: TimeDelta,
