--- a/crates/fault-injection/src/cli/mod.rs
+++ b/crates/fault-injection/src/cli/mod.rs
@@ -157,7 +157,7 @@
         shares_idempotency_group: !arguments.separate_idempotency_groups,
         ..sites::Scenario::default()
     };
-    let report = sites::play(&scenario, ratio_progress())
+    let report = sites::run_with_and_without_link(&scenario, ratio_progress())
         .map_err(|error| CliError::Run(error.to_string()))?;
     print_report(&report, report.ok)
 }
@@ -221,19 +221,19 @@
     {
         return Err(CliError::FleetRange);
     }
-    let day = fleet::Day {
+    let scenario = fleet::Scenario {
         seed: arguments.seed,
         gateways: arguments.gateways,
-        seconds: arguments.seconds,
+        duration_seconds: arguments.seconds,
         faults: arguments.faults,
-        rate: arguments.requests_per_second,
+        requests_per_second: arguments.requests_per_second,
         lease_ms: arguments.lease_ms,
         heartbeat_ms: arguments.lease_ms / HEARTBEATS_PER_LEASE,
-        off: arguments.without_leases,
-        ..fleet::Day::default()
+        without_leases: arguments.without_leases,
+        ..fleet::Scenario::default()
     };
-    let report =
-        fleet::play(&day, ratio_progress()).map_err(|error| CliError::Run(error.to_string()))?;
+    let report = fleet::run_scenario(&scenario, ratio_progress())
+        .map_err(|error| CliError::Run(error.to_string()))?;
     print_report(&report, report.ok)
 }
 
--- a/crates/fault-injection/src/fleet/faults.rs
+++ b/crates/fault-injection/src/fleet/faults.rs
@@ -7,7 +7,7 @@
 use thiserror::Error;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum FaultKind {
     /// A gateway stops between two instructions, and goes on.
     Stall,
     Kill,
@@ -29,28 +29,28 @@
     Mixed,
 }
 
-const KINDS: [(Kind, &str); 10] = [
-    (Kind::Stall, "stall"),
-    (Kind::Kill, "kill"),
-    (Kind::KillMost, "kill-most"),
-    (Kind::Cut, "cut"),
-    (Kind::CutHalf, "cut-half"),
-    (Kind::CutOneWay, "cut-one-way"),
-    (Kind::Slow, "slow"),
-    (Kind::Skew, "skew"),
-    (Kind::Restart, "restart"),
-    (Kind::Mixed, "mixed"),
+const KINDS: [(FaultKind, &str); 10] = [
+    (FaultKind::Stall, "stall"),
+    (FaultKind::Kill, "kill"),
+    (FaultKind::KillMost, "kill-most"),
+    (FaultKind::Cut, "cut"),
+    (FaultKind::CutHalf, "cut-half"),
+    (FaultKind::CutOneWay, "cut-one-way"),
+    (FaultKind::Slow, "slow"),
+    (FaultKind::Skew, "skew"),
+    (FaultKind::Restart, "restart"),
+    (FaultKind::Mixed, "mixed"),
 ];
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fault {
-    pub kind: Kind,
+    pub kind: FaultKind,
     pub second: f64,
     pub seconds: f64,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum NoFault {
+pub enum ParseFaultError {
     #[error("'{0}' is not KIND@T+D, as stall@2+3: tell when it begins and how long it lasts, in seconds")]
     Form(String),
     #[error("'{kind}' is no kind of fault: name one of {}", KINDS.map(|k| k.1).join(", "))]
@@ -58,10 +58,10 @@
 }
 
 impl FromStr for Fault {
-    type Err = NoFault;
+    type Err = ParseFaultError;
 
-    fn from_str(text: &str) -> Result<Fault, NoFault> {
-        let wrong = || NoFault::Form(text.into());
+    fn from_str(text: &str) -> Result<Fault, ParseFaultError> {
+        let wrong = || ParseFaultError::Form(text.into());
         let (name, times) = text.split_once('@').ok_or_else(wrong)?;
         let (second, seconds) = times.split_once('+').ok_or_else(wrong)?;
         let number = |text: &str| {
@@ -72,7 +72,7 @@
         let kind = KINDS
             .iter()
             .find(|k| k.1 == name)
-            .ok_or_else(|| NoFault::Kind { kind: name.into() })?
+            .ok_or_else(|| ParseFaultError::Kind { kind: name.into() })?
             .0;
         let (second, seconds) = (
             number(second).ok_or_else(wrong)?,
--- a/crates/fault-injection/src/fleet/process_group/configuration.rs
+++ b/crates/fault-injection/src/fleet/process_group/configuration.rs
@@ -2,8 +2,8 @@
 
 use serde_json::{json, Value};
 
-use super::{ProcessGroup, DUTIES, ELECTORS, SKEW};
-use crate::fleet::installation::STAGES;
+use super::{ProcessGroup, LEASES, MAX_ELECTORS, SKEW};
+use crate::fleet::rollout_stand_in::STAGES;
 use crate::simulation::{
     Endpoint, DEDUPLICATION_WINDOW, FIRST_BUILD, INITIAL_CAPACITY_RATIO, LATENCY_OBJECTIVE,
     OVERLOAD_RATIO, OVERLOAD_WINDOW, REQUEST_TIMEOUT, SLOW_START_DURATION,
@@ -46,9 +46,9 @@
     /// The configuration of a gateway that knows these endpoints from its last start.
     pub(super) fn configuration(&self, index: usize, endpoints: &[Endpoint]) -> Value {
         let gateway = &self.gateways[index];
-        let seed = self.day.seed.wrapping_mul(31);
+        let seed = self.scenario.seed.wrapping_mul(31);
         let seed = seed.wrapping_add(index as u64);
-        let peer_addresses = &self.relay.doors[index];
+        let peer_addresses = &self.relay.peer_addresses[index];
         let records: Vec<Value> = endpoints
             .iter()
             .enumerate()
@@ -57,18 +57,18 @@
         json!({"name": gateway.name, "listen": "127.0.0.1:0", "discovery": gateway.discovery,
             "seed": format!("{seed:016x}"), "limits": {"memory_mb": 192, "sockets": 1024},
             "peer_listen": "127.0.0.1:0", "peers": peer_addresses, "peers_all": peer_addresses[index],
-            "rollouts": {"address": self.installation.address},
+            "rollouts": {"address": self.rollout_stand_in.address},
             "known": endpoint_list(ENDPOINT_LIST_VERSION, true, &records),
-            "settings": policy_settings(self.day.gateways, index)})
+            "settings": policy_settings(self.scenario.gateways, index)})
     }
 
     /// The extension configuration of a gateway that takes part in leases.
     pub fn extension_configuration(&self, index: usize) -> Value {
         let names: Vec<&str> = self.gateways.iter().map(|g| g.name.as_str()).collect();
-        let electors = &names[..names.len().min(ELECTORS)];
-        let mut fleet = json!({"gateways": names, "electorate": electors, "lease_ms": self.day.lease_ms,
-            "heartbeat_ms": self.day.heartbeat_ms, "drift": SKEW, "duties": DUTIES,
-            "steward": {"installation": self.rollout_address, "bound_ms": ROLLOUT_COMMAND_BOUND_MS}});
+        let electors = &names[..names.len().min(MAX_ELECTORS)];
+        let mut fleet = json!({"gateways": names, "electorate": electors, "lease_ms": self.scenario.lease_ms,
+            "heartbeat_ms": self.scenario.heartbeat_ms, "drift": SKEW, "duties": LEASES,
+            "steward": {"installation": self.deployment_controller_address, "bound_ms": ROLLOUT_COMMAND_BOUND_MS}});
         let overrides = self.gateways[index].overrides;
         if overrides.clock_rate.is_some() || overrides.uses_other_wire_format {
             let wire_format = if overrides.uses_other_wire_format {
--- a/crates/fault-injection/src/fleet/process_group/fault_injection.rs
+++ b/crates/fault-injection/src/fleet/process_group/fault_injection.rs
@@ -6,8 +6,8 @@
 
 use super::{ProcessGroup, ShutdownPurpose, SKEW};
 use crate::fleet::error::FleetError;
-use crate::fleet::faults::Kind;
-use crate::fleet::relay::Conditions;
+use crate::fleet::faults::FaultKind;
+use crate::fleet::relay::DatagramFaults;
 use crate::simulation::Simulation;
 
 /// How often a fault is aimed at the gateway that last acted on a lease.
@@ -30,7 +30,7 @@
     /// The gateway that the deployment controller saw act last, at its probability; else any.
     fn draw_target(&mut self) -> usize {
         let any = self.rng.generate_range(0..self.gateways.len());
-        let last_call = self.installation.calls().pop();
+        let last_call = self.rollout_stand_in.calls().pop();
         let holder = last_call.and_then(|call| {
             let mut names = self.gateways.iter().map(|gateway| &gateway.name);
             names.position(|name| *name == call.gateway)
@@ -46,18 +46,22 @@
         let outside: Vec<usize> = (0..self.gateways.len())
             .filter(|gateway| !inside.contains(gateway))
             .collect();
-        self.relay.change(|conditions| {
+        self.relay.update_faults(|conditions| {
             for near in inside {
                 for far in &outside {
-                    conditions.cut.extend(inward.then_some((*far, *near)));
-                    conditions.cut.extend(outward.then_some((*near, *far)));
+                    conditions
+                        .dropped_pairs
+                        .extend(inward.then_some((*far, *near)));
+                    conditions
+                        .dropped_pairs
+                        .extend(outward.then_some((*near, *far)));
                 }
             }
         });
     }
 
     /// Begins a fault, and returns the gateways that it is about.
-    pub fn inject_fault(&mut self, simulation: &mut Simulation, kind: Kind) -> Vec<usize> {
+    pub fn inject_fault(&mut self, simulation: &mut Simulation, kind: FaultKind) -> Vec<usize> {
         let all = self.gateways.len();
         let target = self.draw_target();
         let following = |count: usize| -> Vec<usize> {
@@ -65,41 +69,45 @@
             gateways.map(|gateway| gateway % all).collect()
         };
         match kind {
-            Kind::Stall => self.stall(simulation, target),
-            Kind::Kill => self.kill(simulation, target),
-            Kind::KillMost => {
+            FaultKind::Stall => self.stall(simulation, target),
+            FaultKind::Kill => self.kill(simulation, target),
+            FaultKind::KillMost => {
                 let majority = following(all / 2 + 1);
                 for gateway in &majority {
                     self.kill(simulation, *gateway);
                 }
                 return majority;
             }
-            Kind::Cut | Kind::CutHalf | Kind::CutOneWay => {
-                let count = if kind == Kind::CutHalf { all / 2 } else { 1 };
+            FaultKind::Cut | FaultKind::CutHalf | FaultKind::CutOneWay => {
+                let count = if kind == FaultKind::CutHalf {
+                    all / 2
+                } else {
+                    1
+                };
                 let inside = following(count);
                 let dropped = self.draw_directions(kind);
                 self.cut_off(&inside, dropped.inward, dropped.outward);
                 return inside;
             }
-            Kind::Slow => self.relay.change(|conditions| {
+            FaultKind::Slow => self.relay.update_faults(|conditions| {
                 conditions.slow.insert(target, SLOW_DATAGRAM_DELAY);
                 set_datagram_faults(conditions);
             }),
-            Kind::Skew => self.skew_clock(simulation, target),
-            Kind::Mixed => {
+            FaultKind::Skew => self.skew_clock(simulation, target),
+            FaultKind::Mixed => {
                 let half: Vec<usize> = (0..all).step_by(2).collect();
                 self.set_wire_format(&half, true);
                 return half;
             }
-            Kind::Restart => return (0..all).collect(),
+            FaultKind::Restart => return (0..all).collect(),
         }
         vec![target]
     }
 
     /// Both directions, or one drawn by the seed.
-    fn draw_directions(&mut self, kind: Kind) -> DroppedDirections {
+    fn draw_directions(&mut self, kind: FaultKind) -> DroppedDirections {
         let is_inward = self.rng.generate::<bool>();
-        let both = kind != Kind::CutOneWay;
+        let both = kind != FaultKind::CutOneWay;
         DroppedDirections {
             inward: both || is_inward,
             outward: both || !is_inward,
@@ -129,16 +137,16 @@
     pub fn end_fault(
         &mut self,
         simulation: &mut Simulation,
-        kind: Kind,
+        kind: FaultKind,
         gateways: &[usize],
     ) -> Result<(), FleetError> {
         match kind {
-            Kind::Stall => {
+            FaultKind::Stall => {
                 for gateway in gateways {
                     self.resume(simulation, *gateway);
                 }
             }
-            Kind::Kill | Kind::KillMost => {
+            FaultKind::Kill | FaultKind::KillMost => {
                 for gateway in gateways {
                     if self.gateways[*gateway].process.is_none() {
                         self.start(simulation, *gateway)?;
@@ -146,33 +154,35 @@
                 }
             }
             // Whatever else is cut between these parts ends as well.
-            Kind::Cut | Kind::CutHalf | Kind::CutOneWay => self.relay.change(|conditions| {
-                conditions
-                    .cut
-                    .retain(|(from, to)| gateways.contains(from) == gateways.contains(to));
-            }),
-            Kind::Slow => self.relay.change(clear_datagram_faults),
-            Kind::Skew => {
+            FaultKind::Cut | FaultKind::CutHalf | FaultKind::CutOneWay => {
+                self.relay.update_faults(|conditions| {
+                    conditions
+                        .dropped_pairs
+                        .retain(|(from, to)| gateways.contains(from) == gateways.contains(to));
+                })
+            }
+            FaultKind::Slow => self.relay.update_faults(clear_datagram_faults),
+            FaultKind::Skew => {
                 for gateway in gateways {
                     self.gateways[*gateway].overrides.clock_rate = None;
                     self.shut_down(simulation, *gateway, ShutdownPurpose::Restart);
                 }
             }
-            Kind::Mixed => self.set_wire_format(gateways, false),
-            Kind::Restart => {}
+            FaultKind::Mixed => self.set_wire_format(gateways, false),
+            FaultKind::Restart => {}
         }
         Ok(())
     }
 }
 
-fn set_datagram_faults(conditions: &mut Conditions) {
+fn set_datagram_faults(conditions: &mut DatagramFaults) {
     conditions.lost = LOSS_RATIO;
     conditions.doubled = REPEAT_RATIO;
     conditions.overtaken = REORDERING_RATIO;
     conditions.garbled = CORRUPTION_RATIO;
 }
 
-fn clear_datagram_faults(conditions: &mut Conditions) {
+fn clear_datagram_faults(conditions: &mut DatagramFaults) {
     conditions.slow.clear();
     conditions.lost = 0.0;
     conditions.doubled = 0.0;
--- a/crates/fault-injection/src/fleet/process_group/mod.rs
+++ b/crates/fault-injection/src/fleet/process_group/mod.rs
@@ -14,9 +14,9 @@
 use rustix::process::Signal;
 
 use super::error::FleetError;
-use super::installation::Installation;
 use super::relay::Relay;
-use super::Day;
+use super::rollout_stand_in::RolloutStandIn;
+use super::Scenario;
 use crate::gateway_process::GatewayProcess;
 use crate::simulation::Simulation;
 use crate::stand_ins::{discovery_server, Trace};
@@ -28,9 +28,9 @@
 const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// The leases of a fleet, by their names on the wire.
-pub const DUTIES: [&str; 2] = ["steward", "heir"];
+pub const LEASES: [&str; 2] = ["steward", "heir"];
 /// Electors at the most.
-pub const ELECTORS: usize = 5;
+pub const MAX_ELECTORS: usize = 5;
 
 /// What differs from the usual at a gateway's next start.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -130,11 +130,11 @@
     /// Carries the datagrams between them.
     pub relay: Relay,
     /// The deployment controller and the rollout platform.
-    pub installation: Installation,
+    pub rollout_stand_in: RolloutStandIn,
     /// Where gateways call the deployment controller.
-    pub rollout_address: SocketAddr,
+    pub deployment_controller_address: SocketAddr,
     /// What is played.
-    pub day: Day,
+    pub scenario: Scenario,
     rng: WyRand,
     /// Killed incarnations, which owe no answer to what they had accepted.
     pub killed: BTreeSet<(usize, u32)>,
@@ -158,17 +158,22 @@
     /// # Errors
     ///
     /// A socket is not to be had.
-    pub fn new(program: PathBuf, folder: PathBuf, day: &Day) -> Result<ProcessGroup, FleetError> {
-        let installation = Installation::start(Duration::from_millis(day.pause_ms));
+    pub fn new(
+        program: PathBuf,
+        folder: PathBuf,
+        scenario: &Scenario,
+    ) -> Result<ProcessGroup, FleetError> {
+        let rollout_stand_in =
+            RolloutStandIn::start(Duration::from_millis(scenario.stage_pause_ms));
         Ok(ProcessGroup {
             program,
             folder,
-            gateways: (0..day.gateways).map(Gateway::new).collect(),
-            relay: Relay::start(day.gateways, day.seed)?,
-            rollout_address: installation.address,
-            installation,
-            day: day.clone(),
-            rng: WyRand::new_seed(day.seed),
+            gateways: (0..scenario.gateways).map(Gateway::new).collect(),
+            relay: Relay::start(scenario.gateways, scenario.seed)?,
+            deployment_controller_address: rollout_stand_in.address,
+            rollout_stand_in,
+            scenario: scenario.clone(),
+            rng: WyRand::new_seed(scenario.seed),
             killed: BTreeSet::new(),
             logged_violations: 0,
             crashes: 0,
@@ -183,7 +188,8 @@
     /// It does not start.
     pub fn start(&mut self, simulation: &mut Simulation, index: usize) -> Result<(), FleetError> {
         let configuration = self.configuration(index, &simulation.endpoints);
-        let extensions = (!self.day.off).then(|| self.extension_configuration(index));
+        let extensions =
+            (!self.scenario.without_leases).then(|| self.extension_configuration(index));
         let process = GatewayProcess::start(
             &self.program,
             &self.folder,
@@ -192,7 +198,7 @@
             extensions.as_ref(),
         )?;
         if let Some(address) = process.gossip_address {
-            self.relay.lead(index, address);
+            self.relay.set_gossip_address(index, address);
         }
         let target = &mut simulation.gateways[index];
         target.address = Some(process.listen_address);
--- a/crates/fault-injection/src/fleet/relay.rs
+++ b/crates/fault-injection/src/fleet/relay.rs
@@ -24,9 +24,9 @@
 
 /// What befalls datagrams now.
 #[derive(Clone, Debug, Default)]
-pub struct Conditions {
+pub struct DatagramFaults {
     /// Nothing passes from the first to the second.
-    pub cut: BTreeSet<(usize, usize)>,
+    pub dropped_pairs: BTreeSet<(usize, usize)>,
     /// Added to the delay of all that these gateways send and get.
     pub slow: BTreeMap<usize, Duration>,
     /// Parts of all datagrams.
@@ -37,7 +37,7 @@
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Counted {
+pub struct Counters {
     pub datagrams: u64,
     pub not_passed: u64,
     pub garbled: u64,
@@ -48,15 +48,15 @@
 
 #[derive(Default)]
 struct Shared {
-    conditions: Conditions,
-    counted: Counted,
+    faults: DatagramFaults,
+    counters: Counters,
     /// Where each gateway hears its peers in its present life.
     leads: Vec<Option<SocketAddr>>,
 }
 
 pub struct Relay {
-    /// `doors[g][p]` stands for gateway `p` to gateway `g`; `doors[g][g]` for all others together.
-    pub doors: Vec<Vec<SocketAddr>>,
+    /// `peer_addresses[g][p]` stands for gateway `p` to gateway `g`; `peer_addresses[g][g]` for all others together.
+    pub peer_addresses: Vec<Vec<SocketAddr>>,
     shared: Arc<Mutex<Shared>>,
     over: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
@@ -84,7 +84,7 @@
             .iter()
             .map(UdpSocket::local_addr)
             .collect::<io::Result<Vec<_>>>()?;
-        let doors = addresses
+        let peer_addresses = addresses
             .chunks(gateways.max(1))
             .map(<[SocketAddr]>::to_vec)
             .collect();
@@ -93,7 +93,7 @@
             Arc::new(AtomicBool::new(false)),
         );
         locked(&shared).leads = vec![None; gateways];
-        locked(&shared).counted.fleet_bytes = vec![0; gateways];
+        locked(&shared).counters.fleet_bytes = vec![0; gateways];
         let mut road = Road {
             gateways,
             sockets,
@@ -105,11 +105,11 @@
         let ends = over.clone();
         let thread = std::thread::spawn(move || {
             while !ends.load(Ordering::Relaxed) {
-                road.turn();
+                road.run_once();
             }
         });
         Ok(Relay {
-            doors,
+            peer_addresses,
             shared,
             over,
             thread: Some(thread),
@@ -117,16 +117,16 @@
     }
 
     /// Where a gateway hears its peers from now on.
-    pub fn lead(&self, gateway: usize, to: SocketAddr) {
+    pub fn set_gossip_address(&self, gateway: usize, to: SocketAddr) {
         locked(&self.shared).leads[gateway] = Some(to);
     }
 
-    pub fn change(&self, change: impl FnOnce(&mut Conditions)) {
-        change(&mut locked(&self.shared).conditions);
+    pub fn update_faults(&self, change: impl FnOnce(&mut DatagramFaults)) {
+        change(&mut locked(&self.shared).faults);
     }
 
-    pub fn counted(&self) -> Counted {
-        locked(&self.shared).counted.clone()
+    pub fn counters(&self) -> Counters {
+        locked(&self.shared).counters.clone()
     }
 }
 
@@ -152,7 +152,7 @@
 
 impl Road {
     /// Waits for what comes next, takes it in, and sends what is due.
-    fn turn(&mut self) {
+    fn run_once(&mut self) {
         let next = self
             .packets
             .peek()
@@ -203,8 +203,8 @@
             };
             let mut shared = locked(&shared);
             if bytes[0] >= FLEET_FROM {
-                shared.counted.fleet_bytes[from] += size as u64;
-                shared.counted.ballot_bytes += if bytes[0] == BALLOT { size as u64 } else { 0 };
+                shared.counters.fleet_bytes[from] += size as u64;
+                shared.counters.ballot_bytes += if bytes[0] == BALLOT { size as u64 } else { 0 };
             }
             let all: Vec<usize> = match to == from {
                 true => (0..self.gateways).filter(|p| *p != from).collect(),
@@ -218,14 +218,14 @@
 
     fn carry(&mut self, shared: &mut Shared, from: usize, to: usize, bytes: &[u8]) {
         let Shared {
-            conditions: now,
-            counted,
+            faults: now,
+            counters,
             ..
         } = shared;
         let mut falls = |part: f64| part > 0.0 && self.chance.generate::<f64>() < part;
-        counted.datagrams += 1;
-        if now.cut.contains(&(from, to)) || falls(now.lost) {
-            counted.not_passed += 1;
+        counters.datagrams += 1;
+        if now.dropped_pairs.contains(&(from, to)) || falls(now.lost) {
+            counters.not_passed += 1;
             return;
         }
         let (twice, overtaken, garbled) =
@@ -234,7 +234,7 @@
         for _ in 0..1 + usize::from(twice) {
             let mut bytes = bytes.to_vec();
             if garbled && !bytes.is_empty() {
-                counted.garbled += 1;
+                counters.garbled += 1;
                 let at = self.chance.generate_range(0..bytes.len());
                 bytes[at] ^= 1 << self.chance.generate_range(0..8_u8);
             }
--- a/crates/fault-injection/src/fleet/judge.rs
+++ b/crates/fault-injection/src/fleet/report.rs
@@ -5,8 +5,8 @@
 use harrierdock_types::TimeDelta;
 use serde::Serialize;
 
-use super::process_group::{Gateway, ProcessGroup, DUTIES, ELECTORS};
-use super::Day;
+use super::process_group::{Gateway, ProcessGroup, LEASES, MAX_ELECTORS};
+use super::Scenario;
 use crate::simulation::{Answer, ClientRequest, Simulation, LATENCY_OBJECTIVE, REQUEST_TIMEOUT};
 
 #[derive(Debug, Default, Serialize)]
@@ -94,17 +94,17 @@
     (most, 1.0 - none / (end - first).max(0.001))
 }
 
-pub fn judge(
-    day: &Day,
+pub fn build_report(
+    scenario: &Scenario,
     group: &ProcessGroup,
     simulation: &Simulation,
     faults: Vec<String>,
     ran: f64,
 ) -> Report {
     let mut report = Report {
-        seed: day.seed,
+        seed: scenario.seed,
         faults,
-        gateways: day.gateways,
+        gateways: scenario.gateways,
         ..Report::default()
     };
     // Whoever was stalled within a request's time could not answer it.
@@ -140,35 +140,41 @@
         earned / f64::max(asked, 1.0),
         declined as f64 / all.max(1) as f64,
     );
-    let seen = group.installation.judged();
+    let seen = group.rollout_stand_in.observations();
     (report.two_holders, report.epochs_back) = (seen.two_holders, seen.epochs_back);
-    (report.waves_advanced, report.waves_double) = (seen.advanced, seen.double);
-    report.votes_at_platform = seen.votes;
-    report.wave_pause_ms = seen.pause_most.as_secs_f64() * 1000.0;
+    (report.waves_advanced, report.waves_double) = (seen.stages_advanced, seen.repeated_calls);
+    report.votes_at_platform = seen.platform_votes;
+    report.wave_pause_ms = seen.longest_pause.as_secs_f64() * 1000.0;
     // The run's end, before all were told to end.
     let end = group.ended_at_unix;
-    for duty in DUTIES {
+    for duty in LEASES {
         let (most, held) = gaps(group, duty, end);
         report.gap_ms.insert(duty.into(), (most * 1000.0).round());
         report
             .held_share
             .insert(duty.into(), (held * 1000.0).round() / 1000.0);
     }
-    let counted = group.relay.counted();
+    let counted = group.relay.counters();
     let bytes: u64 = counted.fleet_bytes.iter().sum();
-    let seconds = ran + f64::from(day.lease_ms) / 1000.0;
-    report.bytes_a_gateway_s = bytes as f64 / seconds / day.gateways as f64;
+    let seconds = ran + f64::from(scenario.lease_ms) / 1000.0;
+    report.bytes_a_gateway_s = bytes as f64 / seconds / scenario.gateways as f64;
     let leases = (bytes - counted.ballot_bytes) as f64 / seconds;
-    report.lease_bytes_an_elector_s = leases / (DUTIES.len() * day.gateways.min(ELECTORS)) as f64;
+    report.lease_bytes_an_elector_s =
+        leases / (LEASES.len() * scenario.gateways.min(MAX_ELECTORS)) as f64;
     let cpu: f64 = group.gateways.iter().map(|g| g.processor_time_us).sum();
-    report.cpu_share = cpu / 1e6 / ran / day.gateways as f64;
+    report.cpu_share = cpu / 1e6 / ran / scenario.gateways as f64;
     (report.datagrams, report.datagrams_not_passed) = (counted.datagrams, counted.not_passed);
     report.datagrams_garbled = counted.garbled;
     (report.broken_lines, report.crashes) = (group.logged_violations, group.crashes);
     let r = &report;
     let broken = r.lost + r.answered_twice + r.effects_twice + r.two_holders + r.epochs_back;
-    let votes = if day.off { 0 } else { r.votes_at_platform };
+    let votes = if scenario.without_leases {
+        0
+    } else {
+        r.votes_at_platform
+    };
     let broken = broken + r.waves_double + votes + r.broken_lines + r.crashes;
-    report.ok = broken == 0 && report.taken > 0 && (day.off || report.waves_advanced > 0);
+    report.ok =
+        broken == 0 && report.taken > 0 && (scenario.without_leases || report.waves_advanced > 0);
     report
 }
--- a/crates/fault-injection/src/sites/mod.rs
+++ b/crates/fault-injection/src/sites/mod.rs
@@ -27,7 +27,10 @@
 /// # Errors
 ///
 /// A gateway does not start, or a socket or file is not to be had.
-pub fn play(scenario: &Scenario, mut progress: impl FnMut(f64)) -> Result<Report, SitesError> {
+pub fn run_with_and_without_link(
+    scenario: &Scenario,
+    mut progress: impl FnMut(f64),
+) -> Result<Report, SitesError> {
     let mut report = run_scenario(scenario, true, &mut |ratio| progress(ratio / 2.0))?;
     let unlinked = run_scenario(scenario, false, &mut |ratio| progress(0.5 + ratio / 2.0))?;
     report.served_weight_ratio_without_link = unlinked.served_weight_ratio;
