--- a/crates/fault-injection/src/sites/configuration.rs
+++ b/crates/fault-injection/src/sites/configuration.rs
@@ -1,5 +1,5 @@
-//! What the gateways of the two sites are configured with, and the endpoint records of their discovery. The names on the wire
-//! stand in this file alone.
+//! The configuration of the gateways of both sites, and the endpoint records of their discovery. Only this file contains
+//! their names on the wire.
 
 use std::net::SocketAddr;
 
@@ -13,9 +13,9 @@
 };
 
 const MICROSECONDS_PER_MILLISECOND: i64 = 1000;
-/// The most that a gateway's file of flows may hold.
+/// The size limit of a gateway's flow file.
 const FLOW_FILE_LIMIT_MB: u32 = 16;
-/// Renames of all endpoints after which their build changes as well.
+/// Every tenth rename of all endpoints also changes their build.
 const RENAMES_PER_BUILD: u32 = 10;
 
 /// The `settings` of a gateway's configuration.
@@ -36,14 +36,14 @@
             "fall": OVERLOAD_WINDOW.0, "fall_multiple": OVERLOAD_RATIO}})
 }
 
-/// The configuration of a gateway that knows this endpoint list from its last start.
-pub(super) fn gateway_configuration(gateway: &Gateway, seed: u64, known_list: &Value) -> Value {
+/// The configuration of a gateway with this cached endpoint list.
+pub(super) fn gateway_configuration(gateway: &Gateway, seed: u64, cached_list: &Value) -> Value {
     json!({"name": gateway.name, "listen": "127.0.0.1:0", "discovery": gateway.discovery,
         "seed": format!("{seed:016x}"), "limits": {"memory_mb": 192, "sockets": 1024},
-        "known": known_list, "settings": policy_settings(gateway.site)})
+        "known": cached_list, "settings": policy_settings(gateway.site)})
 }
 
-/// A gateway of the other site, and where it takes datagrams.
+/// A gateway of the other site, and the address at which its relay receives datagrams.
 pub(super) struct RemoteGateway<'a> {
     pub(super) name: &'a str,
     pub(super) address: SocketAddr,
@@ -52,7 +52,7 @@
 /// The extension configuration of a gateway that is linked to the other site.
 pub(super) fn link_configuration(
     gateway: &Gateway,
-    own_address: SocketAddr,
+    reachable_at: SocketAddr,
     remote_gateways: &[RemoteGateway],
     shares_idempotency_group: bool,
 ) -> Value {
@@ -66,7 +66,7 @@
     } else {
         &[]
     };
-    json!({"sites": {"site": site, "listen": "127.0.0.1:0", "reached_at": own_address,
+    json!({"sites": {"site": site, "listen": "127.0.0.1:0", "reached_at": reachable_at,
         "other": {"site": SITE_NAMES[1 - gateway.site], "gateways": remote_gateways},
         "keys": {"authority": "keys/authority.pem", "certificate": format!("keys/{site}-{name}.pem"),
             "key": format!("keys/{site}-{name}.key")},
@@ -89,7 +89,7 @@
     json!({ "flows": flows })
 }
 
-/// An endpoint as discovery lists it, after so many renames of all endpoints.
+/// The record of an endpoint in discovery. `renames` is how often all endpoints have been renamed.
 pub(super) fn endpoint_record(
     index: usize,
     endpoint: &Endpoint,
--- a/crates/fault-injection/src/sites/cost.rs
+++ b/crates/fault-injection/src/sites/cost.rs
@@ -1,4 +1,4 @@
-//! What forwarding costs against serving a request locally.
+//! Measures what forwarding costs, compared with serving requests locally.
 
 use serde::Serialize;
 
@@ -11,50 +11,51 @@
 
 const GATEWAYS_PER_SITE: usize = 2;
 const ENDPOINTS_PER_SITE: usize = 4;
-/// Before the first period.
+/// From the start of the clients to the first period.
 const LEAD_IN_SECONDS: f64 = 1.0;
-/// How long requests are served locally in each period, and how long they are forwarded.
+/// In each period, the measured time with local serving, and again with forwarding.
 const MEASURED_SECONDS: f64 = 5.0;
-/// After a command, until all traffic has moved.
+/// From a command until all traffic has moved.
 const SETTLING_SECONDS: f64 = 1.0;
-/// Spans between the four samples of a period and the first of the next: local, settling, forwarded, returning.
+/// Between usage samples, each period has four spans: local, settling, forwarded, returning.
 const SPANS_PER_PERIOD: usize = 4;
 const LOCAL_SPAN: usize = 0;
 const FORWARDED_SPAN: usize = 2;
 
-/// What forwarding costs against serving a request locally, in one run.
+/// What forwarding costs, compared with serving requests locally.
 #[derive(Debug, Default, Serialize)]
 pub struct ForwardingCost {
-    /// Median latency of forwarded requests less that of those served locally, in milliseconds.
+    /// Median latency of forwarded requests minus that of local ones, in milliseconds.
     pub added_ms: f64,
-    /// The path's own round trip, in milliseconds.
+    /// Shortest round trip between the sites, in milliseconds.
     pub round_trip_ms: f64,
-    /// What is added beyond the round trip, in milliseconds.
+    /// `added_ms` minus the round trip.
     #[serde(rename = "added_over_round_trip_ms")]
     pub added_beyond_round_trip_ms: f64,
-    /// Processor time of all gateways a request while the first site's requests are forwarded, over that while they stay.
+    /// Processor time per request while the first site forwards its requests, which are half of all, over that without
+    /// forwarding. Counts all gateways.
     #[serde(rename = "cpu_half_across_over_home")]
     pub processor_time_ratio_half_forwarded: f64,
-    /// The same for one request that is forwarded, over one that stays: half of all requests are the first site's.
+    /// The same ratio for a forwarded request over a local one, derived from that half.
     #[serde(rename = "cpu_across_over_home")]
     pub processor_time_ratio_forwarded: f64,
-    /// Processor time a request with an idle link, over that of gateways that are configured with none.
+    /// Processor time per request of gateways with an idle link to the other site, over that of gateways without one.
     #[serde(rename = "cpu_idle_link_over_without")]
     pub processor_time_ratio_idle_link: f64,
-    /// Requests forwarded.
+    /// Forwarded requests.
     #[serde(rename = "crossed")]
     pub forwarded: u64,
     /// No rule was violated.
     pub rules_kept: bool,
-    /// The rules were kept, and requests were forwarded.
+    /// No rule was violated, and requests were forwarded.
     pub ok: bool,
 }
 
-/// Drains the first site by hand and lets its traffic return, period after period; then plays as long without the link.
+/// In each period, drains the first site manually and lets its traffic return; then runs as long without the link.
 ///
 /// # Errors
 ///
-/// A gateway does not start, or a socket or file is not to be had.
+/// A gateway does not start, or a socket or file can't be opened.
 pub fn measure_forwarding_cost(
     seed: u64,
     periods: usize,
@@ -82,7 +83,7 @@
     2.0 * MEASURED_SECONDS + return_seconds + SETTLING_SECONDS
 }
 
-/// A period: requests served locally, then forwarded, with a usage sample at both ends of each.
+/// The steps of a period: local serving, then forwarding, with a usage sample at the start and end of each.
 fn period_steps(period: usize) -> Vec<(f64, ScenarioStep)> {
     let start = LEAD_IN_SECONDS + period as f64 * period_seconds();
     let drain = start + MEASURED_SECONDS;
@@ -121,7 +122,7 @@
     }
 }
 
-/// The median over all periods of the processor time a request in this span of each.
+/// The median over all periods of the processor time per request in the span with this position in its period.
 fn median_processor_time(report: &Report, span: usize) -> f64 {
     let spans = report.processor_time_per_request_by_span.iter();
     median(
--- a/crates/fault-injection/src/sites/error.rs
+++ b/crates/fault-injection/src/sites/error.rs
@@ -1,4 +1,4 @@
-//! Why a run on two sites is not possible.
+//! Errors of a run on two sites.
 
 use thiserror::Error;
 
@@ -7,22 +7,22 @@
 use crate::run_folder::RunFolderError;
 use crate::simulation::SimulationError;
 
-/// Why a run on two sites is not possible.
+/// Why a run on two sites failed.
 #[derive(Debug, Error)]
 pub enum SitesError {
-    /// There is no folder for its files.
+    /// The run's folder can't be created.
     #[error(transparent)]
     Folder(#[from] RunFolderError),
     /// The gateways' keys can't be issued.
     #[error(transparent)]
     Keys(#[from] KeyError),
-    /// A gateway does not start or end.
+    /// A gateway can't be started or shut down.
     #[error(transparent)]
     Gateway(#[from] GatewayProcessError),
     /// An endpoint or relay can't be started.
     #[error(transparent)]
     Simulation(#[from] SimulationError),
-    /// The event loop fails.
+    /// The event loop failed.
     #[error(transparent)]
     EventLoop(#[from] calloop::Error),
 }
--- a/crates/fault-injection/src/sites/mod.rs
+++ b/crates/fault-injection/src/sites/mod.rs
@@ -1,8 +1,8 @@
-//! Two sites with built gateways on sockets: faults by the seed and the switches, then what was observed is checked against
-//! the rules, and compared with the same scenario without the link between the sites.
+//! Fault injection for two sites of built gateways on sockets. Checks the observations against the rules, and compares them
+//! with the same scenario without the link between the sites.
 //!
-//! [`Scenario`] says what is played, `timeline` when; `harness` owns the gateways and `steps` does to them what the scenario
-//! asks for; `rules` checks what was observed, `usage` adds what the gateways used and counted.
+//! [`Scenario`] holds the parameters, and `timeline` turns them into steps. `harness` owns the gateways, and `steps` executes
+//! each step on them. `rules` checks the observations; `usage` adds the gateways' counters and resource usage.
 
 mod configuration;
 mod cost;
@@ -22,11 +22,12 @@
 pub use run::run_scenario;
 pub use scenario::{FlowExport, Scenario};
 
-/// Plays a scenario with the link, then without it, and compares the two.
+/// Runs a scenario with the link between the sites, then without it. The report is that of the first run, with the served
+/// weight of the second.
 ///
 /// # Errors
 ///
-/// A gateway does not start, or a socket or file is not to be had.
+/// A gateway does not start, or a socket or file can't be opened.
 pub fn run_with_and_without_link(
     scenario: &Scenario,
     mut progress: impl FnMut(f64),
--- a/crates/fault-injection/src/sites/report.rs
+++ b/crates/fault-injection/src/sites/report.rs
@@ -1,25 +1,21 @@
-//! What a run on two sites reports. The names of its fields in JSON are part of the command line's interface; this file alone
-//! maps them.
+//! The report of a run on two sites. The names of its fields in JSON are part of the command line's interface.
 
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
 const MICROSECONDS_PER_MILLISECOND: f64 = 1000.0;
 
-/// The distribution of latencies, in milliseconds.
+/// Percentiles of latencies.
 #[derive(Debug, Default, Serialize)]
 pub struct LatencyPercentiles {
-    /// The median.
     #[serde(rename = "p50")]
     pub p50_ms: f64,
-    /// The 99th percentile.
     #[serde(rename = "p99")]
     pub p99_ms: f64,
 }
 
 impl LatencyPercentiles {
-    /// Of a histogram in microseconds.
-    pub(super) fn of(latencies_us: &Histogram<u64>) -> LatencyPercentiles {
+    pub(super) fn from_histogram(latencies_us: &Histogram<u64>) -> LatencyPercentiles {
         let quantile_ms = |quantile| {
             latencies_us.value_at_quantile(quantile) as f64 / MICROSECONDS_PER_MILLISECOND
         };
@@ -30,21 +26,20 @@
     }
 }
 
-/// What a gateway used between two samples.
+/// What a gateway used between two usage samples.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct GatewayUsage {
-    /// Processor time in microseconds.
     pub processor_time_us: f64,
-    /// Requests that it received.
+    /// Requests that clients sent to it.
     pub requests: usize,
 }
 
-/// How a gateway did over the whole run.
+/// Latency and memory of a gateway over the whole run.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct GatewaySummary {
     /// The share of its answered requests that did not succeed within the latency objective.
     pub late_ratio: f64,
-    /// The 99th percentile of its answers' latencies, in milliseconds.
+    /// Over its answered requests.
     pub latency_p99_ms: f64,
     /// Resident memory at the end, in MiB.
     pub memory_mb: f64,
@@ -53,10 +48,10 @@
 /// What was observed, and whether the rules hold.
 #[derive(Debug, Default, Serialize)]
 pub struct Report {
-    /// Requests written whole to a gateway that lived on.
+    /// Requests written whole to an incarnation that ran until the end.
     #[serde(rename = "taken")]
     pub accepted: u64,
-    /// Those of them with one answer.
+    /// Accepted requests with exactly one answer.
     pub answered_once: u64,
     /// Requests with a second answer.
     pub answered_twice: u64,
@@ -65,76 +60,77 @@
     /// Requests that are not idempotent and ran more than once.
     #[serde(rename = "once_only_run_twice")]
     pub non_idempotent_run_twice: u64,
-    /// Repeats that no idempotency group remembered.
+    /// Repeated requests that came after their idempotency group had forgotten the first.
     #[serde(rename = "repeats_outside_memory")]
     pub repeats_outside_window: u64,
-    /// Requests that came to a drained endpoint or site.
+    /// Requests that reached a drained endpoint or site.
     #[serde(rename = "after_drain")]
     pub requests_after_drain: u64,
     /// Warming endpoints that failed from overload.
     #[serde(rename = "cold_pushed_over")]
     pub overloaded_warming_endpoints: u64,
-    /// Lines that the gateways logged on violated invariants or panics.
+    /// Log lines of the gateways on violated invariants or panics.
     #[serde(rename = "broken_lines")]
     pub logged_violations: u64,
-    /// Gateways that ended by themselves.
+    /// Gateways that exited by themselves.
     pub crashes: u64,
     /// Requests forwarded to the other site.
     #[serde(rename = "crossed")]
     pub forwarded: u64,
-    /// Those of them that it did not serve.
+    /// Forwarded requests that the other site refused.
     #[serde(rename = "crossed_refused")]
     pub forwards_refused: u64,
-    /// Those of them that succeeded there.
+    /// Forwarded requests that succeeded at the other site.
     #[serde(rename = "crossed_settled")]
     pub forwards_succeeded: u64,
-    /// How often traffic has begun to go elsewhere.
+    /// How often a gateway's traffic started to move between the sites.
     #[serde(rename = "moves")]
     pub traffic_moves: u64,
-    /// Priority weight of requests that succeeded in time over that of all, in the ten seconds after the fault.
+    /// Priority weight of requests that succeeded within the latency objective over that of all, in ten seconds after the
+    /// last fault.
     #[serde(rename = "revenue_share")]
     pub served_weight_ratio: f64,
-    /// The same without the link between the sites.
+    /// The same in the run without the link between the sites.
     #[serde(rename = "revenue_share_alone")]
     pub served_weight_ratio_without_link: f64,
-    /// The most that the endpoints' capacity allows.
+    /// The highest `served_weight_ratio` that the capacity of the endpoints allows.
     #[serde(rename = "revenue_ceiling")]
     pub max_served_weight_ratio: f64,
-    /// Latencies of requests that ran at the other site.
+    /// Latencies of requests that succeeded at the other site.
     #[serde(rename = "crossing_ms")]
     pub forwarded_latency: LatencyPercentiles,
-    /// Latencies of requests that ran at their own site.
+    /// Latencies of requests that succeeded at their own site.
     #[serde(rename = "home_ms")]
     pub local_latency: LatencyPercentiles,
     /// The largest resident memory of a gateway at the end, in MiB.
     pub memory_mb: f64,
-    /// Processor time of all gateways for each accepted request, in microseconds.
+    /// Processor time of all gateways per accepted request, in microseconds.
     #[serde(rename = "cpu_a_txn")]
     pub processor_time_per_request_us: f64,
-    /// The same for each span between two of the scenario's usage samples.
+    /// Processor time of all gateways per request, in microseconds, for each span between two usage samples.
     #[serde(skip)]
     pub processor_time_per_request_by_span: Vec<f64>,
-    /// What each gateway used in each such span.
+    /// What each gateway used, for each span between two usage samples.
     #[serde(skip)]
     pub usage_by_span: Vec<Vec<GatewayUsage>>,
-    /// How each gateway did.
+    /// One for each gateway, by its number.
     #[serde(skip)]
     pub gateway_summaries: Vec<GatewaySummary>,
-    /// What the gateways logged of flow export while they shut down.
+    /// Log lines on flow export from the shutdown of the gateways.
     #[serde(skip)]
     pub flow_export_log: Vec<String>,
-    /// The shortest round trip from the first gateway to its first peer of the other site, in milliseconds.
+    /// From the first gateway to its first peer at the other site, in milliseconds; the shortest measured.
     pub round_trip_ms: f64,
-    /// How late the event loop was at the most, in milliseconds.
+    /// The longest delay of the simulation's event loop, in milliseconds.
     #[serde(rename = "rig_late_ms")]
     pub largest_loop_delay_ms: f64,
     /// Datagrams between the sites.
     pub datagrams: u64,
-    /// Those of them that were dropped.
+    /// Datagrams between the sites that were dropped.
     pub datagrams_dropped: u64,
     /// No rule was violated.
     pub rules_kept: bool,
-    /// The rules were kept, and requests came.
+    /// No rule was violated, and requests were accepted.
     pub ok: bool,
 }
 
--- a/crates/fault-injection/src/sites/rules.rs
+++ b/crates/fault-injection/src/sites/rules.rs
@@ -1,4 +1,4 @@
-//! Checks what clients and endpoints saw against the rules, and measures what was served.
+//! Checks what clients and endpoints observed against the rules, and measures the served requests.
 
 use harrierdock_types::{TimeDelta, Timestamp};
 use hdrhistogram::Histogram;
@@ -10,14 +10,14 @@
     MEAN_WORK,
 };
 
-/// How long after the last fault what is served is measured, in seconds, and for how long.
+/// From the last fault to the start of the measurement of served requests.
 const MEASURED_AFTER_SECONDS: f64 = 2.0;
 const MEASURED_SECONDS: f64 = 10.0;
-/// A site that is back earlier counts towards the capacity.
+/// A killed site that is restored earlier counts towards the capacity.
 const LONG_OUTAGE_SECONDS: f64 = 12.0;
 const SITES: f64 = 2.0;
 const SIGNIFICANT_DIGITS: u8 = 3;
-/// Each request class's share of requests with its priority weight, the highest weight first.
+/// By priority weight, the highest first.
 const CLASS_SHARES: [ClassShare; 2] = [
     ClassShare {
         request_ratio: 0.4,
@@ -29,12 +29,13 @@
     },
 ];
 
+/// The share of all requests that have this priority weight.
 struct ClassShare {
     request_ratio: f64,
     priority_weight: f64,
 }
 
-/// The share of requested priority weight that this capacity can serve at most.
+/// The largest share of the requested priority weight that this capacity can serve.
 fn max_served_weight_ratio(capacity_per_second: f64, requests_per_second: [f64; 2]) -> f64 {
     let all_requests: f64 = requests_per_second.iter().sum();
     let mut remaining = capacity_per_second;
@@ -48,7 +49,7 @@
     served / requested
 }
 
-/// Priority weight requested, and of it what succeeded in time.
+/// Sums of the priority weight of all requests, and of those that succeeded within the latency objective.
 #[derive(Default)]
 struct ServedWeight {
     requested: f64,
@@ -108,7 +109,7 @@
     }
 }
 
-/// Checks what was observed in a run whose clients came from this point on.
+/// Checks the observations of a run whose clients started at `start`.
 pub(super) fn check_rules(
     scenario: &Scenario,
     simulation: &Simulation,
@@ -131,13 +132,13 @@
         capacity_per_second(scenario),
         simulation.requests_per_second,
     );
-    report.forwarded_latency = LatencyPercentiles::of(&latencies.forwarded);
-    report.local_latency = LatencyPercentiles::of(&latencies.local);
+    report.forwarded_latency = LatencyPercentiles::from_histogram(&latencies.forwarded);
+    report.local_latency = LatencyPercentiles::from_histogram(&latencies.local);
     add_observations(&mut report, simulation);
     report
 }
 
-/// From the start to a while after the last kill or drain.
+/// From the start of the clients to the start of the measurement, after the last kill or drain.
 fn measured_after(scenario: &Scenario) -> TimeDelta {
     let faults = [scenario.kill, scenario.drain];
     let last_fault = faults
@@ -149,7 +150,7 @@
 }
 
 fn count_request(report: &mut Report, simulation: &Simulation, request: &ClientRequest) {
-    // Accepted is what was written whole to a gateway that lived on.
+    // Requests written whole to an incarnation that ran until the end were accepted.
     let is_accepted = request.gateway.is_some_and(|(gateway, incarnation)| {
         let gateway = &simulation.gateways[gateway];
         gateway.is_alive && gateway.incarnation == incarnation
@@ -165,7 +166,7 @@
     }
 }
 
-/// Requests of mean work that the endpoints of the sites that stay can serve in a second.
+/// Requests of mean work that the endpoints of the remaining sites can serve per second.
 fn capacity_per_second(scenario: &Scenario) -> f64 {
     let is_long = |seconds| seconds >= LONG_OUTAGE_SECONDS;
     let loses_site = scenario.kill.is_some() && scenario.restore_after_seconds.is_none_or(is_long);
--- a/crates/fault-injection/src/sites/run.rs
+++ b/crates/fault-injection/src/sites/run.rs
@@ -1,4 +1,4 @@
-//! Plays a scenario once.
+//! Runs a scenario once.
 
 use std::path::Path;
 
@@ -19,14 +19,14 @@
 
 const BUFFERS: usize = 2048;
 const DESCRIPTORS: usize = 4096;
-/// How long before clients come the gateways are started, so that their links are up.
+/// From the start of the gateways to that of the clients, so that the links between the sites are up.
 const LINK_UP_TIME: TimeDelta = TimeDelta(1_500_000);
 
-/// Plays a scenario once, with the link between the sites or without. The files of a run that fails are kept.
+/// Runs a scenario once, with or without the link between the sites. Keeps the files of a failed run.
 ///
 /// # Errors
 ///
-/// A gateway does not start, or a socket or file is not to be had.
+/// A gateway does not start, or a socket or file can't be opened.
 pub fn run_scenario(
     scenario: &Scenario,
     is_linked: bool,
@@ -56,7 +56,7 @@
     }
     let start = simulation.now() + LINK_UP_TIME;
     schedule(scenario, start, &mut simulation);
-    play_until_end(&mut event_loop, &mut simulation, &mut harness, &mut |now| {
+    run_until_end(&mut event_loop, &mut simulation, &mut harness, &mut |now| {
         progress((now - start).as_seconds() / total_seconds(scenario));
     })?;
     let mut report = check_rules(scenario, &simulation, start);
@@ -64,7 +64,7 @@
     Ok(report)
 }
 
-/// The endpoints and the path between the sites; no gateway yet.
+/// A simulation with the endpoints and the path between the sites, without gateways.
 fn new_simulation(
     scenario: &Scenario,
     event_loop: &EventLoop<'static, Simulation>,
@@ -87,7 +87,7 @@
     Ok(simulation)
 }
 
-/// Sets the timers of all steps, and of each site's first request.
+/// Sets the timers of all steps, and of the first request at each site.
 fn schedule(scenario: &Scenario, start: Timestamp, simulation: &mut Simulation) {
     simulation.steps = timeline(scenario, start).into();
     for (at, _) in &simulation.steps {
@@ -100,7 +100,7 @@
 }
 
 /// Runs the event loop until the scenario's last step.
-fn play_until_end(
+fn run_until_end(
     event_loop: &mut EventLoop<'static, Simulation>,
     simulation: &mut Simulation,
     harness: &mut TestHarness,
--- a/crates/fault-injection/src/sites/scenario.rs
+++ b/crates/fault-injection/src/sites/scenario.rs
@@ -1,4 +1,4 @@
-//! What is played on two sites.
+//! The parameters of a run on two sites.
 
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -9,52 +9,50 @@
 use crate::schedule::{Outage, SiteTime};
 use crate::simulation::ScenarioStep;
 
-/// What is played. Seconds count from the moment at which clients come.
+/// The parameters of a run. Seconds count from the start of the clients.
 #[derive(Clone, Default)]
 pub struct Scenario {
-    /// The seed of all that is drawn.
+    /// Seeds all random numbers of the run.
     pub seed: u64,
-    /// How long clients come.
+    /// How long clients send requests.
     pub duration_seconds: f64,
     /// Kills a site's endpoints and gateways.
     pub kill: Option<SiteTime>,
-    /// The kill leaves the gateways alone.
+    /// The kill spares the gateways.
     pub endpoints_only: bool,
-    /// How long after the kill the site starts again, cold.
+    /// From the kill to the site's restart, with slow start; `None` if it stays down.
     pub restore_after_seconds: Option<f64>,
-    /// The share of datagrams between the sites that is lost.
+    /// The share of lost datagrams between the sites.
     pub loss_ratio: f64,
-    /// Nothing passes from the first site to the second.
+    /// Drops everything from the first site to the second.
     pub is_one_way: bool,
     /// Cuts the path between the sites.
     pub cut: Option<Outage>,
-    /// Drains a site by hand, and half of its endpoints by discovery.
+    /// Drains a site manually, and half of its endpoints through discovery.
     pub drain: Option<SiteTime>,
-    /// Gateways are restarted one after another, from this second on.
+    /// When gateways start to be restarted, one after another.
     pub rolling_restart_second: Option<f64>,
-    /// Gateways of each site.
     pub gateways_per_site: usize,
-    /// Endpoints of each site.
     pub endpoints_per_site: usize,
-    /// Requests a second that come to each site.
+    /// At the second site; the first has this times `first_site_load_ratio`.
     pub requests_per_second: f64,
-    /// The first site's requests over the second's.
+    /// Requests at the first site over those at the second.
     pub first_site_load_ratio: f64,
-    /// One idempotency group spans both sites.
+    /// The gateways are configured with an idempotency group that spans both sites.
     pub shares_idempotency_group: bool,
-    /// Further steps, by their seconds.
+    /// Further steps, each with its second.
     pub extra_steps: Vec<(f64, ScenarioStep)>,
-    /// Flow export by the first gateway of each two of a site.
+    /// Flow export by every other gateway of each site.
     pub flow_export: Option<FlowExport>,
 }
 
 /// How gateways export flows.
 #[derive(Clone)]
 pub struct FlowExport {
-    /// Where the flows go.
+    /// Receives the flows.
     pub collector: Arc<Collector>,
-    /// The `flows` of the gateways' extension configuration, but for what differs by gateway.
+    /// The `flows` section of the extension configuration, without what differs by gateway.
     pub configuration: Value,
-    /// Where each exporting gateway leaves a file of its flows.
+    /// Where each exporting gateway writes its flow file; `None` for no files.
     pub output_folder: Option<PathBuf>,
 }
--- a/crates/fault-injection/src/sites/steps.rs
+++ b/crates/fault-injection/src/sites/steps.rs
@@ -1,4 +1,4 @@
-//! What each step of a scenario does to the gateways and to the parties around them.
+//! Executes the steps of a scenario on gateways, endpoints and clients.
 
 use harrierdock_types::TimeDelta;
 
@@ -8,14 +8,14 @@
 
 /// How long discovery takes to notice a change.
 const DISCOVERY_DELAY: TimeDelta = TimeDelta(1_000_000);
-/// How long after a drain begins the gateways have been notified at the latest.
+/// From the start of a drain until discovery has notified the gateways, with a margin of 50 ms.
 const DRAIN_NOTIFIED_DELAY: TimeDelta = TimeDelta(1_050_000);
 /// How long clients take to notice that gateways were killed.
 const KILL_NOTICED_DELAY: TimeDelta = TimeDelta(1_000_000);
 /// How long clients take to notice that gateways were started.
 const START_NOTICED_DELAY: TimeDelta = TimeDelta(500_000);
 
-/// Whether the scenario goes on after a step.
+/// Whether the scenario continues after a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Progress {
     Continues,
@@ -23,7 +23,6 @@
 }
 
 impl TestHarness {
-    /// Does what a step asks for.
     pub(super) fn execute_step(
         &mut self,
         simulation: &mut Simulation,
@@ -104,7 +103,7 @@
         if self.is_linked {
             self.command_site(site, "drain");
         }
-        // Half of its endpoints drain as well, of which discovery tells a second later.
+        // Half of its endpoints drain as well; the gateways learn it from discovery a second later.
         let notified = simulation.now() + DRAIN_NOTIFIED_DELAY;
         for endpoint in endpoints_of_site(simulation, site).into_iter().step_by(2) {
             simulation.endpoints[endpoint].draining_since = Some(notified);
@@ -125,7 +124,7 @@
         self.publish_all_endpoints(simulation);
     }
 
-    /// Endpoints alternate between the sites: every other two of them are half of each site's.
+    /// Endpoints alternate between the sites, so every other pair is half of each site's endpoints.
     fn release_build(&mut self, simulation: &mut Simulation, failure_ratio: f64) {
         for pair in simulation.endpoints.chunks_mut(2).skip(1).step_by(2) {
             for endpoint in pair {
@@ -155,7 +154,7 @@
     }
 }
 
-/// Discovery notices what has changed at a site after its delay.
+/// Has discovery send a site's endpoint list after [`DISCOVERY_DELAY`].
 fn schedule_discovery_update(simulation: &mut Simulation, site: usize) {
     let at = simulation.now() + DISCOVERY_DELAY;
     let later = simulation.steps.iter().position(|(time, _)| *time > at);
--- a/crates/fault-injection/src/sites/timeline.rs
+++ b/crates/fault-injection/src/sites/timeline.rs
@@ -1,21 +1,21 @@
-//! When each step of a scenario happens.
+//! Turns the parameters of a scenario into timed steps.
 
 use harrierdock_types::{TimeDelta, Timestamp};
 
 use super::scenario::Scenario;
 use crate::simulation::ScenarioStep;
 
-/// How long after the last request answers are waited for.
-const DRAIN_SECONDS: f64 = 2.5;
-/// Between two gateways of a rolling restart.
+/// How long after the last request answers are awaited.
+const ANSWER_WAIT_SECONDS: f64 = 2.5;
+/// Between the restarts of two gateways in a rolling restart.
 const RESTART_INTERVAL_SECONDS: f64 = 1.5;
 
-/// How long a scenario takes from the first request to its end.
+/// From the start of the clients to the end of the scenario.
 pub(super) fn total_seconds(scenario: &Scenario) -> f64 {
-    scenario.duration_seconds + DRAIN_SECONDS
+    scenario.duration_seconds + ANSWER_WAIT_SECONDS
 }
 
-/// All steps of a scenario whose clients come from this point on, in the order of their times.
+/// All steps of a scenario whose clients start at `start`, sorted by time.
 pub(super) fn timeline(scenario: &Scenario, start: Timestamp) -> Vec<(Timestamp, ScenarioStep)> {
     let mut steps = vec![
         (scenario.duration_seconds, ScenarioStep::StopRequests),
@@ -36,7 +36,7 @@
         .into_iter()
         .map(|(second, step)| (start + TimeDelta::from_seconds(second), step))
         .collect();
-    // Steps of the same time stay in the order in which they were added.
+    // The sort is stable: steps with the same time stay in the order in which they were added.
     steps.sort_by_key(|(at, _)| *at);
     steps
 }
--- a/crates/fault-injection/src/sites/usage.rs
+++ b/crates/fault-injection/src/sites/usage.rs
@@ -1,11 +1,11 @@
-//! What the gateways counted, logged and used, read at the end of a run.
+//! Reads the gateways' counters, logs and resource usage at the end of a run.
 
 use super::error::SitesError;
 use super::harness::{Gateway, TestHarness, UsageSample};
 use super::report::{GatewaySummary, GatewayUsage, Report};
 use crate::simulation::{Answer, ClientRequest, Simulation, LATENCY_OBJECTIVE};
 
-/// Adds to a report what the gateways counted, logged and used. Those that export flows are shut down.
+/// Adds the gateways' counters, logs and resource usage to a report. With flow export, shuts the gateways down.
 pub(super) fn add_usage(
     report: &mut Report,
     harness: &mut TestHarness,
@@ -56,7 +56,7 @@
     report.traffic_moves += gateway.counters.traffic_moves;
 }
 
-/// Adds what was used between two samples.
+/// Adds the usage between two samples.
 fn add_span(
     report: &mut Report,
     before: &UsageSample,
