--- a/crates/fault-injection/src/fleet/process_group/mod.rs
+++ b/crates/fault-injection/src/fleet/process_group/mod.rs
@@ -70,7 +70,7 @@
     pub shutdown_purpose: Option<ShutdownPurpose>,
     pub overrides: StartOverrides,
     /// Log lines on leases of the incarnations that have exited.
-    pub lease_log_of_ended: Vec<String>,
+    pub lease_log_of_exited: Vec<String>,
     /// When it was killed or stalled, each in seconds of Unix time.
     pub stopped_at_unix: Vec<f64>,
     /// The oldest first.
@@ -89,7 +89,7 @@
             _list_sender: list_sender,
             shutdown_purpose: None,
             overrides: StartOverrides::default(),
-            lease_log_of_ended: Vec::new(),
+            lease_log_of_exited: Vec::new(),
             stopped_at_unix: Vec::new(),
             stalls: Vec::new(),
             processor_time_us: 0.0,
@@ -269,7 +269,7 @@
     pub fn has_logged(&self, index: usize, text: &str) -> bool {
         let gateway = &self.gateways[index];
         let running = gateway.process.iter().flat_map(|p| &p.lease_log);
-        let mut lines = gateway.lease_log_of_ended.iter().chain(running);
+        let mut lines = gateway.lease_log_of_exited.iter().chain(running);
         lines.any(|line| line.contains(text))
     }
 
@@ -316,7 +316,7 @@
         for line in &process.violations {
             eprintln!("{}: {line}", gateway.name);
         }
-        gateway.lease_log_of_ended.append(&mut process.lease_log);
+        gateway.lease_log_of_exited.append(&mut process.lease_log);
     }
 
     /// Ends the run: resumes and shuts down all gateways, and waits until they have exited.
--- a/crates/fault-injection/src/fleet/report.rs
+++ b/crates/fault-injection/src/fleet/report.rs
@@ -102,7 +102,7 @@
     );
     let mut spans: Vec<HeldSpan> = Vec::new();
     let mut acquired_at = None;
-    for line in &gateway.lease_log_of_ended {
+    for line in &gateway.lease_log_of_exited {
         let Some(at) = line.split(' ').next().and_then(|t| t.parse::<f64>().ok()) else {
             continue;
         };
