--- a/crates/gateway/src/control_plane/rollout_messages.rs
+++ b/crates/gateway/src/control_plane/rollout_messages.rs
@@ -61,7 +61,7 @@
     }
 
     /// Converts the state to an update for the policy.
-    pub(super) fn update(&self, answers_vote: bool) -> RolloutUpdate {
+    pub(super) fn update(&self, is_vote_response: bool) -> RolloutUpdate {
         RolloutUpdate {
             build: BuildId(self.build),
             stage: self.stage,
@@ -73,7 +73,7 @@
             },
             exposure_limit: self.exposure_limit,
             status: PlatformStatus::Valid,
-            answers_vote,
+            is_vote_response,
             age: TimeDelta::from_millis(self.age_ms),
         }
     }
--- a/crates/gateway/src/control_plane/rollout_platform.rs
+++ b/crates/gateway/src/control_plane/rollout_platform.rs
@@ -66,7 +66,7 @@
         &mut self,
         context: &mut Context,
         message: RolloutMessage,
-        answers_vote: bool,
+        is_vote_response: bool,
     ) {
         context.counters.add(Counter::RolloutUpdates);
         let now = context.now();
@@ -76,7 +76,7 @@
         let update = match later {
             Some(later) => {
                 context.counters.add(Counter::OutdatedRolloutUpdates);
-                let mut update = later.message.update(answers_vote);
+                let mut update = later.message.update(is_vote_response);
                 update.age = update.age + (now - later.received_at);
                 update
             }
@@ -85,11 +85,11 @@
                     message,
                     received_at: now,
                 });
-                message.update(answers_vote)
+                message.update(is_vote_response)
             }
         };
-        if later.is_none() || answers_vote {
-            tracing::debug!("platform: received {message:?}, answers a vote: {answers_vote}");
+        if later.is_none() || is_vote_response {
+            tracing::debug!("platform: received {message:?}, answers a vote: {is_vote_response}");
             context.emit_at(now, InternalEvent::Policy(Event::RolloutUpdated(update)));
         }
     }
--- a/crates/gateway/src/control_plane/votes.rs
+++ b/crates/gateway/src/control_plane/votes.rs
@@ -219,7 +219,7 @@
         phase: RolloutPhase::Canary,
         exposure_limit: 0.0,
         status,
-        answers_vote: true,
+        is_vote_response: true,
         age: TimeDelta::ZERO,
     };
     context.emit(InternalEvent::Policy(Event::RolloutUpdated(update)));
--- a/crates/gateway/src/dispatch/rollout.rs
+++ b/crates/gateway/src/dispatch/rollout.rs
@@ -40,7 +40,7 @@
             phase: RolloutPhase::Canary,
             exposure_limit: 0.0,
             status: PlatformStatus::Superseded,
-            answers_vote: true,
+            is_vote_response: true,
             age: TimeDelta::ZERO,
         };
         self.context
--- a/crates/policy/src/control_plane.rs
+++ b/crates/policy/src/control_plane.rs
@@ -32,7 +32,7 @@
     }
 
     pub(crate) fn update_rollout(&mut self, update: RolloutUpdate) {
-        if update.answers_vote {
+        if update.is_vote_response {
             self.voter
                 .handle_vote_answer(&self.context, update.status, &mut self.rng);
         }
--- a/crates/policy/src/emission.rs
+++ b/crates/policy/src/emission.rs
@@ -31,7 +31,7 @@
 
     /// Reports outcomes and traffic to the group's aggregator. The aggregator itself adds its traffic to the group's.
     fn emit_reports(&mut self, actions: &mut Vec<Action>) {
-        if !self.gossip.take_due_report(&self.context) {
+        if !self.gossip.start_report_if_due(&self.context) {
             return;
         }
         let counts = self.traffic.take_unreported();
--- a/crates/policy/src/endpoint_selection.rs
+++ b/crates/policy/src/endpoint_selection.rs
@@ -163,7 +163,7 @@
         endpoint.is_ready()
             && build >= self.sticky_build
             && !is_guarded
-            && endpoint.load.has_capacity()
+            && endpoint.concurrency.has_capacity()
             && !endpoint.health.is_backing_off(context.now)
             && may_retry_at(context, self.fleet.endpoints, endpoint, self.request)
     }
@@ -253,7 +253,7 @@
         let first = self.draw_by_weight(ids)?;
         let second = self.draw_by_weight(ids)?;
         let load_ratio =
-            |id: EndpointId| self.fleet.endpoints[id].load.in_flight() as f64 / self.weight(id);
+            |id: EndpointId| self.fleet.endpoints[id].concurrency.in_flight() as f64 / self.weight(id);
         if load_ratio(second) < load_ratio(first) {
             Some(second)
         } else {
--- a/crates/policy/src/endpoint_table.rs
+++ b/crates/policy/src/endpoint_table.rs
@@ -34,7 +34,7 @@
     last_listed: Timestamp,
     /// The mean latency, as a ratio to the class's mean latency.
     pub(crate) latency_estimate: f64,
-    pub(crate) load: ConcurrencyLimit,
+    pub(crate) concurrency: ConcurrencyLimit,
     pub(crate) health: EndpointHealth,
     pub(crate) slow_start: SlowStartBudget,
 }
@@ -188,13 +188,13 @@
         tie_breaker: f64,
     ) {
         let id = record.endpoint;
-        let in_flight = self.get(id).map_or(0, |known| known.load.in_flight());
+        let in_flight = self.get(id).map_or(0, |known| known.concurrency.in_flight());
         self.by_gossip_id.insert(record.gossip_id, id);
         let endpoint = Endpoint {
             started: record.age.map(|age| now - age),
             record,
             latency_estimate,
-            load: ConcurrencyLimit::with_in_flight(in_flight),
+            concurrency: ConcurrencyLimit::with_in_flight(in_flight),
             slow_start: SlowStartBudget::new(tie_breaker),
             ..Endpoint::default()
         };
@@ -278,7 +278,7 @@
         let removal_cutoff = context.now - FALLBACK_WAIT - retention;
         self.endpoints.retain(|_, endpoint| {
             endpoint.record.lifecycle != Lifecycle::Removed
-                || endpoint.load.in_flight() > 0
+                || endpoint.concurrency.in_flight() > 0
                 || endpoint.last_listed > removal_cutoff
         });
         let endpoints = &self.endpoints;
@@ -286,7 +286,7 @@
         let slow_start_cutoff = context.now - safety.overload_window;
         let longest_timeout = context.longest_timeout();
         for endpoint in self.endpoints.values_mut() {
-            endpoint.load.forget_abandoned(context.now, longest_timeout);
+            endpoint.concurrency.forget_abandoned(context.now, longest_timeout);
             endpoint.slow_start.drop_before(slow_start_cutoff);
         }
     }
--- a/crates/policy/src/fleet_view.rs
+++ b/crates/policy/src/fleet_view.rs
@@ -60,13 +60,13 @@
         self.endpoints
             .iter()
             .filter(|endpoint| is_counted(endpoint))
-            .map(|endpoint| endpoint.load.in_flight())
+            .map(|endpoint| endpoint.concurrency.in_flight())
             .sum()
     }
 
     /// Whether worse service has no visible cause but the build: nearly the whole fleet is warm and reachable, no zone is ejected,
     /// and there is no more traffic than usual.
-    pub(crate) fn is_undisturbed(&self, recent_first_tries: f64, usual_first_tries: f64) -> bool {
+    pub(crate) fn is_undisturbed(&self, recent_original_requests: f64, usual_original_requests: f64) -> bool {
         let now = self.context.now;
         let warm_endpoints: f64 = self
             .endpoints
@@ -74,9 +74,9 @@
             .filter(|endpoint| endpoint.is_ready() && !endpoint.health.is_unreachable(now))
             .map(|endpoint| endpoint.capacity_ratio(self.context))
             .sum();
-        let min_traffic = recent_first_tries - recent_first_tries.sqrt();
+        let min_traffic = recent_original_requests - recent_original_requests.sqrt();
         warm_endpoints >= UNDISTURBED_CAPACITY_RATIO * self.endpoints.fleet_size() as f64
-            && UNDISTURBED_TRAFFIC_RATIO * min_traffic <= usual_first_tries
+            && UNDISTURBED_TRAFFIC_RATIO * min_traffic <= usual_original_requests
             && now >= self.zones.last_ejected_until()
     }
 }
--- a/crates/policy/src/gossip_group.rs
+++ b/crates/policy/src/gossip_group.rs
@@ -94,7 +94,7 @@
     }
 
     /// Whether a report of outcomes and traffic is due now. If so, the next one is due an interval later.
-    pub(crate) fn take_due_report(&mut self, context: &Context) -> bool {
+    pub(crate) fn start_report_if_due(&mut self, context: &Context) -> bool {
         let interval = context.shortest_latency_objective() * REPORT_INTERVAL_RATIO;
         let is_due = context.now - self.outcomes_sent_at >= interval
             || self.unsent_outcomes.len() >= MAX_OUTCOME_REPORTS;
@@ -128,7 +128,7 @@
             let is_first = index == 0;
             let message = GossipMessage::OutcomeReports {
                 received: if is_first { counts.received } else { 0 },
-                first_tries: if is_first { counts.first_tries } else { 0 },
+                original_requests: if is_first { counts.original_requests } else { 0 },
                 in_flight,
                 reports,
             };
--- a/crates/policy/src/outcome_reports.rs
+++ b/crates/policy/src/outcome_reports.rs
@@ -55,7 +55,7 @@
         let duration = class.latency_objective * report.latency_ratio;
         let succeeded = outcome == AttemptOutcome::Succeeded;
         if succeeded || outcome == AttemptOutcome::ServerError {
-            self.traffic.record_answer();
+            self.traffic.record_response();
         }
         if succeeded || outcome == AttemptOutcome::TimedOut {
             endpoint.latency_estimate +=
@@ -97,11 +97,11 @@
             }
             GossipMessage::OutcomeReports {
                 received,
-                first_tries,
+                original_requests,
                 in_flight,
                 reports,
             } => {
-                self.traffic.record_reported(received, first_tries);
+                self.traffic.record_member_requests(received, original_requests);
                 self.gossip.record_report(&self.context, from, in_flight);
                 for report in reports {
                     self.receive_outcome(report);
@@ -232,8 +232,8 @@
         let is_past = !self.rollout.is_under_evaluation(&self.context)
             || self.endpoints.canary().ratio < APPROXIMATION_RATIO;
         if is_past {
-            let recent_first_tries = self.traffic.recent_first_tries(&self.context);
-            self.elimination.record_past(outcome, recent_first_tries);
+            let recent_original_requests = self.traffic.recent_original_requests(&self.context);
+            self.elimination.record_past(outcome, recent_original_requests);
         } else {
             self.elimination.record_overall(&self.context, outcome);
         }
--- a/crates/policy/src/periodic.rs
+++ b/crates/policy/src/periodic.rs
@@ -31,9 +31,9 @@
     }
 
     fn is_calm(&self) -> bool {
-        let recent_first_tries = self.traffic.recent_first_tries(&self.context);
+        let recent_original_requests = self.traffic.recent_original_requests(&self.context);
         self.fleet()
-            .is_undisturbed(recent_first_tries, self.elimination.usual_first_tries())
+            .is_undisturbed(recent_original_requests, self.elimination.usual_original_requests())
     }
 
     /// Removes state that is older than any window in use.
--- a/crates/policy/src/request_flow.rs
+++ b/crates/policy/src/request_flow.rs
@@ -130,7 +130,7 @@
             return;
         };
         let build = endpoint.record.build;
-        endpoint.load.attempt_started();
+        endpoint.concurrency.attempt_started();
         endpoint.health.attempt_started(now);
         endpoint.slow_start.attempt_started(now);
         if self.fleet().is_canary(build) {
@@ -189,7 +189,7 @@
             return;
         };
         if outcome == AttemptOutcome::Succeeded {
-            self.slow_start.record_answer(self.context.now);
+            self.slow_start.record_response(self.context.now);
         }
         let latency_objective = self.context.class(attempt.class).latency_objective;
         let latency_ratio = finished.duration.ratio_to(latency_objective);
@@ -227,9 +227,9 @@
         self.zones
             .attempt_finished(now, endpoint.record.zone, outcome);
         endpoint
-            .load
+            .concurrency
             .attempt_finished(outcome, attempt.started, latency_ratio);
-        let in_flight = endpoint.load.in_flight();
+        let in_flight = endpoint.concurrency.in_flight();
         endpoint.health.attempt_finished(
             now,
             outcome,
--- a/crates/policy/src/request_table.rs
+++ b/crates/policy/src/request_table.rs
@@ -21,7 +21,7 @@
     /// Succeeded, failed, or cancelled.
     Finished {
         /// Whether the endpoint may have executed the request.
-        may_have_run: bool,
+        may_have_effect: bool,
     },
 }
 
@@ -45,10 +45,10 @@
     }
 
     /// Whether the endpoint may have executed the request, or may still do so.
-    pub fn may_have_run(&self) -> bool {
+    pub fn may_have_effect(&self) -> bool {
         self.state
             != AttemptState::Finished {
-                may_have_run: false,
+                may_have_effect: false,
             }
     }
 }
@@ -112,10 +112,10 @@
         self.answer == Answer::Pending && self.attempts.iter().all(Attempt::is_finished)
     }
 
-    fn has_finished_attempt_that_may_have_run(&self) -> bool {
+    fn has_finished_attempt_with_possible_effect(&self) -> bool {
         self.attempts
             .iter()
-            .any(|attempt| attempt.state == AttemptState::Finished { may_have_run: true })
+            .any(|attempt| attempt.state == AttemptState::Finished { may_have_effect: true })
     }
 
     /// Emits the pending starts and cancellations.
@@ -200,11 +200,11 @@
         &mut self,
         id: RequestId,
         index: usize,
-        may_have_run: bool,
+        may_have_effect: bool,
     ) -> Option<FinishedAttempt> {
         let request = self.requests.get_mut(&id)?;
         let attempt = request.attempts.get_mut(index)?;
-        attempt.state = AttemptState::Finished { may_have_run };
+        attempt.state = AttemptState::Finished { may_have_effect };
         Some(FinishedAttempt {
             build: attempt.build,
             started: attempt.started,
@@ -255,7 +255,7 @@
             return false;
         }
         let is_unanswered =
-            answer != Answer::Done || !request.has_finished_attempt_that_may_have_run();
+            answer != Answer::Done || !request.has_finished_attempt_with_possible_effect();
         request.answer = answer;
         if let Some(at) = request.retry_at.take() {
             self.retry_timers.remove(&RetryTimer { at, id });
--- a/crates/policy/src/retries.rs
+++ b/crates/policy/src/retries.rs
@@ -13,17 +13,17 @@
     endpoint: &Endpoint,
     request: &Request,
 ) -> bool {
-    let mut possibly_run = request
+    let mut possibly_effective = request
         .attempts
         .iter()
-        .filter(|attempt| attempt.may_have_run());
+        .filter(|attempt| attempt.may_have_effect());
     match context.class(request.class).retry_safety {
         RetrySafety::Idempotent => true,
-        RetrySafety::NonIdempotent => possibly_run.next().is_none(),
+        RetrySafety::NonIdempotent => possibly_effective.next().is_none(),
         RetrySafety::IdempotencyKey {
             scope,
             deduplication_window,
-        } => possibly_run.all(|attempt| {
+        } => possibly_effective.all(|attempt| {
             let shares_keys = share_idempotency_keys(endpoints, attempt, endpoint, scope);
             let arrival = context.now + context.parameters.tick;
             shares_keys && arrival < attempt.started + deduplication_window
@@ -59,5 +59,5 @@
                 ..
             }
     );
-    is_safe_anywhere || !request.attempts.iter().any(Attempt::may_have_run)
+    is_safe_anywhere || !request.attempts.iter().any(Attempt::may_have_effect)
 }
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -75,7 +75,7 @@
 }
 
 impl SlowStartAdmission {
-    pub(crate) fn record_answer(&mut self, now: Timestamp) {
+    pub(crate) fn record_response(&mut self, now: Timestamp) {
         self.answered.push(now, ());
     }
 
--- a/crates/policy/src/traffic.rs
+++ b/crates/policy/src/traffic.rs
@@ -14,7 +14,7 @@
     /// Requests received.
     pub received: usize,
     /// Requests received that are not client retries.
-    pub first_tries: usize,
+    pub original_requests: usize,
     /// Responses from endpoints.
     pub answered: usize,
 }
@@ -23,7 +23,7 @@
     fn plus(self, other: &TrafficCounts) -> TrafficCounts {
         TrafficCounts {
             received: self.received + other.received,
-            first_tries: self.first_tries + other.first_tries,
+            original_requests: self.original_requests + other.original_requests,
             answered: self.answered + other.answered,
         }
     }
@@ -47,18 +47,18 @@
             self.expected_retries >= 1.0
         };
         self.unreported.received += 1;
-        self.unreported.first_tries += usize::from(!is_client_retry);
+        self.unreported.original_requests += usize::from(!is_client_retry);
         self.expected_retries = (self.expected_retries - 1.0).max(0.0);
     }
 
     /// Counts the requests that a member of the group has reported.
-    pub fn record_reported(&mut self, received: usize, first_tries: usize) {
+    pub fn record_member_requests(&mut self, received: usize, original_requests: usize) {
         self.unreported.received += received;
-        self.unreported.first_tries += first_tries;
+        self.unreported.original_requests += original_requests;
     }
 
     /// Counts a response from an endpoint.
-    pub fn record_answer(&mut self) {
+    pub fn record_response(&mut self) {
         self.unreported.answered += 1;
     }
 
@@ -93,10 +93,10 @@
             .fold(TrafficCounts::default(), |sum, counts| sum.plus(counts))
     }
 
-    /// The number of the group's first tries in the traffic window.
-    pub fn recent_first_tries(&self, context: &Context) -> f64 {
+    /// The number of the group's requests in the traffic window that are not client retries.
+    pub fn recent_original_requests(&self, context: &Context) -> f64 {
         self.recent(context.now, context.traffic_window())
-            .first_tries as f64
+            .original_requests as f64
     }
 
     /// Forgets traffic that is older than any window in use.
--- a/crates/simulator-adapter/src/inputs.rs
+++ b/crates/simulator-adapter/src/inputs.rs
@@ -214,7 +214,7 @@
         phase,
         exposure_limit: row.value(2).as_f64().unwrap_or(0.0),
         status,
-        answers_vote: row.value(7).as_i64() == Some(1),
+        is_vote_response: row.value(7).as_i64() == Some(1),
         age: TimeDelta(row.integer_or_zero(8)),
     }))
 }
--- a/crates/types/src/gossip/codec.rs
+++ b/crates/types/src/gossip/codec.rs
@@ -4,7 +4,7 @@
 //! | message | encoding |
 //! | --- | --- |
 //! | elimination vote | `build.stage.weight.t` against the canary, `build.stage.weight.e` against the baseline |
-//! | outcome reports | `received.first_tries.in_flight:` and six base-64 digits for each report |
+//! | outcome reports | `received.original_requests.in_flight:` and six base-64 digits for each report |
 //! | latency reports | `/`, one base-64 digit for the shed ratio, and four for each report |
 
 use super::{GossipMessage, LatencyReport, OutcomeReport, ReportedEvent};
@@ -161,12 +161,12 @@
         }
         GossipMessage::OutcomeReports {
             received,
-            first_tries,
+            original_requests,
             in_flight,
             reports,
         } => {
             let mut text =
-                format!("{received}.{first_tries}.{in_flight}{OUTCOME_REPORTS_SEPARATOR}");
+                format!("{received}.{original_requests}.{in_flight}{OUTCOME_REPORTS_SEPARATOR}");
             for report in reports {
                 encode_outcome_report(report, &mut text);
             }
@@ -206,7 +206,7 @@
         .split('.')
         .map(|count| count.parse().ok())
         .collect::<Option<_>>()?;
-    let &[received, first_tries, in_flight] = &counts[..] else {
+    let &[received, original_requests, in_flight] = &counts[..] else {
         return None;
     };
     let chunks = reports.as_bytes().chunks(OUTCOME_REPORT_DIGITS);
@@ -218,7 +218,7 @@
     }
     Some(GossipMessage::OutcomeReports {
         received,
-        first_tries,
+        original_requests,
         in_flight,
         reports,
     })
--- a/crates/types/src/gossip/mod.rs
+++ b/crates/types/src/gossip/mod.rs
@@ -60,7 +60,7 @@
         /// Number of requests received.
         received: usize,
         /// Number of received requests that are not client retries.
-        first_tries: usize,
+        original_requests: usize,
         /// Number of attempts currently in flight.
         in_flight: usize,
         /// The outcomes of attempts and requests.
--- a/crates/types/src/rollout.rs
+++ b/crates/types/src/rollout.rs
@@ -44,7 +44,7 @@
     /// Status of the platform's response. Only a `Valid` update carries the state of the rollout.
     pub status: PlatformStatus,
     /// Whether this update answers a vote of this gateway.
-    pub answers_vote: bool,
+    pub is_vote_response: bool,
     /// Time since the rollout entered this state.
     pub age: TimeDelta,
 }
