--- a/crates/attempt-guard/src/list_freshness.rs
+++ b/crates/attempt-guard/src/list_freshness.rs
@@ -26,7 +26,7 @@
     ///
     /// In push mode a list never becomes stale: an agent that sends nothing has not been notified of any change.
     pub fn new(parameters: &Parameters, started_at: Timestamp) -> ListFreshness {
-        let grace = parameters.safety.drain_grace - parameters.tick;
+        let grace = parameters.safety.drain_grace - parameters.clock_resolution;
         ListFreshness {
             is_polled: parameters.discovery_mode == DiscoveryMode::Poll,
             grace: grace.max(TimeDelta::ZERO),
--- a/crates/config/src/parameters.rs
+++ b/crates/config/src/parameters.rs
@@ -31,7 +31,7 @@
         ),
         gateway_count: settings.balancers.max(1),
         local_peer: PeerId(settings.ordinal),
-        tick: TimeDelta(settings.tick),
+        clock_resolution: TimeDelta(settings.tick),
         discovery_mode: match settings.discovery {
             DiscoverySetting::OnRequest => DiscoveryMode::Poll,
             DiscoverySetting::Pushed => DiscoveryMode::Push,
--- a/crates/gateway/src/dispatch/dispatcher.rs
+++ b/crates/gateway/src/dispatch/dispatcher.rs
@@ -39,7 +39,7 @@
             names,
             requests: RequestTable::default(),
             max_attempts: parameters.limits.max_attempts,
-            tick: parameters.tick,
+            tick: parameters.clock_resolution,
             elimination_log: EliminationLog::default(),
             policy: Policy::new(parameters, seed),
         }
--- a/crates/gateway/src/multi_site/forwarding.rs
+++ b/crates/gateway/src/multi_site/forwarding.rs
@@ -182,7 +182,7 @@
             seeds: settings.seeds(),
             classes: request_classes(settings, parameters, &config.names),
             slow_start_window: parameters.safety.slow_start_window,
-            tick: parameters.tick,
+            tick: parameters.clock_resolution,
             retry_after: parameters.limits.retry_after,
             stored_response_bytes: config.limits.memory_mb * BYTES_PER_MEGABYTE
                 / STORED_RESPONSE_MEMORY_DIVISOR,
--- a/crates/gateway/src/runtime/startup.rs
+++ b/crates/gateway/src/runtime/startup.rs
@@ -268,6 +268,6 @@
         signals_blocked_at: None,
         is_complete: false,
         longest_timeout: longest_timeout.unwrap_or(TimeDelta(i64::MAX)),
-        check_interval: parameters.tick.max(MIN_INTERVAL),
+        check_interval: parameters.clock_resolution.max(MIN_INTERVAL),
     }
 }
--- a/crates/policy/src/endpoint_selection.rs
+++ b/crates/policy/src/endpoint_selection.rs
@@ -252,8 +252,9 @@
     fn pick_less_loaded(&mut self, ids: &[EndpointId]) -> Option<EndpointId> {
         let first = self.draw_by_weight(ids)?;
         let second = self.draw_by_weight(ids)?;
-        let load_ratio =
-            |id: EndpointId| self.fleet.endpoints[id].concurrency.in_flight() as f64 / self.weight(id);
+        let load_ratio = |id: EndpointId| {
+            self.fleet.endpoints[id].concurrency.in_flight() as f64 / self.weight(id)
+        };
         if load_ratio(second) < load_ratio(first) {
             Some(second)
         } else {
--- a/crates/policy/src/endpoint_table.rs
+++ b/crates/policy/src/endpoint_table.rs
@@ -188,7 +188,9 @@
         tie_breaker: f64,
     ) {
         let id = record.endpoint;
-        let in_flight = self.get(id).map_or(0, |known| known.concurrency.in_flight());
+        let in_flight = self
+            .get(id)
+            .map_or(0, |known| known.concurrency.in_flight());
         self.by_gossip_id.insert(record.gossip_id, id);
         let endpoint = Endpoint {
             started: record.age.map(|age| now - age),
@@ -286,7 +288,9 @@
         let slow_start_cutoff = context.now - safety.overload_window;
         let longest_timeout = context.longest_timeout();
         for endpoint in self.endpoints.values_mut() {
-            endpoint.concurrency.forget_abandoned(context.now, longest_timeout);
+            endpoint
+                .concurrency
+                .forget_abandoned(context.now, longest_timeout);
             endpoint.slow_start.drop_before(slow_start_cutoff);
         }
     }
--- a/crates/policy/src/exposure_limiter.rs
+++ b/crates/policy/src/exposure_limiter.rs
@@ -43,25 +43,25 @@
     }
 
     /// Whether one more attempt is within the limit. The window that ends now must admit it, and so must the windows that end
-    /// one tick of the platform's clock earlier and later.
+    /// one `clock_resolution` earlier and later, because the platform may count in either of them.
     pub fn allows(&self, context: &Context, attempt: CanaryAttempt, exposure_limit: f64) -> bool {
         if exposure_limit <= 0.0 {
             return false;
         }
         let rollout = &context.parameters.rollout;
-        let tick = context.parameters.tick;
+        let resolution = context.parameters.clock_resolution;
         let is_counted = |class: ClassId| {
             rollout.exposure_counting == ExposureCounting::Combined || class == attempt.class
         };
         let window_start = context.now - rollout.exposure_window;
         let sent = self
             .attempts
-            .count_after(window_start - tick - tick, |other| {
+            .count_after(window_start - resolution - resolution, |other| {
                 other.build == attempt.build && is_counted(other.class)
             });
         let received = self
             .received
-            .count_after(window_start + tick, |class| is_counted(*class));
+            .count_after(window_start + resolution, |class| is_counted(*class));
         sent + 1.0 <= rollout.exposure_allowance + exposure_limit * received
     }
 
--- a/crates/policy/src/fleet_view.rs
+++ b/crates/policy/src/fleet_view.rs
@@ -66,7 +66,11 @@
 
     /// Whether worse service has no visible cause but the build: nearly the whole fleet is warm and reachable, no zone is ejected,
     /// and there is no more traffic than usual.
-    pub(crate) fn is_undisturbed(&self, recent_original_requests: f64, usual_original_requests: f64) -> bool {
+    pub(crate) fn is_undisturbed(
+        &self,
+        recent_original_requests: f64,
+        usual_original_requests: f64,
+    ) -> bool {
         let now = self.context.now;
         let warm_endpoints: f64 = self
             .endpoints
--- a/crates/policy/src/gossip_group.rs
+++ b/crates/policy/src/gossip_group.rs
@@ -128,7 +128,11 @@
             let is_first = index == 0;
             let message = GossipMessage::OutcomeReports {
                 received: if is_first { counts.received } else { 0 },
-                original_requests: if is_first { counts.original_requests } else { 0 },
+                original_requests: if is_first {
+                    counts.original_requests
+                } else {
+                    0
+                },
                 in_flight,
                 reports,
             };
--- a/crates/policy/src/outcome_reports.rs
+++ b/crates/policy/src/outcome_reports.rs
@@ -101,7 +101,8 @@
                 in_flight,
                 reports,
             } => {
-                self.traffic.record_member_requests(received, original_requests);
+                self.traffic
+                    .record_member_requests(received, original_requests);
                 self.gossip.record_report(&self.context, from, in_flight);
                 for report in reports {
                     self.receive_outcome(report);
@@ -233,7 +234,8 @@
             || self.endpoints.canary().ratio < APPROXIMATION_RATIO;
         if is_past {
             let recent_original_requests = self.traffic.recent_original_requests(&self.context);
-            self.elimination.record_past(outcome, recent_original_requests);
+            self.elimination
+                .record_past(outcome, recent_original_requests);
         } else {
             self.elimination.record_overall(&self.context, outcome);
         }
--- a/crates/policy/src/periodic.rs
+++ b/crates/policy/src/periodic.rs
@@ -32,14 +32,17 @@
 
     fn is_calm(&self) -> bool {
         let recent_original_requests = self.traffic.recent_original_requests(&self.context);
-        self.fleet()
-            .is_undisturbed(recent_original_requests, self.elimination.usual_original_requests())
+        self.fleet().is_undisturbed(
+            recent_original_requests,
+            self.elimination.usual_original_requests(),
+        )
     }
 
     /// Removes state that is older than any window in use.
     fn forget_expired(&mut self) {
         let parameters = &self.context.parameters;
-        let cutoff = self.context.now - parameters.rollout.exposure_window - parameters.tick;
+        let cutoff =
+            self.context.now - parameters.rollout.exposure_window - parameters.clock_resolution;
         self.exposure.drop_before(cutoff);
         self.slow_start.drop_before(cutoff);
         self.traffic.forget_expired(&self.context);
--- a/crates/policy/src/request_table.rs
+++ b/crates/policy/src/request_table.rs
@@ -113,9 +113,12 @@
     }
 
     fn has_finished_attempt_with_possible_effect(&self) -> bool {
-        self.attempts
-            .iter()
-            .any(|attempt| attempt.state == AttemptState::Finished { may_have_effect: true })
+        self.attempts.iter().any(|attempt| {
+            attempt.state
+                == AttemptState::Finished {
+                    may_have_effect: true,
+                }
+        })
     }
 
     /// Emits the pending starts and cancellations.
--- a/crates/policy/src/retries.rs
+++ b/crates/policy/src/retries.rs
@@ -25,7 +25,7 @@
             deduplication_window,
         } => possibly_effective.all(|attempt| {
             let shares_keys = share_idempotency_keys(endpoints, attempt, endpoint, scope);
-            let arrival = context.now + context.parameters.tick;
+            let arrival = context.now + context.parameters.clock_resolution;
             shares_keys && arrival < attempt.started + deduplication_window
         }),
     }
--- a/crates/policy/src/rollout_voter.rs
+++ b/crates/policy/src/rollout_voter.rs
@@ -205,7 +205,8 @@
             return;
         }
         let parameters = &context.parameters;
-        scheduled.next_cast_at = context.now + parameters.rollout.vote_timeout + parameters.tick;
+        scheduled.next_cast_at =
+            context.now + parameters.rollout.vote_timeout + parameters.clock_resolution;
         scheduled.state = VoteState::Pending;
         actions.push(Action::Vote {
             build: vote.build,
--- a/crates/types/src/parameters.rs
+++ b/crates/types/src/parameters.rs
@@ -176,8 +176,8 @@
     pub gateway_count: usize,
     /// This gateway's index in the fleet.
     pub local_peer: PeerId,
-    /// Resolution of the platform's clock.
-    pub tick: TimeDelta,
+    /// Resolution of the platform's clock. Times that the platform also measures keep this margin.
+    pub clock_resolution: TimeDelta,
     /// How the gateway receives endpoint lists.
     pub discovery_mode: DiscoveryMode,
     /// Request classes, indexed by `ClassId`.
