--- a/crates/admission/src/controller.rs
+++ b/crates/admission/src/controller.rs
@@ -131,7 +131,7 @@
         let Some(class) = self.parameters.classes.get(request.class.0).copied() else {
             return Decision::Admit;
         };
-        if request.may_have_run && !is_rejectable_after_attempt(&class) {
+        if request.may_have_effect && !is_rejectable_after_attempt(&class) {
             return Decision::Admit;
         }
         let tenant_count = self.own_counts.offered_by_tenant.len();
@@ -168,7 +168,7 @@
     }
 
     fn count_offered(&mut self, request: &AdmissionRequest, tenant: Option<TenantId>) {
-        let is_first_decision = !request.may_have_run && request.age <= TimeDelta::ZERO;
+        let is_first_decision = !request.may_have_effect && request.age <= TimeDelta::ZERO;
         if !is_first_decision {
             return;
         }
--- a/crates/admission/src/event.rs
+++ b/crates/admission/src/event.rs
@@ -110,7 +110,7 @@
     /// The time until the request's deadline.
     pub remaining: TimeDelta,
     /// Whether an earlier attempt of this request may have taken effect.
-    pub may_have_run: bool,
+    pub may_have_effect: bool,
 }
 
 /// The decision on a request.
--- a/crates/fault-injection/src/admission/txns.rs
+++ b/crates/fault-injection/src/admission/txns.rs
@@ -66,7 +66,7 @@
                     zones,
                     age,
                     remaining: left,
-                    may_have_run: false,
+                    may_have_effect: false,
                 };
                 let (now, admission) = (self.point(), self.gateways[gateway].admission.as_mut());
                 match admission.map(|a| a.decide(now, &ask)) {
