--- a/crates/admission/src/admission_rates.rs
+++ b/crates/admission/src/admission_rates.rs
@@ -36,7 +36,7 @@
 /// The weight of the newest value in the smoothed rise of the sustainable ratio.
 const RISE_SMOOTHING: f32 = 0.5;
 /// The gain with which the sustainable ratio follows the queues: the delay of the load data over the time in which queues would react.
-/// Below 1/e nothing oscillates, above pi/2 everything does.
+/// Below 1/e the sustainable ratio never oscillates; above pi/2 it always does.
 const LOOP_GAIN: f32 = 0.67;
 /// Keeps divisors away from zero.
 const MIN_SECONDS: f32 = 1e-3;
@@ -274,7 +274,7 @@
             for index in range {
                 let mut histogram = load.counts.histograms[index];
                 histogram.widen(widening);
-                // Adds the histogram of all zones at a low weight, which decides if a zone has little data.
+                // Adds the histogram of all zones at a low weight, so that it dominates only in zones with little data.
                 histogram.merge(
                     &all_zones,
                     MIN_RESPONSES / all_zones.total().max(MIN_RESPONSES),
@@ -334,7 +334,7 @@
             weighted_factors += answered * self.zone_factors[zone];
             for class in 0..self.admitted.len() {
                 let index = class * self.zones + zone;
-                // The ratio of the mean that the current queues will lead to, to the measured one.
+                // The mean response time that the current queues will lead to, as a ratio to the measured mean.
                 let mean = self.latency_factors[index];
                 let expected_mean = mean + zone_expected_seconds - times.measured_seconds;
                 self.latency_factors[index] = (expected_mean / mean.max(1e-3)).clamp(0.5, 4.0);
--- a/crates/admission/src/controller.rs
+++ b/crates/admission/src/controller.rs
@@ -33,12 +33,13 @@
     pub(crate) first_tick: Option<Timestamp>,
     pub(crate) last_tick: Option<Timestamp>,
     pub(crate) own_counts: LoadCounts,
-    /// Attempts of this gateway in flight, by zone. `own_counts.in_flight` takes them over once the gateway is old enough.
+    /// Attempts of this gateway in flight, by zone. Each tick copies them to `own_counts.in_flight` once the gateway has run for the
+    /// shortest latency objective.
     pub(crate) in_flight: Vec<u32>,
     pub(crate) peers: PeerReports,
     pub(crate) load: FleetLoad,
     pub(crate) rates: AdmissionRates,
-    /// By class and tenant: accumulated admitted ratio; admitting a request costs 1.
+    /// By class and tenant: the accumulated admitted ratio. Admitting a request costs 1.
     pub(crate) credits: Vec<f32>,
     pub(crate) queue: WaitQueue,
     pub(crate) sent_reports: u32,
--- a/crates/admission/src/event.rs
+++ b/crates/admission/src/event.rs
@@ -37,7 +37,7 @@
         class: ClassId,
         /// The endpoint's zone.
         zone: ZoneId,
-        /// The outcome of the attempt.
+        /// How the attempt ended.
         outcome: AttemptOutcome,
         /// The time from sending the attempt to its outcome.
         duration: TimeDelta,
@@ -49,16 +49,16 @@
     },
     /// A peer joined, restarted or left.
     MemberChanged {
-        /// The peer.
+        /// The peer that joined, restarted or left.
         peer: PeerId,
-        /// The peer's incarnation; `None` if the peer is no longer a member.
+        /// The peer's current incarnation; `None` if the peer is no longer a member.
         incarnation: Option<u32>,
     },
     /// A peer has sent a load report.
     ReportReceived {
         /// The sender.
         from: PeerId,
-        /// The report.
+        /// The decoded report.
         report: LoadReport,
     },
     /// The timer set by `Action::SetTimer` has expired.
@@ -70,12 +70,12 @@
 pub enum Action {
     /// Send a waiting request.
     Admit {
-        /// The request.
+        /// The waiting request.
         id: RequestId,
     },
     /// Reject a waiting request.
     Reject {
-        /// The request.
+        /// The waiting request.
         id: RequestId,
         /// How long the client should wait before it retries; `None` if not configured.
         retry_after: Option<TimeDelta>,
@@ -97,7 +97,7 @@
 /// A request to admit, keep waiting or reject.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdmissionRequest {
-    /// The request.
+    /// The request's identifier; the wait queue accepts each identifier once.
     pub id: RequestId,
     /// The request class; a request of an unknown class is admitted.
     pub class: ClassId,
--- a/crates/admission/src/load_report.rs
+++ b/crates/admission/src/load_report.rs
@@ -34,18 +34,18 @@
         /// The length of the message in bytes.
         length: usize,
     },
-    /// The first byte is that of another kind of message.
+    /// The first byte belongs to another kind of message.
     #[error(
         "message is not a load report (first byte {first:#04x}): check for an unrelated sender on this port"
     )]
     FirstByte {
-        /// The first byte.
+        /// The first byte received, instead of `FIRST_BYTE`.
         first: u8,
     },
     /// The message has another version of the format.
     #[error("load report has version {version}, this build supports version {VERSION}: complete the rollout")]
     Version {
-        /// The report's version.
+        /// The version in the report.
         version: u8,
     },
     /// The checksum or the structure is wrong: the message was corrupted in transit.
--- a/crates/admission/src/peer_reports.rs
+++ b/crates/admission/src/peer_reports.rs
@@ -7,7 +7,7 @@
 use crate::latency_histogram::LatencyHistogram;
 use crate::load_report::{LoadCounts, LoadReport};
 
-/// The most peers whose reports are stored. Fewer peers send this gateway a report within the lifetime of a report.
+/// The most peers whose reports are stored. Within the lifetime of a report, fewer peers than this send one to this gateway.
 pub const MAX_REPORTS: usize = 48;
 /// The most members stored; the largest fleet has fewer.
 pub const MAX_MEMBERS: usize = 1024;
@@ -62,7 +62,7 @@
     pub(crate) age_seconds: f32,
 }
 
-/// The median; of an even number of values, the lower middle one. Of two values, the higher one may be absurdly wrong.
+/// The median; of an even number of values, the lower of the two middle ones, as the higher one of two values may be absurdly wrong.
 fn median(values: &mut [f32]) -> f32 {
     if values.is_empty() {
         return 0.0;
@@ -207,7 +207,7 @@
         }
     }
 
-    /// Sums one count over this gateway and its peers, bounding the part of each peer.
+    /// Sums one count over this gateway and its peers, with a bound on each peer's count.
     fn bounded_sum(&mut self, own_count: f32, count_of: impl Fn(&LoadCounts) -> f32) -> f32 {
         let PeerReports {
             reports,
@@ -265,8 +265,8 @@
         weighted_age / weights
     }
 
-    /// The median sustainable ratio of reports within one decay time. The fewer there are, the closer the result to 1, as one of one or two
-    /// may be absurdly wrong.
+    /// The median sustainable ratio of the reports within one decay time. With few reports the result is moved towards 1, as the median of
+    /// one or two reports may be absurdly wrong.
     fn median_ratio(&mut self, now: Timestamp, decay_time: TimeDelta) -> Option<f32> {
         let PeerReports {
             reports,
--- a/crates/admission/src/tick.rs
+++ b/crates/admission/src/tick.rs
@@ -103,7 +103,8 @@
     fn resolve(&mut self, now: Timestamp, request: &mut WaitingRequest) -> Option<Action> {
         let WaitingRequest { class, tenant, .. } = *request;
         let ratio = self.admitted_ratio(now, class, tenant, request.zones);
-        // The request was not admitted at the tried ratio. With this one in addition, its total chance equals the current ratio.
+        // The request was not admitted at the tried ratio. Trying the additional ratio makes its total probability of admission equal
+        // to the current ratio.
         let tried = request.tried_ratio;
         let additional_ratio = (ratio - tried).max(0.0) / (1.0 - tried).max(f32::EPSILON);
         request.tried_ratio = tried.max(ratio);
--- a/crates/event-loop/src/request_exchange.rs
+++ b/crates/event-loop/src/request_exchange.rs
@@ -114,8 +114,9 @@
     fn read_response<D>(&mut self, context: &mut IoContext<D>) -> ExchangeEvent {
         let read = self.connection.read(context);
         let progress = self.reader.read_response(&mut self.connection.input);
-        let is_ended_by_close =
-            read == ReadResult::EndOfStream && progress.is_ok() && self.reader.end_of_input();
+        let is_ended_by_close = read == ReadResult::EndOfStream
+            && progress.is_ok()
+            && self.reader.record_end_of_input();
         if progress == Ok(Progress::Complete) || is_ended_by_close {
             return self.response();
         }
--- a/crates/gateway/src/control_plane/votes.rs
+++ b/crates/gateway/src/control_plane/votes.rs
@@ -66,8 +66,9 @@
     fn read(&mut self, context: &mut Context) -> VoteProgress {
         let result = self.connection.read(context);
         let progress = self.reader.read_response(&mut self.connection.input);
-        let ends_with_connection =
-            result == ReadResult::EndOfStream && progress.is_ok() && self.reader.end_of_input();
+        let ends_with_connection = result == ReadResult::EndOfStream
+            && progress.is_ok()
+            && self.reader.record_end_of_input();
         let is_complete = progress == Ok(Progress::Complete) || ends_with_connection;
         let may_continue = matches!(result, ReadResult::Data | ReadResult::WouldBlock);
         if !is_complete && may_continue && progress.is_ok() {
--- a/crates/http/src/message_reader.rs
+++ b/crates/http/src/message_reader.rs
@@ -120,7 +120,7 @@
     }
 
     /// Records that the sender has closed its sending side, and returns whether the message is complete.
-    pub fn end_of_input(&mut self) -> bool {
+    pub fn record_end_of_input(&mut self) -> bool {
         if self.is_open_ended() {
             self.stage = Stage::Complete;
         }
--- a/crates/policy/src/concurrency_limit.rs
+++ b/crates/policy/src/concurrency_limit.rs
@@ -62,12 +62,12 @@
     }
 
     /// Records that an attempt has started.
-    pub fn attempt_started(&mut self) {
+    pub fn record_attempt_start(&mut self) {
         self.in_flight += 1;
     }
 
     /// Records the end of an attempt that began at `started`. `latency_ratio` is its duration as a ratio to the latency objective.
-    pub fn attempt_finished(
+    pub fn record_attempt_end(
         &mut self,
         outcome: AttemptOutcome,
         started: Timestamp,
--- a/crates/policy/src/context.rs
+++ b/crates/policy/src/context.rs
@@ -37,7 +37,7 @@
         &self.parameters.classes[class.0]
     }
 
-    /// The shortest latency objective of all classes.
+    /// The shortest latency objective of all classes; 1 s if no class is configured.
     pub fn shortest_latency_objective(&self) -> TimeDelta {
         self.parameters
             .classes
--- a/crates/policy/src/control_plane.rs
+++ b/crates/policy/src/control_plane.rs
@@ -14,7 +14,7 @@
 impl Policy {
     pub(crate) fn update_endpoints(&mut self, kind: UpdateKind, records: Vec<EndpointRecord>) {
         let now = self.context.now;
-        self.discovery_watch.list_received(now, kind);
+        self.discovery_watch.record_list(now, kind);
         if kind == UpdateKind::Failed {
             return;
         }
@@ -34,7 +34,7 @@
     pub(crate) fn update_rollout(&mut self, update: RolloutUpdate) {
         if update.is_vote_response {
             self.voter
-                .handle_vote_answer(&self.context, update.status, &mut self.rng);
+                .handle_vote_response(&self.context, update.status, &mut self.rng);
         }
         if update.status != PlatformStatus::Valid {
             return;
--- a/crates/policy/src/discovery_watch.rs
+++ b/crates/policy/src/discovery_watch.rs
@@ -24,7 +24,7 @@
 
 impl DiscoveryWatch {
     /// Records that discovery has sent a list, or that the call has failed.
-    pub fn list_received(&mut self, now: Timestamp, kind: UpdateKind) {
+    pub fn record_list(&mut self, now: Timestamp, kind: UpdateKind) {
         match (kind, self.state) {
             (UpdateKind::Failed, _) => self.state = WatchState::FailedAt(now),
             (UpdateKind::Delta | UpdateKind::Snapshot, WatchState::RequestedAt(_)) => {
--- a/crates/policy/src/endpoint_table.rs
+++ b/crates/policy/src/endpoint_table.rs
@@ -18,7 +18,7 @@
 pub(crate) const SAMPLE_SIZE: usize = 20;
 /// How often an idle connection should be reused per idle timeout.
 const USES_PER_IDLE_TIMEOUT: f64 = 16.0;
-/// The fractional parts of its multiples are evenly spread over 0 to 1, for any number of multiples.
+/// For any number of multiples of this ratio, their fractional parts are evenly spread over 0 to 1.
 const GOLDEN_RATIO: f64 = 0.618_033_988_749_895;
 /// The lower bound of the latency estimate when a weight is computed.
 const MIN_LATENCY_ESTIMATE: f64 = 0.1;
@@ -29,8 +29,9 @@
 #[derive(Debug, Default)]
 pub(crate) struct Endpoint {
     pub(crate) record: EndpointRecord,
+    /// When the endpoint started; `None` if its record has no age because it started long ago.
     pub(crate) started: Option<Timestamp>,
-    /// When the endpoint was last listed and not removed.
+    /// The time of the last list before which the endpoint was not removed.
     last_listed: Timestamp,
     /// The mean latency, as a ratio to the class's mean latency.
     pub(crate) latency_estimate: f64,
--- a/crates/policy/src/gossip_group.rs
+++ b/crates/policy/src/gossip_group.rs
@@ -26,7 +26,7 @@
 /// The last report of a group member.
 #[derive(Clone, Copy, Debug)]
 struct Member {
-    /// Since when it has reported without interruption.
+    /// Since when the member has reported without interruption.
     reporting_since: Timestamp,
     last_report: Timestamp,
     in_flight: usize,
@@ -93,7 +93,7 @@
         self.unsent_outcomes.push(report);
     }
 
-    /// Whether a report of outcomes and traffic is due now. If so, the next one is due an interval later.
+    /// Whether a report of outcomes and traffic is due now. If so, records the report as sent now.
     pub(crate) fn start_report_if_due(&mut self, context: &Context) -> bool {
         let interval = context.shortest_latency_objective() * REPORT_INTERVAL_RATIO;
         let is_due = context.now - self.outcomes_sent_at >= interval
--- a/crates/policy/src/load_shedder.rs
+++ b/crates/policy/src/load_shedder.rs
@@ -60,7 +60,7 @@
     }
 
     /// Adopts the shed ratio of the group's aggregator.
-    pub fn follow(&mut self, shed_ratio: f64) {
+    pub fn adopt_shed_ratio(&mut self, shed_ratio: f64) {
         self.shed_ratio = shed_ratio.min(MAX_SHED_RATIO);
     }
 
--- a/crates/policy/src/outcome_reports.rs
+++ b/crates/policy/src/outcome_reports.rs
@@ -91,7 +91,7 @@
                 reports,
             } => {
                 if from == self.context.aggregator() {
-                    self.shedder.follow(shed_ratio);
+                    self.shedder.adopt_shed_ratio(shed_ratio);
                     apply_latency_reports(&self.context, &mut self.endpoints, &reports);
                 }
             }
--- a/crates/policy/src/outlier_ejection.rs
+++ b/crates/policy/src/outlier_ejection.rs
@@ -74,13 +74,13 @@
     }
 
     /// Records that this gateway has started an attempt.
-    pub fn attempt_started(&mut self, now: Timestamp) {
+    pub fn record_attempt_start(&mut self, now: Timestamp) {
         self.unanswered_since = self.unanswered_since.or(Some(now));
     }
 
     /// Records the end of an attempt by this gateway, with `in_flight` attempts remaining. `latency_objective` is that of the
     /// class; `first_ejection` is the backoff after a failed connection.
-    pub fn attempt_finished(
+    pub fn record_attempt_end(
         &mut self,
         now: Timestamp,
         outcome: AttemptOutcome,
--- a/crates/policy/src/periodic.rs
+++ b/crates/policy/src/periodic.rs
@@ -19,7 +19,7 @@
                     .record(&self.context, result.arm, local_peer, result.weight);
             }
         }
-        if self.context.is_aggregator() && !self.is_calm() {
+        if self.context.is_aggregator() && !self.is_undisturbed() {
             self.elimination.discard_overall(now);
         }
         self.timer.record_fired(now);
@@ -30,7 +30,7 @@
         self.decide_vote();
     }
 
-    fn is_calm(&self) -> bool {
+    fn is_undisturbed(&self) -> bool {
         let recent_original_requests = self.traffic.recent_original_requests(&self.context);
         self.fleet().is_undisturbed(
             recent_original_requests,
--- a/crates/policy/src/request_flow.rs
+++ b/crates/policy/src/request_flow.rs
@@ -1,4 +1,4 @@
-//! The life of a request in the policy: it is received, attempted at endpoints, and answered.
+//! How the policy handles a request: it receives the request, attempts it at endpoints, and answers it.
 
 use harrierdock_types::{
     AffinityKey, AttemptOutcome, BuildId, ClassId, EndpointId, GossipId, OutcomeReport,
@@ -130,9 +130,9 @@
             return;
         };
         let build = endpoint.record.build;
-        endpoint.concurrency.attempt_started();
-        endpoint.health.attempt_started(now);
-        endpoint.slow_start.attempt_started(now);
+        endpoint.concurrency.record_attempt_start();
+        endpoint.health.record_attempt_start(now);
+        endpoint.slow_start.record_attempt_start(now);
         if self.fleet().is_canary(build) {
             self.exposure
                 .record_attempt(now, CanaryAttempt { class, build });
@@ -225,12 +225,12 @@
         };
         let outcome = finished.outcome;
         self.zones
-            .attempt_finished(now, endpoint.record.zone, outcome);
+            .record_attempt_end(now, endpoint.record.zone, outcome);
         endpoint
             .concurrency
-            .attempt_finished(outcome, attempt.started, latency_ratio);
+            .record_attempt_end(outcome, attempt.started, latency_ratio);
         let in_flight = endpoint.concurrency.in_flight();
-        endpoint.health.attempt_finished(
+        endpoint.health.record_attempt_end(
             now,
             outcome,
             in_flight,
--- a/crates/policy/src/request_table.rs
+++ b/crates/policy/src/request_table.rs
@@ -20,7 +20,7 @@
     Cancelled,
     /// Succeeded, failed, or cancelled.
     Finished {
-        /// Whether the endpoint may have executed the request.
+        /// Whether the attempt may have taken effect.
         may_have_effect: bool,
     },
 }
@@ -44,7 +44,7 @@
         matches!(self.state, AttemptState::Finished { .. })
     }
 
-    /// Whether the endpoint may have executed the request, or may still do so.
+    /// Whether the attempt may have taken effect, or may still do so.
     pub fn may_have_effect(&self) -> bool {
         self.state
             != AttemptState::Finished {
--- a/crates/policy/src/retries.rs
+++ b/crates/policy/src/retries.rs
@@ -13,17 +13,17 @@
     endpoint: &Endpoint,
     request: &Request,
 ) -> bool {
-    let mut possibly_effective = request
+    let mut attempts_with_possible_effect = request
         .attempts
         .iter()
         .filter(|attempt| attempt.may_have_effect());
     match context.class(request.class).retry_safety {
         RetrySafety::Idempotent => true,
-        RetrySafety::NonIdempotent => possibly_effective.next().is_none(),
+        RetrySafety::NonIdempotent => attempts_with_possible_effect.next().is_none(),
         RetrySafety::IdempotencyKey {
             scope,
             deduplication_window,
-        } => possibly_effective.all(|attempt| {
+        } => attempts_with_possible_effect.all(|attempt| {
             let shares_keys = share_idempotency_keys(endpoints, attempt, endpoint, scope);
             let arrival = context.now + context.parameters.clock_resolution;
             shares_keys && arrival < attempt.started + deduplication_window
--- a/crates/policy/src/rollout_voter.rs
+++ b/crates/policy/src/rollout_voter.rs
@@ -33,7 +33,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum VoteState {
-    /// Not cast yet, not answered yet, or refused.
+    /// Not cast yet, without a response yet, or refused.
     Pending,
     /// Counted by the platform.
     Counted,
@@ -43,7 +43,7 @@
 #[derive(Clone, Copy, Debug)]
 struct ScheduledVote {
     vote: RolloutVote,
-    /// When it is cast next.
+    /// When the vote is cast next.
     next_cast_at: Timestamp,
     state: VoteState,
 }
@@ -93,7 +93,7 @@
 pub(crate) struct RolloutVoter {
     desired: Option<RolloutVote>,
     scheduled: Option<ScheduledVote>,
-    /// Since when this stage is held; `None` if it is not.
+    /// Since when the current stage is held; `None` while it is not held.
     held_since: Option<Timestamp>,
 }
 
@@ -148,8 +148,8 @@
         (now - since < FALLBACK_WAIT).then_some(RolloutDecision::Hold)
     }
 
-    /// Schedules the next cast after the platform has answered a vote.
-    pub(crate) fn handle_vote_answer(
+    /// Schedules the next cast after the platform has responded to a vote.
+    pub(crate) fn handle_vote_response(
         &mut self,
         context: &Context,
         status: PlatformStatus,
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -39,7 +39,7 @@
         }
     }
 
-    pub(crate) fn attempt_started(&mut self, now: Timestamp) {
+    pub(crate) fn record_attempt_start(&mut self, now: Timestamp) {
         self.attempts.push(now, ());
     }
 
--- a/crates/policy/src/zone_ejection.rs
+++ b/crates/policy/src/zone_ejection.rs
@@ -49,7 +49,7 @@
         self.last_ejected_until
     }
 
-    pub(crate) fn attempt_finished(
+    pub(crate) fn record_attempt_end(
         &mut self,
         now: Timestamp,
         zone: ZoneId,
--- a/crates/rollout-controller/src/codec.rs
+++ b/crates/rollout-controller/src/codec.rs
@@ -22,7 +22,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum DecodeError {
     /// The length or the first byte is wrong. Holds the received length.
-    #[error("a vote message has {MESSAGE_BYTES} bytes, not {0}: check for another program on the peers' addresses")]
+    #[error("not a vote message: received {0} bytes, expected {MESSAGE_BYTES} bytes that start with {FIRST_BYTE:#04x}: check for another program on the peers' addresses")]
     Length(usize),
     /// The format version is not the supported one. Holds the received version.
     #[error("unsupported vote format version {0}, expected {FORMAT_VERSION}: run the same version on all gateways of the fleet")]
--- a/crates/rollout-controller/src/controller.rs
+++ b/crates/rollout-controller/src/controller.rs
@@ -39,7 +39,7 @@
 
 /// The calls to the deployment controller.
 struct Calls {
-    /// The vote of the call in progress.
+    /// The vote of the call in progress; `None` if no call is in progress.
     pending: Option<Vote>,
     /// The vote of the last call whose result is unknown.
     unknown_result: Option<Vote>,
@@ -55,7 +55,7 @@
     parameters: RolloutControllerParameters,
     votes: VoteTable,
     current: Option<CurrentStage>,
-    /// When the current stage is reported as overdue, unless it has a decision by then.
+    /// When the current stage is reported as overdue unless it has a decision by then; `None` if no decision is expected.
     decision_deadline: Option<Timestamp>,
     /// Epoch of the lease; `None` while this gateway does not hold the lease.
     lease_epoch: Option<u64>,
@@ -63,6 +63,7 @@
     rejected_epoch: Option<u64>,
     calls: Calls,
     notices: Vec<Notice>,
+    /// When the timer set last fires; `None` before the first one.
     timer: Option<Timestamp>,
 }
 
@@ -109,7 +110,7 @@
         self.votes.count(self.now, vote)
     }
 
-    /// The smallest number of votes that is more than this share of all gateways.
+    /// The smallest number of votes that is more than `ratio` (0 to 1) of all gateways.
     fn votes_needed(&self, ratio: f64) -> usize {
         (ratio * self.parameters.gateway_count as f64).floor() as usize + 1
     }
--- a/crates/rollout-controller/src/vote_table.rs
+++ b/crates/rollout-controller/src/vote_table.rs
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Returns the message if one is due, and schedules the next one.
+    /// Returns this gateway's vote message if its send time has come, and schedules the next one.
     pub(crate) fn take_message(&mut self, now: Timestamp) -> Option<VoteMessage> {
         let interval = self
             .scheduled_send
@@ -121,7 +121,7 @@
         })
     }
 
-    /// When the next message is due; `None` if no message is scheduled.
+    /// When the next message is sent; `None` if no message is scheduled.
     pub(crate) fn next_send_at(&self) -> Option<Timestamp> {
         self.scheduled_send.as_ref().map(|send| send.at)
     }
--- a/crates/types/src/gossip/mod.rs
+++ b/crates/types/src/gossip/mod.rs
@@ -50,12 +50,12 @@
         build: BuildId,
         /// The rollout stage that the vote is about, from 0.
         stage: usize,
-        /// The largest power of the test's error rate at which the build is still eliminated.
+        /// Confidence of the vote: weight n stands for an error probability of η to the power of n. The policy sets η.
         weight: usize,
         /// The eliminated build.
         arm: Arm,
     },
-    /// A group member's traffic since its last report to the aggregator.
+    /// A group member's outcomes and traffic since its last report to the aggregator.
     OutcomeReports {
         /// Number of requests received.
         received: usize,
--- a/crates/types/src/outcome.rs
+++ b/crates/types/src/outcome.rs
@@ -15,7 +15,7 @@
     ConnectFailed,
     /// The connection broke, or the response was malformed; the request may have had its effect.
     Reset,
-    /// The gateway cancelled the attempt after it was sent.
+    /// The gateway cancelled the attempt after it was sent; the request may have had its effect.
     Cancelled,
     /// The gateway dropped the attempt before it was sent; it has had no effect.
     NotSent,
--- a/crates/types/src/rollout.rs
+++ b/crates/types/src/rollout.rs
@@ -43,7 +43,7 @@
     pub exposure_limit: f64,
     /// Status of the platform's response. Only a `Valid` update carries the state of the rollout.
     pub status: PlatformStatus,
-    /// Whether this update answers a vote of this gateway.
+    /// Whether this update is the platform's response to a vote of this gateway, and not to a query or pushed.
     pub is_vote_response: bool,
     /// Time since the rollout entered this state.
     pub age: TimeDelta,
