--- a/crates/event-loop/src/descriptor_budget.rs
+++ b/crates/event-loop/src/descriptor_budget.rs
@@ -6,7 +6,7 @@
 /// Counts the descriptors of connections against their limit.
 pub struct DescriptorBudget {
     in_use: usize,
-    /// The maximum of `in_use` since the last `take_peak`.
+    /// The maximum of `in_use` since the last call of `take_peak`.
     peak: usize,
     max: usize,
 }
--- a/crates/event-loop/src/line_stream.rs
+++ b/crates/event-loop/src/line_stream.rs
@@ -98,7 +98,7 @@
     }
 
     /// Whether the stream has received nothing for too long, has not connected within the connect timeout, or has had an
-    /// incomplete line or response for longer than that timeout.
+    /// incomplete line or response for longer than that timeout. Logs a warning if so; the caller must reopen the stream.
     pub fn is_unresponsive(&self, now: Timestamp, connect_timeout: TimeDelta) -> bool {
         let inactivity_timeout = if self.is_connected {
             self.inactivity_timeout
--- a/crates/gateway/src/rollout/votes.rs
+++ b/crates/gateway/src/rollout/votes.rs
@@ -28,7 +28,7 @@
     let phase = match update.phase {
         RolloutPhase::Canary => StagePhase::Canary,
         RolloutPhase::Released => StagePhase::Released,
-        RolloutPhase::RollingBack | RolloutPhase::RolledBack => StagePhase::Over,
+        RolloutPhase::RollingBack | RolloutPhase::RolledBack => StagePhase::RolledBack,
     };
     let stage = RolloutStage {
         build: update.build,
--- a/crates/policy/src/retries.rs
+++ b/crates/policy/src/retries.rs
@@ -49,7 +49,7 @@
     }
 }
 
-/// Whether a request may be rejected, which tells the client that a retry is safe. Otherwise it must be failed.
+/// Whether a request may be rejected, which promises the client that a retry is safe. Otherwise it must be failed.
 pub(crate) fn may_reject(context: &Context, request: &Request) -> bool {
     let is_safe_anywhere = matches!(
         context.class(request.class).retry_safety,
--- a/crates/policy/tests/decisions/retries.rs
+++ b/crates/policy/tests/decisions/retries.rs
@@ -86,13 +86,13 @@
         RolloutPhase::Released,
     );
     let non_idempotent = gateway.receive_request(NON_IDEMPOTENT, None);
-    // The endpoint may have run the request: no retry.
+    // The request may have taken effect: no retry.
     gateway.finish_attempt(non_idempotent, 0, AttemptOutcome::ServerError, 20);
     let non_idempotent = gateway.receive_request(NON_IDEMPOTENT, None);
-    // The endpoint has not run the request: it is retried at another endpoint.
+    // The request has not taken effect: it is retried at another endpoint.
     gateway.finish_attempt(non_idempotent, 0, AttemptOutcome::ConnectFailed, 20);
     let keyed = gateway.receive_request(KEYED, None);
-    // The endpoint may have run the request: it is retried in the same zone only.
+    // The request may have taken effect: it is retried in the same zone only.
     gateway.finish_attempt(keyed, 0, AttemptOutcome::ServerError, 20);
     let late_keyed = gateway.receive_request(KEYED, None);
     gateway.run_until(998);
--- a/crates/policy/tests/support/mod.rs
+++ b/crates/policy/tests/support/mod.rs
@@ -19,7 +19,7 @@
 pub const IDEMPOTENT: ClassId = ClassId(0);
 /// The class of requests with an idempotency key.
 pub const KEYED: ClassId = ClassId(1);
-/// The class of requests that must not be retried once they may have run.
+/// The class of requests that must not be retried once they may have taken effect.
 pub const NON_IDEMPOTENT: ClassId = ClassId(2);
 
 /// A time span in milliseconds.
@@ -48,7 +48,7 @@
         .collect()
 }
 
-/// A rollout update with status `Valid` that is not the answer to a vote.
+/// A rollout update with status `Valid` that is not the response to a vote.
 pub fn rollout_update(
     build: u32,
     stage: usize,
--- a/crates/rollout-controller/src/controller.rs
+++ b/crates/rollout-controller/src/controller.rs
@@ -124,7 +124,7 @@
         }
         self.decision_deadline = match phase {
             StagePhase::Canary => Some(self.now + self.parameters.decision_timeout),
-            StagePhase::Released | StagePhase::Over => None,
+            StagePhase::Released | StagePhase::RolledBack => None,
         };
         self.current = Some(updated);
     }
@@ -171,7 +171,7 @@
         let vote = match phase {
             StagePhase::Canary => roll_back().or_else(promote),
             StagePhase::Released => roll_back(),
-            StagePhase::Over => None,
+            StagePhase::RolledBack => None,
         };
         // Votes up to the last executed one are ignored, so that old votes cause no second call.
         vote.filter(|vote| {
--- a/crates/rollout-controller/src/event.rs
+++ b/crates/rollout-controller/src/event.rs
@@ -11,8 +11,8 @@
     Canary,
     /// The build runs on all endpoints and can only be rolled back.
     Released,
-    /// The build is being rolled back or has been removed.
-    Over,
+    /// The build is being rolled back, or was rolled back.
+    RolledBack,
 }
 
 /// The result of a call to the deployment controller.
