--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -1,6 +1,7 @@
 //! The settings under their keys in the configuration, and their validation. Times are in microseconds.
 //!
-//! `parameters` maps each key to the policy parameter that it sets.
+//! `parameters` maps each key to the policy parameter that it sets. The keys `aim_stretch`, `share` and `least_stage` set none; they
+//! are only validated.
 
 use std::collections::BTreeSet;
 
--- a/crates/flow-export/src/exporter.rs
+++ b/crates/flow-export/src/exporter.rs
@@ -36,7 +36,7 @@
 
 /// A finished attempt.
 #[derive(Clone, Copy, Debug)]
-pub struct AttemptEnded {
+pub struct FinishedAttempt {
     /// The class of the attempt's request.
     pub class: ClassId,
     /// The endpoint's build; 0 if it has none.
@@ -59,7 +59,7 @@
 
 /// A finished request.
 #[derive(Clone, Copy, Debug)]
-pub struct RequestEnded {
+pub struct FinishedRequest {
     /// The request's class.
     pub class: ClassId,
     /// How the request ended.
@@ -142,7 +142,7 @@
     }
 
     /// Counts a finished attempt.
-    pub fn record_attempt(&mut self, now: Timestamp, attempt: &AttemptEnded) {
+    pub fn record_attempt(&mut self, now: Timestamp, attempt: &FinishedAttempt) {
         let build = attempt.build;
         self.shares.count_attempt(build);
         self.totals.count(RecordKind::Attempt, build, attempt.class);
@@ -168,7 +168,7 @@
     }
 
     /// Counts a finished request.
-    pub fn record_request(&mut self, now: Timestamp, request: &RequestEnded) {
+    pub fn record_request(&mut self, now: Timestamp, request: &FinishedRequest) {
         self.totals
             .count(RecordKind::Request, BuildId(0), request.class);
         let observation = Observation {
--- a/crates/flow-export/src/lib.rs
+++ b/crates/flow-export/src/lib.rs
@@ -26,7 +26,7 @@
 
 pub use collector::CollectorSummary;
 pub use error::{FlowExportError, SettingsError};
-pub use exporter::{AttemptEnded, ExportSummary, ExporterSetup, FlowExporter, RequestEnded};
+pub use exporter::{ExportSummary, ExporterSetup, FinishedAttempt, FinishedRequest, FlowExporter};
 pub use key_files::{KeyFileError, KeyFiles};
 pub use settings::{
     CollectorSettings, FlowExportSettings, FlowFileSettings, MessageFormat, Transport,
--- a/crates/gateway/src/dispatch/attempts.rs
+++ b/crates/gateway/src/dispatch/attempts.rs
@@ -158,7 +158,7 @@
             endpoint: ended.endpoint,
             outcome,
             duration,
-            request_finished: self.dispatcher.requests.is_finished(id),
+            is_request_finished: self.dispatcher.requests.is_finished(id),
         };
         self.handle_policy_event(now, event);
         self.dispatcher.requests.remove_if_complete(id);
--- a/crates/gateway/src/dispatch/flow_records.rs
+++ b/crates/gateway/src/dispatch/flow_records.rs
@@ -1,6 +1,6 @@
 //! Records requests, attempts and rollout updates with the flow exporter, if one is configured.
 
-use harrierdock_flow_export::{AttemptEnded, RequestEnded};
+use harrierdock_flow_export::{FinishedAttempt, FinishedRequest};
 use harrierdock_flow_metering::{FlowOutcome, FlowPath};
 use harrierdock_types::{AttemptOutcome, BuildId, RequestId, RolloutUpdate, TimeDelta, Timestamp};
 
@@ -51,7 +51,7 @@
         let entry = self.dispatcher.requests.get(id);
         if let (Some(exporter), Some(entry)) = (&mut self.exporter, entry) {
             let now = self.context.clock.now();
-            let ended = RequestEnded {
+            let ended = FinishedRequest {
                 class: entry.class,
                 outcome,
                 path: flow_path(entry),
@@ -69,7 +69,7 @@
         };
         let endpoint = flow.ended.endpoint;
         let build = self.dispatcher.build_of(endpoint).unwrap_or(BuildId(0));
-        let ended = AttemptEnded {
+        let ended = FinishedAttempt {
             class: entry.class,
             build,
             endpoint,
--- a/crates/policy/src/request_flow.rs
+++ b/crates/policy/src/request_flow.rs
@@ -34,7 +34,7 @@
     pub(crate) endpoint: EndpointId,
     pub(crate) outcome: AttemptOutcome,
     pub(crate) duration: TimeDelta,
-    pub(crate) request_finished: bool,
+    pub(crate) is_request_finished: bool,
 }
 
 impl Policy {
@@ -263,7 +263,7 @@
     /// Finishes the attempt's request, or tries another endpoint.
     fn continue_request(&mut self, finished: &AttemptFinished, latency_objective: TimeDelta) {
         let id = finished.id;
-        if finished.request_finished || finished.outcome == AttemptOutcome::Succeeded {
+        if finished.is_request_finished || finished.outcome == AttemptOutcome::Succeeded {
             return self.finish_request(id, Answer::Done);
         }
         match finished.outcome {
--- a/crates/simulator-adapter/src/inputs.rs
+++ b/crates/simulator-adapter/src/inputs.rs
@@ -133,7 +133,7 @@
         Ok(Event::AttemptFinished {
             id: RequestId(row.hex(2)?),
             duration: TimeDelta(row.integer(3)?),
-            request_finished: row.flag(4)?,
+            is_request_finished: row.flag(4)?,
             attempt: row.count(5)?,
             outcome: attempt_outcome(row.text(6)?)?,
             endpoint: self.endpoint(row, 7)?,
--- a/crates/types/src/event.rs
+++ b/crates/types/src/event.rs
@@ -51,7 +51,7 @@
         /// Time from the start of the attempt to its end.
         duration: TimeDelta,
         /// Whether the client has its response, or no longer needs one.
-        request_finished: bool,
+        is_request_finished: bool,
     },
     /// The rollout platform has reported the state of the rollout or answered a vote.
     RolloutUpdated(RolloutUpdate),
