--- a/crates/attempt-guard/src/list_freshness.rs
+++ b/crates/attempt-guard/src/list_freshness.rs
@@ -15,9 +15,13 @@
 /// Tracks how long ago discovery last confirmed the current endpoint list.
 #[derive(Clone, Copy, Debug)]
 pub struct ListFreshness {
+    /// Whether discovery is polled. A pushed list is never stale.
     is_polled: bool,
+    /// How long the list may be used after the notification deadline.
     grace: TimeDelta,
+    /// When the gateway started.
     started_at: Timestamp,
+    /// When discovery last confirmed the list; `None` while the cached list is used.
     confirmed_at: Option<Timestamp>,
 }
 
--- a/crates/event-loop/src/connection.rs
+++ b/crates/event-loop/src/connection.rs
@@ -234,7 +234,7 @@
     }
 
     /// Whether an idle connection is still open and has no unread input.
-    pub fn is_open_and_quiet(&self) -> bool {
+    pub fn is_open_without_input(&self) -> bool {
         let mut byte = [0_u8; 1];
         let peeked = recv(
             &self.stream,
--- a/crates/event-loop/src/line_stream.rs
+++ b/crates/event-loop/src/line_stream.rs
@@ -191,7 +191,7 @@
         if self.connection.is_none() {
             return true;
         }
-        if readiness.writable && !(self.note_connected() && self.flush(context)) {
+        if readiness.writable && !(self.record_connected() && self.flush(context)) {
             return false;
         }
         if !readiness.readable {
@@ -207,12 +207,12 @@
         };
         self.last_input_at = context.now();
         let is_readable = self.parse_input(events);
-        self.note_partial_input();
+        self.record_partial_input();
         is_readable && is_open
     }
 
     /// Records that the connection is established. Returns false if the connection attempt failed.
-    fn note_connected(&mut self) -> bool {
+    fn record_connected(&mut self) -> bool {
         if self.is_connected {
             return true;
         }
@@ -237,7 +237,7 @@
         result != WriteResult::Failed
     }
 
-    fn note_partial_input(&mut self) {
+    fn record_partial_input(&mut self) {
         let is_partial = self
             .connection
             .as_ref()
--- a/crates/gateway/src/downstream/listener.rs
+++ b/crates/gateway/src/downstream/listener.rs
@@ -219,7 +219,7 @@
     /// arrived yet.
     fn queue_time(&self, context: &Context, connection: &Connection) -> TimeDelta {
         match self.listener.backlog_since {
-            Some(since) if !connection.is_open_and_quiet() => context.now() - since,
+            Some(since) if !connection.is_open_without_input() => context.now() - since,
             _ => TimeDelta::ZERO,
         }
     }
--- a/crates/gateway/src/upstream/pool.rs
+++ b/crates/gateway/src/upstream/pool.rs
@@ -100,7 +100,7 @@
             // The endpoint may have closed the connection, or may close it soon.
             let is_expired =
                 self.reuse_policy.state(pooled.last_used_at, context.now()) == IdleState::Expired;
-            if is_expired || !pooled.connection.is_open_and_quiet() {
+            if is_expired || !pooled.connection.is_open_without_input() {
                 context.counters.add(Counter::IdleConnectionsClosed);
                 self.close(context, id);
                 continue;
--- a/crates/types/src/parameters.rs
+++ b/crates/types/src/parameters.rs
@@ -176,7 +176,7 @@
     pub gateway_count: usize,
     /// This gateway's index in the fleet.
     pub local_peer: PeerId,
-    /// Resolution of the platform's clock. Times that the platform also measures keep this margin.
+    /// Resolution of the platform's clock. Decisions about times that the platform measures keep this margin.
     pub clock_resolution: TimeDelta,
     /// How the gateway receives endpoint lists.
     pub discovery_mode: DiscoveryMode,
