--- a/crates/gateway/src/dispatch/site_administration.rs
+++ b/crates/gateway/src/dispatch/site_administration.rs
@@ -16,7 +16,7 @@
             "status" => None,
             unknown => {
                 return format!(
-                    "{{\"error\":\"unknown command '{}'\"}}\n",
+                    "{{\"error\":\"unknown word '{}'\"}}\n",
                     unknown.escape_default()
                 )
             }
@@ -30,7 +30,7 @@
             .forwarding
             .as_ref()
             .and_then(|forwarding| serde_json::to_string(&forwarding.sites.status()).ok());
-        let not_configured = || r#"{"error":"no other site is configured"}"#.to_string();
+        let not_configured = || r#"{"error":"no other site is told"}"#.to_string();
         format!("{}\n", status.unwrap_or_else(not_configured))
     }
 
