--- a/crates/gateway/src/config/environment.rs
+++ b/crates/gateway/src/config/environment.rs
@@ -35,7 +35,7 @@
     },
 ];
 
-/// Which source wins if both the environment and the file set a field.
+/// Which source takes precedence if both the environment and the file set a field.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum Precedence {
     Environment,
--- a/crates/gateway/src/control_plane/discovery.rs
+++ b/crates/gateway/src/control_plane/discovery.rs
@@ -34,7 +34,7 @@
     opened_at: Timestamp,
     /// Whether a list or a keepalive line has been received.
     has_received: bool,
-    /// Whether it has delivered a list, or has worked for longer than a failing request may take.
+    /// Whether a list has been received, or the stream has worked for longer than a failing request may take.
     has_succeeded: bool,
 }
 
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Whether the endpoint list is too old to send requests by.
+    /// Whether the endpoint list is too old to start attempts from.
     pub(crate) fn is_stale(&self, now: Timestamp) -> bool {
         self.freshness.is_stale(now)
     }
@@ -139,7 +139,7 @@
             return;
         }
         self.version = Some(list.version);
-        // The cached list is usable in the meantime, so the requests of many gateways can be spread over time.
+        // The cached list is usable until the watch opens, so gateways that start together can spread their requests over time.
         let delay = self.backoff.as_mut().map(Backoff::draw_spread_wait);
         self.reopen_at = self.reopen_at + delay.unwrap_or_default();
         let mut tables = EndpointTables { names, upstream };
@@ -182,7 +182,7 @@
         }
     }
 
-    /// Schedules the next opening of a closed stream. Backs off if a shared service has delivered nothing on it.
+    /// Schedules the next opening of a closed stream. Backs off if the discovery service is shared and the stream did not succeed.
     fn schedule_reopening(&mut self, now: Timestamp) {
         let has_succeeded = std::mem::take(&mut self.watch.has_succeeded);
         self.reopen_at = match &mut self.backoff {
@@ -293,8 +293,8 @@
         }
     }
 
-    /// Discards the version if discovery no longer knows it, so that a snapshot is requested next. A refusal by an
-    /// overloaded service says nothing about the version, and a snapshot would cost that service more.
+    /// Discards the version if discovery no longer knows it, so that a snapshot is requested next. An overloaded
+    /// service may refuse a known version, and a snapshot would cost that service more than a watch.
     fn handle_refusal(&mut self, status: Option<u16>) {
         let is_overloaded = status.is_none_or(|status| matches!(status, 408 | 425 | 429 | 500..));
         tracing::warn!(
--- a/crates/gateway/src/control_plane/discovery_messages.rs
+++ b/crates/gateway/src/control_plane/discovery_messages.rs
@@ -99,7 +99,7 @@
                 LifecycleMessage::Removed => Lifecycle::Removed,
             },
             weight: self.weight,
-            // The clock always maps a start time to the same timestamp, so repeated lists show the policy one start.
+            // The clock always maps a start time to the same timestamp, so repeated lists give the policy the same start time.
             age: (self.started_at_ms > 0).then(|| now - clock.at_unix_ms(self.started_at_ms)),
             gossip_id: gossip_id(&self.id),
         }
--- a/crates/gateway/src/dispatch/answers.rs
+++ b/crates/gateway/src/dispatch/answers.rs
@@ -13,7 +13,7 @@
 use crate::runtime::timer::Timer;
 
 impl Gateway {
-    /// Marks the request as answered or abandoned by its client. Returns whether it was unanswered before.
+    /// Marks the request as answered or abandoned by its client. Returns false if it was marked before or is not in the table.
     fn finish_request(&mut self, id: RequestId, end: RequestEnd, outcome: FlowOutcome) -> bool {
         let Some(entry) = self.dispatcher.requests.get_unanswered_mut(id) else {
             return false;
--- a/crates/gateway/src/dispatch/attempts.rs
+++ b/crates/gateway/src/dispatch/attempts.rs
@@ -100,6 +100,7 @@
         }
         let is_inbound = self.dispatcher.requests.is_inbound(id);
         if !is_inbound {
+            // Reads the client's connection. If the client has disconnected, `with_outbound_request` finds no request to send.
             self.downstream.is_client_waiting(&mut self.context, id);
         }
         let Gateway {
--- a/crates/gateway/src/dispatch/dispatcher.rs
+++ b/crates/gateway/src/dispatch/dispatcher.rs
@@ -84,8 +84,8 @@
         self.elimination_log.log(vote, &self.names, evidence);
     }
 
-    /// Removes the names of endpoints that the policy no longer lists, so that the name table stays bounded. Call only when no
-    /// endpoint list is queued for the policy.
+    /// Removes the names of endpoints that the policy no longer lists, so that the name table stays bounded. Must not be called
+    /// while an endpoint list is queued for the policy: its new names are not listed yet.
     fn forget_removed_endpoints(&mut self) {
         let Dispatcher { policy, names, .. } = self;
         if names.endpoints.ids().len() > policy.endpoint_count() {
--- a/crates/gateway/src/dispatch/multi_site.rs
+++ b/crates/gateway/src/dispatch/multi_site.rs
@@ -47,7 +47,7 @@
             return;
         };
         for action in forwarding.sites.handle(now, event) {
-            self.execute_multi_site(now, action);
+            self.execute_multi_site_action(now, action);
         }
     }
 
@@ -123,7 +123,7 @@
     }
 
     /// Executes an action that cross-site forwarding returned. `now` is the time of the event that caused the action.
-    pub(crate) fn execute_multi_site(&mut self, now: Timestamp, action: Action) {
+    pub(crate) fn execute_multi_site_action(&mut self, now: Timestamp, action: Action) {
         match action {
             Action::ServeLocally { id, remaining } => self.serve_locally(now, id, remaining),
             Action::Forward {
@@ -171,7 +171,7 @@
             }),
             Action::AbandonInbound { inbound } => self.abandon_inbound(inbound),
             Action::Connect { .. } | Action::ClosePath { .. } | Action::Send { .. } => {
-                self.execute_transport(now, action);
+                self.execute_transport_action(now, action);
             }
             Action::StatusChanged(change) => log_change(&change),
             Action::SetTimer { after } => {
@@ -187,7 +187,7 @@
     }
 
     /// Opens or closes a path, or sends a message on one. Ignores all other actions.
-    fn execute_transport(&mut self, now: Timestamp, action: Action) {
+    fn execute_transport_action(&mut self, now: Timestamp, action: Action) {
         let Some(forwarding) = &mut self.forwarding else {
             return;
         };
--- a/crates/gateway/src/dispatch/preconditions.rs
+++ b/crates/gateway/src/dispatch/preconditions.rs
@@ -56,8 +56,8 @@
         })
     }
 
-    /// Moves the attempt's count against the exposure limit to `now`. Returns a violation if the limit does not admit the
-    /// attempt any more.
+    /// Counts the attempt against the exposure limit at `now` instead of at its earlier time. Returns a violation if the limit no
+    /// longer admits the attempt.
     fn recount_exposure(&mut self, now: Timestamp, attempt: &UnsentAttempt) -> Option<Violation> {
         let entry = self.requests.get_mut(attempt.id.request)?;
         let class = entry.class;
--- a/crates/gateway/src/dispatch/request_table.rs
+++ b/crates/gateway/src/dispatch/request_table.rs
@@ -46,9 +46,9 @@
     pub(crate) is_client_retry: bool,
     /// When the dispatcher received the request.
     pub(crate) received_at: Timestamp,
-    /// When the client stops waiting, or earlier if less time is granted.
+    /// When the client stops waiting; earlier if a shutdown or a return from the other site leaves less time.
     pub(crate) deadline: Timestamp,
-    /// When the gateway fails the request if the policy has left it unanswered: one tick after its first deadline.
+    /// When the gateway fails the request if it is still unanswered: one tick after the deadline set on receipt.
     pub(crate) overdue_at: Timestamp,
     /// Whether the request is answered, or abandoned by its client.
     pub(crate) is_answered: bool,
--- a/crates/gateway/src/downstream/connection.rs
+++ b/crates/gateway/src/downstream/connection.rs
@@ -55,7 +55,7 @@
     /// Whether the last request allowed the connection to stay open. `false` before the first request.
     pub(super) keeps_alive: bool,
     /// Start of the idle time: the accept for the first request, later the last flush or the first byte of a request.
-    pub(super) since: Timestamp,
+    pub(super) idle_since: Timestamp,
     /// Upper bound on how long the first request waited in the accept queue. Zero once that request has been read.
     pub(super) queue_time: TimeDelta,
     /// This connection's entry in the list of idle connections. `None` if it is not listed.
@@ -75,7 +75,7 @@
             reader: MessageReader::default(),
             phase: Phase::Reading,
             keeps_alive: false,
-            since: now,
+            idle_since: now,
             queue_time,
             listed_idle: None,
         }
@@ -105,7 +105,7 @@
         };
         Some(Idle {
             kind,
-            since: self.since,
+            since: self.idle_since,
         })
     }
 }
--- a/crates/gateway/src/downstream/idle_eviction.rs
+++ b/crates/gateway/src/downstream/idle_eviction.rs
@@ -144,8 +144,8 @@
         self.update_idle_list(connection.id);
     }
 
-    /// Closes one connection to free its descriptor. Tries never used connections first, then stalled ones, then those that
-    /// have been between requests for at least the protocol's minimum time. Returns whether one was closed.
+    /// Closes one connection to free its descriptor. Tries never-used connections first, then stalled ones, then those that
+    /// have been between requests for at least `MIN_IDLE_TIME`. Returns whether one was closed.
     pub(crate) fn evict_stalled(&mut self, context: &mut Context) -> bool {
         let limits = [
             (IdleKind::NeverUsed, TimeDelta::ZERO),
--- a/crates/gateway/src/downstream/mod.rs
+++ b/crates/gateway/src/downstream/mod.rs
@@ -24,12 +24,12 @@
 
 /// Minimum time for which the protocol lets a connection stay open without a request.
 pub(crate) const MIN_IDLE_TIME: TimeDelta = TimeDelta(2_000_000);
-/// The protocol lets clients use one in this many file descriptors for requests.
+/// File descriptors of the process for each request that the protocol lets clients have under way.
 const DESCRIPTORS_PER_REQUEST: usize = 3;
 
-/// What the gateway reports to readiness checks.
+/// State of the gateway, which decides the response to readiness checks.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Readiness {
+enum GatewayState {
     /// The gateway has no endpoint list yet.
     NotReady,
     Ready,
@@ -100,7 +100,7 @@
     classes: ClassNames,
     idle_timeout: TimeDelta,
     stall_timeout: TimeDelta,
-    readiness: Readiness,
+    state: GatewayState,
 }
 
 impl Downstream {
@@ -115,7 +115,7 @@
             classes: settings.classes,
             idle_timeout: settings.idle_timeout,
             stall_timeout: settings.stall_timeout,
-            readiness: Readiness::NotReady,
+            state: GatewayState::NotReady,
         }
     }
 
@@ -126,12 +126,12 @@
 
     /// Makes readiness checks succeed, unless the gateway is shutting down.
     pub(crate) fn set_ready(&mut self) {
-        self.readiness = self.readiness.max(Readiness::Ready);
+        self.state = self.state.max(GatewayState::Ready);
     }
 
     /// Makes readiness checks fail and closes every connection after its response.
     pub(crate) fn start_shutdown(&mut self) {
-        self.readiness = Readiness::ShuttingDown;
+        self.state = GatewayState::ShuttingDown;
     }
 
     /// Reads the client's connection and returns whether the client still waits for this request. The client may have
--- a/crates/gateway/src/downstream/requests.rs
+++ b/crates/gateway/src/downstream/requests.rs
@@ -1,6 +1,6 @@
 //! Reads requests from client connections, and drops a request when its client disconnects.
 
-use calloop::Readiness as SocketReadiness;
+use calloop::Readiness;
 use harrierdock_event_loop::{ConnectionId, ReadResult};
 use harrierdock_http::{write, ParseError, Progress, RequestHead};
 use harrierdock_types::{RequestId, TimeDelta};
@@ -8,7 +8,7 @@
 use super::connection::{IdleKind, Phase};
 use super::request_parser::{ParsedRequest, RequestAttributes};
 use super::responses::{Field, Response};
-use super::{Downstream, Readiness};
+use super::{Downstream, GatewayState};
 use crate::metrics::Counter;
 use crate::runtime::context::{Context, InternalEvent, ReceivedRequest};
 
@@ -18,7 +18,7 @@
         &mut self,
         context: &mut Context,
         id: ConnectionId,
-        readiness: SocketReadiness,
+        readiness: Readiness,
     ) {
         if readiness.writable {
             self.handle_writable(context, id);
@@ -67,7 +67,7 @@
             ReadResult::Data if client.phase == Phase::Reading => {
                 // The time limit of a request runs from its first byte, so a client that sends byte by byte gains no time.
                 if was_empty && client.keeps_alive {
-                    client.since = context.now();
+                    client.idle_since = context.now();
                 }
                 self.read_requests(context, id);
             }
@@ -148,7 +148,7 @@
                 // Another request with the same id is under way. Refuses this one and leaves the first unaffected.
                 Response::status(409)
             }
-            ParsedRequest::ReadinessCheck if self.readiness == Readiness::Ready => {
+            ParsedRequest::ReadinessCheck if self.state == GatewayState::Ready => {
                 Response::status(200)
             }
             ParsedRequest::ReadinessCheck => Response::status(503),
--- a/crates/gateway/src/downstream/responses.rs
+++ b/crates/gateway/src/downstream/responses.rs
@@ -5,7 +5,7 @@
 use harrierdock_types::{RequestId, TimeDelta};
 
 use super::connection::Phase;
-use super::{Downstream, Readiness};
+use super::{Downstream, GatewayState};
 use crate::metrics::Counter;
 use crate::runtime::context::{Context, ResponseBody};
 
@@ -112,7 +112,7 @@
         let keeps_open = response.is_request_complete
             && client.has_single_request()
             && client.keeps_alive
-            && self.readiness != Readiness::ShuttingDown;
+            && self.state != GatewayState::ShuttingDown;
         client.phase = Phase::Responding { keeps_open };
         let Some(output) = client.connection.output_buffer(context) else {
             return self.close(context, id);
@@ -140,7 +140,7 @@
         let Some(client) = self.connections.get_mut(&id) else {
             return;
         };
-        client.since = context.now();
+        client.idle_since = context.now();
         match client.connection.flush(context) {
             WriteResult::Failed => return self.close(context, id),
             WriteResult::Partial => {
--- a/crates/gateway/src/gossip.rs
+++ b/crates/gateway/src/gossip.rs
@@ -22,7 +22,7 @@
 /// UDP socket for messages to and from peers.
 pub(crate) struct GossipSocket {
     socket: Rc<UdpSocket>,
-    /// Addresses of the peers, indexed by `PeerId`.
+    /// Addresses of all gateways, this one included, indexed by `PeerId`.
     peers: Vec<SocketAddr>,
     /// Address at which a datagram reaches all peers. `None` if the configuration has none.
     broadcast: Option<SocketAddr>,
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -26,7 +26,7 @@
     RequestsFailed => "failed",
     /// Clients that disconnected before they got a response.
     ClientsDisconnected => "client-disconnected",
-    /// Readiness checks, duplicates of requests under way, and requests that are not valid requests for an endpoint.
+    /// Readiness checks, duplicates of requests under way, and requests with an unknown path, method or field value.
     OtherRequests => "other-requests",
     /// Requests that could not be parsed, or that timed out while incomplete.
     MalformedRequests => "malformed",
--- a/crates/gateway/src/runtime/gateway.rs
+++ b/crates/gateway/src/runtime/gateway.rs
@@ -32,7 +32,7 @@
     pub(crate) discovery: Discovery,
     /// Client of the rollout platform.
     pub(crate) rollout_platform: Option<RolloutPlatform>,
-    /// Gossip socket shared by all peers.
+    /// UDP socket for messages to and from all peers.
     pub(crate) gossip: Option<GossipSocket>,
     /// Forwarding between this site and the other site.
     pub(crate) forwarding: Option<Forwarding>,
--- a/crates/gateway/src/runtime/timer.rs
+++ b/crates/gateway/src/runtime/timer.rs
@@ -6,21 +6,21 @@
 /// The purpose of a timer. Timers with the same deadline fire in the order of these variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Timer {
-    /// Alarm set by the policy.
+    /// Timer that the policy requested.
     Policy,
     /// Timeout of an attempt that waits for its connection or its response.
     Attempt(ConnectionId),
     /// Timeout of a vote that waits for its response.
     Vote(ConnectionId),
-    /// Deadline of a request.
+    /// Time at which a request that is still unanswered fails: one tick after the deadline set on receipt.
     RequestDeadline(RequestId),
-    /// Next timer of the transport to the other site.
+    /// Next deadline of the transport to the other site.
     SiteTransport,
-    /// Next timer of forwarding between sites.
+    /// Timer that cross-site forwarding requested.
     MultiSite,
-    /// Next timer of the leases.
+    /// Timer that the lease participant requested.
     Lease,
-    /// Next timer of the rollout controller.
+    /// Timer that the rollout controller requested.
     RolloutController,
     /// Timeout of a rollout command that waits for its response.
     RolloutCommand(ConnectionId),
--- a/crates/gateway/src/upstream/exchange.rs
+++ b/crates/gateway/src/upstream/exchange.rs
@@ -11,8 +11,8 @@
 use crate::runtime::timer::Timer;
 
 impl Upstream {
-    /// Checks whether a pending connect has succeeded. If so, returns a readiness for writing; otherwise returns `readiness`
-    /// unchanged.
+    /// Handles the result of a pending connect. Returns a readiness for writing if it succeeded, and fails the attempt if it
+    /// failed. Returns `readiness` unchanged if no connect was pending.
     pub(crate) fn handle_connected(
         &mut self,
         context: &mut Context,
