--- a/crates/gateway/tests/sockets/start_order.rs
+++ b/crates/gateway/tests/sockets/start_order.rs
@@ -17,12 +17,14 @@
 const GRANTED_MS: u32 = 5_000;
 /// A remaining time that is shorter than a long start.
 const SHORT_MS: u32 = 350;
-/// Number of clients that connect when only a few descriptors are free, and the time in which all are answered. The time is a
-/// fraction of what they need if every four of them wait for the next maintenance (0.5 s).
+/// Number of clients that connect while only `FREE_DESCRIPTORS` are free.
 const CLIENTS: usize = 100;
+/// The time in which all `CLIENTS` are answered: a fraction of what they need if every four of them wait for the next
+/// maintenance (0.5 s).
 const MAX_ANSWER_TIME: Duration = Duration::from_secs(4);
-/// The descriptors that a gateway reserves, and those that clients and endpoints may use.
+/// The descriptors that a gateway reserves.
 const RESERVED_DESCRIPTORS: usize = 24;
+/// The descriptors that clients and endpoints may use.
 const FREE_DESCRIPTORS: usize = 8;
 
 /// Serves a client whose request arrives before it is accepted. Returns the remaining time sent to the endpoint.
@@ -51,7 +53,7 @@
     assert!(sent >= granted - SLACK, "{sent:?} sent");
 }
 
-// The same failure if the accept batch ended because the queued clients used up the descriptors.
+// Guards against deducting waiting time although the queue is empty, because the clients before used up the descriptors.
 #[test]
 fn a_client_that_connects_after_a_descriptor_shortage_keeps_its_full_time() {
     let trace = Trace::default();
@@ -99,7 +101,7 @@
     assert!(took < MAX_ANSWER_TIME, "{took:?}");
 }
 
-// Guards against failing a request because the start took longer than its timeout, although it arrived at the start's end.
+// Guards against failing a request because the start took longer than its timeout, although it arrived at the end of the start.
 #[test]
 fn a_client_that_comes_at_the_end_of_a_long_start_keeps_its_time() {
     let trace = Trace::default();
--- a/crates/gateway/tests/unit/gateway_fixture.rs
+++ b/crates/gateway/tests/unit/gateway_fixture.rs
@@ -30,8 +30,9 @@
 const NOOP_TIMER: Timer = Timer::Attempt(ConnectionId(u64::MAX));
 /// The time for bytes to cross a loopback connection on a busy machine.
 const ARRIVAL_TIME: Duration = Duration::from_millis(5);
-/// Shorter than any timer's delay.
+/// How long before the deadline `run_until_deadline` stops. Shorter than any timer's delay.
 const MARGIN: TimeDelta = TimeDelta::from_millis(1);
+/// The remaining time that the client states in each request.
 const TIME_LEFT: Duration = Duration::from_secs(2);
 
 /// The connection that an attempt is sent on.
