--- a/crates/gateway/src/config/gateway.rs
+++ b/crates/gateway/src/config/gateway.rs
@@ -64,9 +64,9 @@
 #[derive(Clone, Deserialize)]
 #[serde(default, rename = "LimitsTold")]
 pub(crate) struct ProcessLimits {
-    /// Memory limit in megabytes.
+    /// Memory limit in megabytes, which bounds the buffer pool.
     pub(crate) memory_mb: usize,
-    /// Maximum number of open file descriptors.
+    /// Maximum number of open file descriptors, including the reserved ones.
     #[serde(rename = "sockets")]
     pub(crate) descriptors: usize,
 }
--- a/crates/gateway/src/control_plane/discovery.rs
+++ b/crates/gateway/src/control_plane/discovery.rs
@@ -122,7 +122,7 @@
         self.freshness.is_stale(now)
     }
 
-    /// Whether the client has an endpoint list from whose version a watch can continue.
+    /// Whether there is an endpoint list whose version discovery has not refused.
     pub(crate) fn has_list(&self) -> bool {
         self.version.is_some()
     }
--- a/crates/gateway/src/dispatch/dispatcher.rs
+++ b/crates/gateway/src/dispatch/dispatcher.rs
@@ -24,7 +24,7 @@
     pub(crate) names: Names,
     /// The requests that lack an answer or have an open attempt.
     pub(crate) requests: RequestTable,
-    /// The most attempts per request.
+    /// The most attempts per request, including retries and hedged requests.
     pub(crate) max_attempts: usize,
     /// The granularity of the platform's clock.
     pub(crate) tick: TimeDelta,
--- a/crates/gateway/src/dispatch/flow_records.rs
+++ b/crates/gateway/src/dispatch/flow_records.rs
@@ -15,7 +15,7 @@
     pub(super) attempt: usize,
     /// The attempt's endpoint, start and request size.
     pub(super) ended: &'a EndedAttempt,
-    /// The attempt's result.
+    /// The outcome that is reported to the policy.
     pub(super) outcome: AttemptOutcome,
     /// The time from the policy's request for the attempt to its end.
     pub(super) duration: TimeDelta,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Counts a received request.
+    /// Counts a request received from a client or from the other site.
     pub(super) fn record_request_received(&mut self) {
         if let Some(exporter) = &mut self.exporter {
             exporter.count_received_request();
--- a/crates/gateway/src/dispatch/request_table.rs
+++ b/crates/gateway/src/dispatch/request_table.rs
@@ -38,7 +38,7 @@
 
 /// A request that lacks an answer or has an open attempt.
 pub(crate) struct RequestEntry {
-    /// The request class.
+    /// The request class that the client named.
     pub(crate) class: ClassId,
     /// The affinity key, or `None` if the request carries none.
     pub(crate) key: Option<AffinityKey>,
@@ -83,7 +83,7 @@
 
 /// The attributes that are forwarded to the other site with a request's bytes.
 pub(crate) struct ForwardedAttributes {
-    /// The request class.
+    /// The request class, which is sent by its name.
     pub(crate) class: ClassId,
     /// The affinity key, or `None` if the request carries none.
     pub(crate) key: Option<AffinityKey>,
--- a/crates/gateway/src/downstream/request_parser.rs
+++ b/crates/gateway/src/downstream/request_parser.rs
@@ -46,7 +46,7 @@
 pub(super) struct RequestAttributes<'head> {
     /// Request id that the client assigned.
     pub(super) client_request_id: &'head str,
-    /// Request class.
+    /// Request class that the client named.
     pub(super) class: ClassId,
     /// Affinity key, if the request has one.
     pub(super) key: Option<AffinityKey>,
@@ -57,7 +57,7 @@
 }
 
 impl<'head> ParsedRequest<'head> {
-    /// Determines what a request head asks for.
+    /// Classifies a request head by its path and method, and reads the attributes of a request for an endpoint.
     pub(super) fn from_head(
         head: &RequestHead<'head>,
         classes: &ClassNames,
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -58,25 +58,25 @@
     IdleConnectionsClosed => "idle-connections-closed",
     /// Attempts dropped because their precondition no longer held.
     PreconditionViolations => "precondition-violated",
-    /// Endpoint lists received.
+    /// Endpoint lists applied, including a cached list from the configuration.
     EndpointLists => "endpoint-lists",
     /// Lines of discovery and of the rollout platform that were malformed or referred to unknown names.
     LinesRefused => "lines-refused",
     /// Attempts to open a stream, including failed ones.
     StreamsOpened => "streams-opened",
-    /// Rollout updates received.
+    /// Rollout updates from the stream, from responses to votes and from the configuration.
     RolloutUpdates => "rollout-updates",
     /// Rollout updates received after an update with a later state.
     OutdatedRolloutUpdates => "rollout-updates-outdated",
     /// Client complaints about responses, received from the rollout platform.
     Complaints => "complaints",
-    /// Votes cast.
+    /// Votes posted to the rollout platform or passed to the rollout controller.
     Votes => "votes",
     /// Votes that ended without a rollout state in response.
     VotesRefused => "votes-refused",
-    /// Messages sent to peers.
+    /// Datagrams sent to peers; a broadcast counts once.
     GossipSent => "gossip-sent",
-    /// Messages received from peers.
+    /// Valid messages received from peers.
     GossipReceived => "gossip-received",
     /// Messages from unknown addresses, or malformed messages.
     GossipRefused => "gossip-refused",
--- a/crates/gateway/src/runtime/context.rs
+++ b/crates/gateway/src/runtime/context.rs
@@ -66,7 +66,7 @@
     pub(crate) id: RequestId,
     /// Index of the attempt within the request, from 0.
     pub(crate) attempt: usize,
-    /// Success, rejection or failure.
+    /// Outcome to report to the policy.
     pub(crate) outcome: AttemptOutcome,
     /// Response body from the endpoint, if the attempt succeeded.
     pub(crate) response: Option<ResponseBody>,
@@ -89,7 +89,7 @@
     PeerMessage {
         /// Peer that sent the message.
         from: PeerId,
-        /// Encoded message.
+        /// The whole datagram, as received.
         bytes: Vec<u8>,
     },
 }
--- a/crates/gateway/src/runtime/gateway.rs
+++ b/crates/gateway/src/runtime/gateway.rs
@@ -48,7 +48,9 @@
     pub(crate) shutdown: ShutdownState,
     /// File named by `--with`, read again at a reload.
     pub(super) extension_path: Option<PathBuf>,
+    /// File of the platform's configuration, read again at a reload.
     pub(super) config_path: PathBuf,
+    /// Longest wait for the response to a vote, for a rollout platform that a reload adds.
     pub(super) vote_timeout: TimeDelta,
     /// Interval of checks for idle connections and broken streams: the connect timeout, capped so that idle connections are
     /// closed in time.
--- a/crates/gateway/src/runtime/shutdown.rs
+++ b/crates/gateway/src/runtime/shutdown.rs
@@ -16,7 +16,7 @@
     pub(crate) signals_blocked_at: Option<Timestamp>,
     /// Whether the event loop must exit.
     pub(crate) is_complete: bool,
-    /// Longest request timeout of all classes.
+    /// Longest request timeout of all classes; unlimited if there is no class.
     pub(crate) longest_timeout: TimeDelta,
     /// Interval at which the gateway checks whether it can exit.
     pub(crate) check_interval: TimeDelta,
@@ -58,8 +58,8 @@
         self.handle_multi_site_event(now, harrierdock_multi_site::Event::ShutdownStarted);
     }
 
-    /// Completes the shutdown when no client is connected or waiting and every request has its response, or at the latest when
-    /// the platform may kill the process.
+    /// Completes the shutdown once the accept queue is empty, only closing connections remain and every request is answered.
+    /// Completes it in any case when the platform may kill the process.
     pub(super) fn advance_shutdown(&mut self) {
         let Some(schedule) = self.shutdown.schedule else {
             return;
--- a/crates/gateway/src/upstream/pool.rs
+++ b/crates/gateway/src/upstream/pool.rs
@@ -17,13 +17,13 @@
 pub(crate) struct EndpointInstance {
     /// The address that the instance listens on.
     pub(crate) address: SocketAddr,
-    /// The instance's start time from discovery, in Unix milliseconds.
+    /// The instance's start time from discovery, in Unix milliseconds. Zero if unknown.
     pub(crate) started_at_ms: i64,
     /// The build that the instance runs.
     pub(crate) build: BuildId,
 }
 
-/// A running endpoint.
+/// The instance that runs at an endpoint, and its idle connections.
 pub(super) struct EndpointConnections {
     /// The instance that runs at the endpoint.
     pub(super) instance: EndpointInstance,
--- a/crates/gateway/tests/sockets/preconditions.rs
+++ b/crates/gateway/tests/sockets/preconditions.rs
@@ -60,7 +60,7 @@
     client
 }
 
-/// Makes the gateway handle everything that was sent before: each probe answer needs a turn of its event loop.
+/// Makes the gateway handle everything that was sent before: each response to a readiness check takes a turn of its event loop.
 fn run_turns(gateway: &Gateway) {
     (0..3).for_each(|_| drop(gateway.client().request("GET /ready HTTP/1.1\r\n\r\n")));
 }
--- a/crates/gateway/tests/sockets/sticky_versions.rs
+++ b/crates/gateway/tests/sockets/sticky_versions.rs
@@ -1,5 +1,5 @@
-//! Sticky versions when rollout updates are repeated: a reopened platform stream sends again the newest state that it
-//! knows on its side of a network partition.
+//! Sticky versions when rollout updates are repeated. After a reconnect, the platform sends again the newest rollout state that
+//! is known on its side of a network partition.
 
 use crate::support::*;
 
