--- a/crates/fault-injection/src/elimination/attempts.rs
+++ b/crates/fault-injection/src/elimination/attempts.rs
@@ -1,43 +1,43 @@
-//! How an attempt at an endpoint ends.
+//! Draws the result of an attempt at an endpoint.
 
 use harrierdock_types::{Arm, AttemptOutcome, ClassId};
 use nanorand::{Rng, WyRand};
 
 use super::scenario::{BuildFault, EndpointFault, EndpointPlan};
 
-/// Errors where neither the endpoint nor its build is at fault.
+/// Share of errors without a fault of the endpoint or its build.
 const USUAL_ERROR_RATIO: f64 = 0.001;
-/// Slow answers where neither is.
+/// Share of slow responses without a fault of the endpoint or its build.
 const USUAL_SLOW_RATIO: f64 = 0.03;
-/// Slow answers that are also later than the latency objective.
+/// Share of the slow responses that miss the latency objective.
 const LATE_RATIO_OF_SLOW: f64 = 0.4;
 
-/// An attempt to be made.
+/// An attempt whose result is not drawn yet.
 #[derive(Clone, Copy, Debug)]
 pub struct Attempt {
-    /// The endpoint that it goes to.
+    /// The target of the attempt.
     pub endpoint: EndpointPlan,
-    /// The arm that the endpoint runs.
+    /// The arm that the endpoint runs at `at_seconds`.
     pub arm: Arm,
-    /// The class of the request.
+    /// Request class.
     pub class: ClassId,
-    /// When it is made, in seconds from the start of the rollout.
+    /// When the attempt is sent, in seconds from the start of the rollout.
     pub at_seconds: f64,
 }
 
-/// How an attempt has ended.
+/// The result of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptResult {
-    /// Its outcome.
+    /// Success, server error or timeout.
     pub outcome: AttemptOutcome,
-    /// Whether it was answered within the latency objective, and no error.
+    /// Whether the attempt succeeded within the latency objective.
     pub in_time: bool,
-    /// Whether it was answered about as fast as usual.
+    /// Whether the attempt succeeded without a slow response.
     pub fast: bool,
 }
 
 impl Attempt {
-    /// Draws how the attempt ends. Faults of the endpoint and of the build are independent.
+    /// Draws the result. Faults of the endpoint and of the build act independently.
     pub fn draw_result(&self, build_fault: Option<BuildFault>, rng: &mut WyRand) -> AttemptResult {
         let is_paused = self
             .endpoint
@@ -61,8 +61,8 @@
             self.endpoint_slow_ratio(),
             self.build_slow_ratio(build_fault),
         ];
-        let failed = happens(error_ratios, rng);
-        let slow = happens(slow_ratios, rng);
+        let failed = draw_any_cause(error_ratios, rng);
+        let slow = draw_any_cause(slow_ratios, rng);
         let late = slow && rng.generate::<f64>() < LATE_RATIO_OF_SLOW;
         AttemptResult {
             outcome: if failed {
@@ -77,7 +77,7 @@
 
     fn endpoint_error_ratio(&self) -> f64 {
         match self.endpoint.fault {
-            Some(EndpointFault::Errors { ratio, class }) if self.concerns(class) => ratio,
+            Some(EndpointFault::Errors { ratio, class }) if self.is_affected_in(class) => ratio,
             _ => 0.0,
         }
     }
@@ -91,26 +91,26 @@
 
     fn build_error_ratio(&self, fault: Option<BuildFault>) -> f64 {
         match fault {
-            Some(BuildFault::Errors { ratio, class }) if self.concerns(class) => ratio,
+            Some(BuildFault::Errors { ratio, class }) if self.is_affected_in(class) => ratio,
             _ => 0.0,
         }
     }
 
     fn build_slow_ratio(&self, fault: Option<BuildFault>) -> f64 {
         match fault {
-            Some(BuildFault::Slow { ratio, class }) if self.concerns(class) => ratio,
+            Some(BuildFault::Slow { ratio, class }) if self.is_affected_in(class) => ratio,
             _ => 0.0,
         }
     }
 
-    /// Whether a fault of one class or all shows on this attempt.
-    fn concerns(&self, class: Option<ClassId>) -> bool {
+    /// Whether a fault in this class affects the attempt; `None` stands for all classes.
+    fn is_affected_in(&self, class: Option<ClassId>) -> bool {
         class.is_none_or(|class| class == self.class)
     }
 }
 
-/// Draws whether one of several independent causes acts.
-fn happens(cause_ratios: [f64; 3], rng: &mut WyRand) -> bool {
-    let none: f64 = cause_ratios.iter().map(|ratio| 1.0 - ratio).product();
-    rng.generate::<f64>() >= none
+/// Draws whether at least one of several independent causes acts.
+fn draw_any_cause(cause_ratios: [f64; 3], rng: &mut WyRand) -> bool {
+    let no_cause_probability: f64 = cause_ratios.iter().map(|ratio| 1.0 - ratio).product();
+    rng.generate::<f64>() >= no_cause_probability
 }
--- a/crates/fault-injection/src/elimination/group.rs
+++ b/crates/fault-injection/src/elimination/group.rs
@@ -1,4 +1,4 @@
-//! One gossip group: what its gateways send where, and which endpoints they eject.
+//! One gossip group: its gateways select endpoints for requests and eject outliers.
 
 use harrierdock_policy::context::Context;
 use harrierdock_policy::outlier_ejection::EndpointHealth;
@@ -9,12 +9,12 @@
 use super::outcomes::FinishedAttempt;
 use super::scenario::{draw_class, EndpointFault, Scenario};
 
-/// A slow endpoint is chosen with this probability where another would be: odds are by weight.
+/// Probability of keeping a selected slow endpoint. Gateways give slow endpoints a lower weight.
 const SLOW_ENDPOINT_ODDS: f64 = 0.4;
-/// How often another endpoint is looked for in place of an ejected one.
+/// Selections per request, the first one included. The last one stands even if its endpoint is ejected.
 const MAX_SELECTIONS: usize = 8;
 
-/// A gossip group.
+/// The endpoint health that the gateways of a gossip group share.
 #[derive(Debug)]
 pub struct Group {
     health: Vec<EndpointHealth>,
@@ -22,7 +22,7 @@
 }
 
 impl Group {
-    /// A group that has sent nothing yet.
+    /// A group without any recorded outcome.
     pub fn new(endpoints: usize) -> Group {
         Group {
             health: (0..endpoints).map(|_| EndpointHealth::default()).collect(),
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Sends one request.
+    /// Sends one request as a single attempt and records its outcome.
     pub fn send(
         &mut self,
         scenario: &Scenario,
@@ -58,16 +58,16 @@
         }
     }
 
-    /// Any endpoint that is not ejected, slow ones less often. Endpoints of the build under judgement are not ejected
-    /// (departure G in docs/design.md).
+    /// Selects any endpoint that is not ejected, slow endpoints less often. Canary endpoints are never ejected (departure G in
+    /// docs/design.md).
     fn select_endpoint(&self, scenario: &Scenario, at_seconds: f64, rng: &mut WyRand) -> usize {
         let now = timestamp(at_seconds);
         let mut selected = 0;
         for _ in 0..MAX_SELECTIONS {
             selected = rng.generate_range(0..scenario.endpoints.len());
             let plan = &scenario.endpoints[selected];
-            let is_judged = arm_at(plan.changes_at_seconds, at_seconds) == Arm::Canary;
-            let is_ejected = !is_judged && self.health[selected].is_ejected(now);
+            let is_canary = arm_at(plan.changes_at_seconds, at_seconds) == Arm::Canary;
+            let is_ejected = !is_canary && self.health[selected].is_ejected(now);
             let is_slow = matches!(plan.fault, Some(EndpointFault::Slow { .. }));
             if !is_ejected && (!is_slow || rng.generate::<f64>() < SLOW_ENDPOINT_ODDS) {
                 break;
--- a/crates/fault-injection/src/elimination/mod.rs
+++ b/crates/fault-injection/src/elimination/mod.rs
@@ -1,11 +1,11 @@
-//! How often the elimination test is wrong, and how soon it is right: rollouts drawn by a seed, judged by the policy's own test and
-//! count of votes, and by candidates for them. Without sockets, in simulated time. docs/design/elimination-model.md has the
-//! assumptions and the figures.
+//! Measures how often elimination rules eliminate a good canary, and how soon they eliminate a bad one. Rollouts are drawn from a
+//! seed and simulated without sockets. The policy's elimination test and vote count are compared with candidate rules.
+//! docs/design/elimination-model.md has the assumptions and the figures.
 //!
-//! - [`scenario`]: what is drawn; [`attempts`]: how an attempt ends; [`group`]: what a gossip group sends and ejects;
-//!   [`outcomes`]: what an aggregator counts;
-//! - [`rules`]: the policy's and the candidates;
-//! - [`trial`]: one draw to its verdicts; [`report`]: the figures of all.
+//! - [`scenario`] draws faults and build changes; [`attempts`] draws the result of an attempt; [`group`] selects and ejects
+//!   endpoints for a gossip group; [`outcomes`] counts outcomes as an aggregator does;
+//! - [`rules`]: the policy's rule and the candidates;
+//! - [`trial`] simulates one draw through all stages; [`report`] summarizes all draws.
 
 #![warn(missing_docs, unreachable_pub)]
 
@@ -28,46 +28,46 @@
 use scenario::{CanaryBuild, Fleet, Scenario, STAGE_SECONDS};
 use trial::StageVerdicts;
 
-/// The sizes of fleet that are played, in gateways.
-pub const FLEETS: [usize; 3] = [30, 300, 900];
-/// The shares of bad endpoints that are played.
+/// Gateways of each simulated fleet.
+pub const FLEET_SIZES: [usize; 3] = [30, 300, 900];
+/// Shares of bad endpoints that are simulated for each fleet size.
 pub const BAD_ENDPOINT_RATIOS: [f64; 4] = [0.0, 0.05, 0.125, 0.3];
-/// Threads at the most.
 const MAX_THREADS: usize = 3;
-/// Spreads seeds and numbers of draws over the generator's states.
+/// Spreads consecutive seeds and draw numbers over the states of the random number generator.
 const SEED_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// What is played.
+/// Which draws are simulated.
 #[derive(Clone, Debug)]
 pub struct ModelSettings {
-    /// The seed.
+    /// Seed from which all draws follow.
     pub seed: u64,
-    /// Draws of good builds and as many of bad ones, for each size of fleet and share of bad endpoints.
+    /// Draws of good builds, and the same number of bad builds, for each fleet size and share of bad endpoints.
     pub draws: NonZeroUsize,
     /// Gateways of each fleet.
-    pub fleets: Vec<usize>,
-    /// Shares of bad endpoints.
+    pub fleet_sizes: Vec<usize>,
+    /// Shares of bad endpoints, from 0 to 1.
     pub bad_endpoint_ratios: Vec<f64>,
 }
 
 impl ModelSettings {
-    /// All sizes of fleet and shares of bad endpoints.
+    /// Settings with all [`FLEET_SIZES`] and [`BAD_ENDPOINT_RATIOS`].
     pub fn all_rows(seed: u64, draws: NonZeroUsize) -> ModelSettings {
         ModelSettings {
             seed,
             draws,
-            fleets: FLEETS.to_vec(),
+            fleet_sizes: FLEET_SIZES.to_vec(),
             bad_endpoint_ratios: BAD_ENDPOINT_RATIOS.to_vec(),
         }
     }
 
-    /// How many fleets with their share of bad endpoints are played.
+    /// Number of combinations of a fleet size and a share of bad endpoints.
     pub fn steps(&self) -> usize {
-        self.fleets.len() * self.bad_endpoint_ratios.len()
+        self.fleet_sizes.len() * self.bad_endpoint_ratios.len()
     }
 }
 
-/// Plays all draws by all rules, the first of which the others are compared to. `progress` is called after each step.
+/// Simulates all draws with all rules. The report compares the other rules with the first one. `progress` is called after each
+/// of [`ModelSettings::steps`].
 pub fn play(
     settings: &ModelSettings,
     rules: &[Box<dyn EliminationRule>],
@@ -75,7 +75,7 @@
 ) -> Report {
     let names: Vec<&'static str> = rules.iter().map(|rule| rule.name()).collect();
     let mut rows = Vec::new();
-    for gateways in &settings.fleets {
+    for gateways in &settings.fleet_sizes {
         for bad_endpoint_ratio in &settings.bad_endpoint_ratios {
             let setup = Setup {
                 settings,
@@ -99,7 +99,7 @@
     }
 }
 
-/// One size of fleet and share of bad endpoints.
+/// One combination of a fleet size and a share of bad endpoints.
 struct Setup<'a> {
     settings: &'a ModelSettings,
     rules: &'a [Box<dyn EliminationRule>],
@@ -119,12 +119,12 @@
         }
     }
 
-    /// Plays the draws on a few threads. Each has its own seed, so that their order does not matter.
+    /// Simulates the draws on several threads. Each draw has its own seed, so the result does not depend on their order.
     fn play_draws(&self, build: CanaryBuild) -> Vec<Vec<StageVerdicts>> {
         let draws = self.settings.draws.get();
         let threads = thread::available_parallelism().map_or(1, NonZeroUsize::get);
         let threads = threads.clamp(1, MAX_THREADS);
-        let play_part = |first: usize| {
+        let play_every_nth = |first: usize| {
             (first..draws)
                 .step_by(threads)
                 .map(|draw| self.play_draw(draw, build))
@@ -132,7 +132,7 @@
         };
         thread::scope(|scope| {
             let parts: Vec<_> = (0..threads)
-                .map(|first| scope.spawn(move || play_part(first)))
+                .map(|first| scope.spawn(move || play_every_nth(first)))
                 .collect();
             parts
                 .into_iter()
@@ -148,7 +148,7 @@
             .wrapping_mul(SEED_MULTIPLIER)
             .wrapping_add(draw as u64);
         let mut rng = WyRand::new_seed(seed.wrapping_mul(SEED_MULTIPLIER));
-        // The first values of near seeds are alike.
+        // The first values drawn from close seeds are similar.
         let mut rng = WyRand::new_seed(rng.generate::<u64>());
         let scenario = Scenario::draw(self.fleet, self.bad_endpoint_ratio, build, &mut rng);
         trial::play(&scenario, self.rules, &mut rng)
--- a/crates/fault-injection/src/elimination/outcomes.rs
+++ b/crates/fault-injection/src/elimination/outcomes.rs
@@ -1,4 +1,4 @@
-//! What an aggregator counts of attempts, by metric, arm and endpoint.
+//! Counts the outcomes of attempts as an aggregator does, by metric, arm and endpoint.
 
 use harrierdock_policy::elimination_test::{EliminationTest, Metric, PayoffSource};
 use harrierdock_policy::payoff::Payoff;
@@ -7,23 +7,24 @@
 use super::attempts::{Attempt, AttemptResult};
 use super::scenario::CLASSES;
 
-/// The metrics that compare arms, but for each class's.
+/// The metrics that cover all request classes. [`Metric::ClassSuccess`] adds one metric for each class.
 const COMMON_METRICS: [Metric; 3] = [Metric::InTime, Metric::Speed, Metric::Success];
 const METRICS: usize = COMMON_METRICS.len() + CLASSES;
-/// An endpoint is warm this long after it has changed its build.
+/// An endpoint is warming up for this long after it has changed its build.
 const SLOW_START_SECONDS: f64 = 1.0;
-/// An attempt that has ended.
+
+/// An attempt with its result.
 #[derive(Clone, Copy, Debug)]
 pub struct FinishedAttempt {
-    /// The endpoint's number.
+    /// Index of the endpoint.
     pub endpoint: usize,
-    /// The attempt.
+    /// The attempt that was sent.
     pub attempt: Attempt,
-    /// How it has ended.
+    /// The drawn result.
     pub result: AttemptResult,
 }
 
-/// What an aggregator has counted, by metric, arm and endpoint.
+/// The payoffs that an aggregator has counted, by metric, arm and endpoint.
 #[derive(Clone, Debug)]
 pub struct GroupOutcomes {
     payoffs: [[Vec<Payoff>; 2]; METRICS],
@@ -39,7 +40,7 @@
         }
     }
 
-    /// What the endpoints of an arm were paid, without those that have no outcomes.
+    /// The payoffs of an arm's endpoints. Endpoints without outcomes are left out.
     pub fn payoffs(&self, metric: Metric, arm: Arm) -> Vec<Payoff> {
         let payoffs = &self.payoffs[metric_index(metric)][arm_index(arm)];
         payoffs
@@ -49,12 +50,12 @@
             .collect()
     }
 
-    /// Drops what does not stay with a build into its next stage.
+    /// Clears the payoffs that the policy does not carry into the next stage.
     pub fn change_stage(&mut self) {
         self.clear(Metric::InTime);
     }
 
-    /// Counts an attempt by the metrics that the policy counts it by; answer times only while both arms run.
+    /// Counts an attempt in the metrics that the policy uses for it. Response times count only if `is_paired`: while both arms run.
     pub fn count(&mut self, finished: &FinishedAttempt, is_paired: bool) {
         let FinishedAttempt {
             endpoint,
@@ -91,7 +92,7 @@
         }
     }
 
-    /// The policy's test with these outcomes.
+    /// The policy's elimination test, with these outcomes recorded.
     pub fn elimination_test(&self) -> EliminationTest {
         let mut test = EliminationTest::default();
         for (index, by_arm) in self.payoffs.iter().enumerate() {
--- a/crates/fault-injection/src/elimination/report.rs
+++ b/crates/fault-injection/src/elimination/report.rs
@@ -1,4 +1,4 @@
-//! What was measured: by size of the fleet, number of bad endpoints and stage, for each rule.
+//! The measured figures of each rule, by fleet size, number of bad endpoints and stage.
 
 use std::fmt::Write;
 
@@ -8,76 +8,76 @@
 use super::scenario::STAGE_RATIOS;
 use super::trial::StageVerdicts;
 
-/// How much later than the policy's a rule's median may be.
+/// A rule is late if its median exceeds the policy's median by more than this factor.
 const MAX_MEDIAN_FACTOR: f64 = 1.1;
 const MEDIAN: f64 = 0.5;
 const LATE_QUANTILE: f64 = 0.95;
 
-/// What one rule did in the draws of one row.
+/// The figures of one rule in one row.
 #[derive(Clone, Debug, Serialize)]
 pub struct RuleFigures {
-    /// The rule.
+    /// Name of the rule.
     pub rule: &'static str,
     /// The share of good builds that were eliminated.
     pub good_eliminated_ratio: f64,
-    /// The share of bad builds that were.
+    /// The share of bad builds that were eliminated.
     pub bad_eliminated_ratio: f64,
-    /// When half of the bad builds were; `None` if fewer were in the stage.
+    /// When half of the bad builds were eliminated, from the stage's start; `None` if fewer were eliminated in the stage.
     pub median_seconds: Option<f64>,
-    /// When 95% of them were.
+    /// When 95% of the bad builds were eliminated, from the stage's start; `None` if fewer were eliminated.
     pub late_seconds: Option<f64>,
 }
 
-/// One size of fleet, number of bad endpoints and stage.
+/// The figures for one fleet size, number of bad endpoints and stage.
 #[derive(Clone, Debug, Serialize)]
 pub struct Row {
-    /// Gateways of the fleet.
+    /// Fleet size.
     pub gateways: usize,
-    /// Bad endpoints over all.
+    /// Endpoints with a fault.
     pub bad_endpoints: usize,
-    /// All endpoints.
+    /// All endpoints, good and bad.
     pub endpoints: usize,
-    /// The share of endpoints on the canary.
+    /// The share of endpoints that run the canary in this stage.
     pub stage_ratio: f64,
-    /// Each rule's figures, the policy's first.
+    /// The figures of each rule; the policy's rule is the first.
     pub rules: Vec<RuleFigures>,
 }
 
-/// In how many rows a rule misses the goal.
+/// The number of rows in which a rule misses the goals.
 #[derive(Clone, Debug, Serialize)]
 pub struct RuleSummary {
-    /// The rule.
+    /// Name of the rule.
     pub rule: &'static str,
-    /// Rows with more than δ of the good builds eliminated.
+    /// Rows in which more than δ of the good builds were eliminated.
     pub rows_over_delta: usize,
-    /// The largest share of good builds eliminated in a row.
+    /// The largest share of good builds eliminated in any row.
     pub most_good_eliminated_ratio: f64,
-    /// Rows whose median is more than a tenth later than the policy's.
+    /// Rows in which the rule's median is more than 10% above the policy's.
     pub rows_late: usize,
-    /// Rows in which it misses either.
+    /// Rows that `rows_over_delta` or `rows_late` counts.
     pub rows_missed: usize,
-    /// Bad builds eliminated, over all rows.
+    /// Mean over all rows of the share of bad builds eliminated.
     pub bad_eliminated_ratio: f64,
 }
 
-/// All rows.
+/// The printed report.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
-    /// The seed.
+    /// Seed from which all draws follow.
     pub seed: u64,
-    /// Draws of good builds and as many of bad ones in each row.
+    /// Draws of good builds, and the same number of bad builds, in each row.
     pub draws: usize,
-    /// The share of good builds that may be eliminated.
+    /// δ, the largest allowed share of eliminated good builds.
     pub delta: f64,
-    /// How long a stage lasts.
+    /// Duration of a stage.
     pub stage_seconds: f64,
-    /// Each rule over all rows.
+    /// The summary of each rule over all rows.
     pub summaries: Vec<RuleSummary>,
-    /// What was measured.
+    /// The figures by fleet size, number of bad endpoints and stage.
     pub rows: Vec<Row>,
 }
 
-/// The draws of one size of fleet and number of bad endpoints, by draw and rule.
+/// The verdicts for one fleet size and number of bad endpoints, indexed by draw and rule.
 #[derive(Debug)]
 pub(super) struct Draws {
     pub(super) gateways: usize,
@@ -88,7 +88,7 @@
 }
 
 impl Draws {
-    /// A row for each stage.
+    /// One row for each stage.
     pub(super) fn rows(&self, rules: &[&'static str]) -> Vec<Row> {
         let row = |(stage, ratio): (usize, &f64)| Row {
             gateways: self.gateways,
@@ -117,7 +117,7 @@
     }
 }
 
-/// When the draws in which a rule eliminates were, in order.
+/// The times at which a rule eliminated the canary in a stage, sorted.
 fn elimination_times(draws: &[Vec<StageVerdicts>], rule: usize, stage: usize) -> Vec<f64> {
     let mut times: Vec<f64> = draws
         .iter()
@@ -127,7 +127,7 @@
     times
 }
 
-/// The time by which a share of all draws has ended; those without a time have not.
+/// The time by which the canary is eliminated in a share of all draws; `None` if it is eliminated in fewer.
 fn quantile(sorted_times: &[f64], draws: usize, share: f64) -> Option<f64> {
     let rank = (share * draws as f64).ceil() as usize;
     sorted_times.get(rank.max(1) - 1).copied()
@@ -137,7 +137,7 @@
     part as f64 / whole.max(1) as f64
 }
 
-/// Each rule over all rows.
+/// Summarizes each rule over all rows.
 pub(super) fn summarize(rows: &[Row], rules: &[&'static str]) -> Vec<RuleSummary> {
     rules
         .iter()
@@ -148,7 +148,7 @@
 
 fn summarize_rule(rows: &[Row], rule: &'static str, index: usize) -> RuleSummary {
     let is_over_delta = |row: &&Row| row.rules[index].good_eliminated_ratio > DELTA;
-    let is_late = |row: &&Row| is_later(&row.rules[index], &row.rules[0]);
+    let is_late = |row: &&Row| exceeds_policy_median(&row.rules[index], &row.rules[0]);
     let bad_eliminated: f64 = rows
         .iter()
         .map(|row| row.rules[index].bad_eliminated_ratio)
@@ -169,8 +169,9 @@
     }
 }
 
-/// Whether a rule's median is too much later than the policy's. Where the policy finds fewer than half there is none to keep to.
-fn is_later(figures: &RuleFigures, policy: &RuleFigures) -> bool {
+/// Whether a rule's median exceeds [`MAX_MEDIAN_FACTOR`] times the policy's. A policy that eliminates fewer than half of the bad
+/// builds has no median to compare with.
+fn exceeds_policy_median(figures: &RuleFigures, policy: &RuleFigures) -> bool {
     match (figures.median_seconds, policy.median_seconds) {
         (_, None) => false,
         (None, Some(_)) => true,
@@ -179,7 +180,7 @@
 }
 
 impl Report {
-    /// The report as tables in text.
+    /// Formats the report as text tables.
     pub fn table(&self) -> String {
         let mut text = String::from(
             "rule            over δ  most good  late  missed  bad found   (rows, share, rows, rows, share)\n",
--- a/crates/fault-injection/src/elimination/rules/endpoint_rules.rs
+++ b/crates/fault-injection/src/elimination/rules/endpoint_rules.rs
@@ -1,17 +1,18 @@
-//! Candidates that take endpoints, and not their outcomes, as independent draws of an arm. None votes with more than the policy.
+//! Candidate rules that treat the endpoints of an arm as independent draws, instead of their outcomes. None gives a vote more
+//! weight than the policy does.
 
 use harrierdock_policy::payoff::{Payoff, DELTA};
 
 use super::statistics::{binomial_tail, combinations, student_tail, vote_error, vote_weight};
 use super::{Comparison, EliminationRule};
 
-/// Outcomes that an endpoint must have to be one of the sign test's.
+/// Endpoints with fewer outcomes are left out of the sign test.
 const MIN_ENDPOINT_OUTCOMES: f64 = 5.0;
-/// One endpoint in this many is left out by the symmetric trim.
+/// The symmetric trim leaves out one of this many endpoints.
 const ENDPOINTS_PER_TRIMMED: usize = 4;
 
 impl Comparison<'_> {
-    /// The weight that a probability of error holds at, with the policy's allowance for testing again and again.
+    /// The weight for a probability of error, with the policy's allowance for repeated tests.
     fn vote_weight(&self, error_probability: f64) -> usize {
         let outcomes = Payoff::total(self.canary)
             .count
@@ -20,7 +21,7 @@
     }
 }
 
-/// Endpoints as clusters: the ratio estimator's standard error over the endpoints of each arm, and Student's t.
+/// Treats endpoints as clusters: Student's t test with the ratio estimator's standard error over the endpoints of each arm.
 #[derive(Clone, Copy, Debug)]
 pub struct ClusterRadius;
 
@@ -46,7 +47,7 @@
     }
 }
 
-/// The variance of an arm's mean, where the outcomes of one endpoint depend on each other.
+/// The variance of an arm's mean if the outcomes of one endpoint are correlated.
 fn cluster_variance(endpoints: &[Payoff]) -> f64 {
     let total = Payoff::total(endpoints);
     let count = endpoints.len() as f64;
@@ -57,7 +58,7 @@
     residuals * count / (count - 1.0) / total.count.powi(2)
 }
 
-/// The elimination has to hold without the worst quarter of each arm's endpoints.
+/// Runs the policy's test without the worst quarter of each arm's endpoints.
 #[derive(Clone, Copy, Debug)]
 pub struct SymmetricTrim;
 
@@ -78,8 +79,8 @@
     }
 }
 
-/// The elimination has to hold without as many of the canary's worst endpoints as may be bad, by the share of the baseline's
-/// that the policy sets aside.
+/// Runs the policy's test without the canary's worst endpoints. The number left out is how many are likely bad, given the share
+/// of baseline endpoints that the policy sets aside.
 #[derive(Clone, Copy, Debug)]
 pub struct MatchedOutliers;
 
@@ -91,7 +92,7 @@
     fn weight(&self, comparison: &Comparison<'_>) -> usize {
         let evidence = comparison.evidence;
         let set_aside = evidence.baseline_set_aside.len() as f64;
-        // The rule of succession: the share is not known to be 0 where none stands out.
+        // The rule of succession: the share can be above 0 even if no endpoint is set aside.
         let bad_ratio = (set_aside + 1.0) / (comparison.baseline.len() as f64 + 2.0);
         let canary_endpoints = comparison.canary.len();
         let likely_bad = (0..=canary_endpoints)
@@ -104,10 +105,10 @@
     }
 }
 
-/// The error that a vote holds at is at most the sum of two: that more of the canary's endpoints are bad than are left out, and
-/// that the test errs on the others. As many are left out as make the sum least. How likely how many are bad follows from how many
-/// of the baseline's the policy sets aside, as an endpoint is bad whatever its build: the beta-binomial distribution, from a
-/// uniform prior.
+/// Bounds a vote's probability of error by a sum of two probabilities: that more of the canary's endpoints are bad than are left
+/// out, and that the test errs on the remaining endpoints. The number left out minimizes the sum. An endpoint is bad whatever its
+/// build, so the number of bad canary endpoints is estimated from the baseline endpoints that the policy sets aside: a
+/// beta-binomial distribution with a uniform prior.
 #[derive(Clone, Copy, Debug)]
 pub struct OutlierBound;
 
@@ -119,30 +120,30 @@
     fn weight(&self, comparison: &Comparison<'_>) -> usize {
         let evidence = comparison.evidence;
         let endpoints = comparison.canary.len();
-        let more_bad = tail_after_each(&beta_binomial(
+        let more_bad_probabilities = tail_after_each(&beta_binomial(
             endpoints,
             evidence.baseline_set_aside.len(),
             comparison.baseline.len(),
         ));
         let tolerance = evidence.metric.tolerance();
         let sorted = worst_first(comparison.canary);
-        let mut others = Payoff::total(comparison.canary);
-        let weight_without_more = |(left_out, worst): (usize, &Payoff)| {
-            let weight = others.elimination_weight(&evidence.baseline, tolerance);
-            others = others.plus_scaled(worst, -1.0);
-            (weight > 0).then(|| vote_weight(more_bad[left_out] + vote_error(weight)))
+        let mut remaining = Payoff::total(comparison.canary);
+        let weight_without_worst = |(left_out, worst): (usize, &Payoff)| {
+            let weight = remaining.elimination_weight(&evidence.baseline, tolerance);
+            remaining = remaining.plus_scaled(worst, -1.0);
+            (weight > 0).then(|| vote_weight(more_bad_probabilities[left_out] + vote_error(weight)))
         };
         sorted
             .into_iter()
             .enumerate()
-            .map_while(weight_without_more)
+            .map_while(weight_without_worst)
             .max()
             .unwrap_or(0)
             .min(comparison.policy_weight())
     }
 }
 
-/// The probabilities that 0, 1, ... of `endpoints` are bad, where `bad` of `known` others are.
+/// The probabilities that 0, 1, ... of `endpoints` are bad if `bad` of `known` other endpoints are bad.
 fn beta_binomial(endpoints: usize, bad: usize, known: usize) -> Vec<f64> {
     let good = known.saturating_sub(bad);
     let none_is_bad: f64 = (0..endpoints)
@@ -157,35 +158,35 @@
     probabilities
 }
 
-/// For each number, the probability of more.
+/// For each index, the sum of the probabilities at higher indexes.
 fn tail_after_each(probabilities: &[f64]) -> Vec<f64> {
     let mut tail = 0.0;
     let mut tails: Vec<f64> = probabilities
         .iter()
         .rev()
         .map(|probability| {
-            let after = tail;
+            let tail_after = tail;
             tail += probability;
-            after
+            tail_after
         })
         .collect();
     tails.reverse();
     tails
 }
 
-/// What an arm was paid without the endpoints that lost most.
+/// The total payoff of an arm without the `left_out` endpoints with the largest losses.
 fn without_worst(endpoints: &[Payoff], left_out: usize) -> Payoff {
     Payoff::total(worst_first(endpoints).into_iter().skip(left_out))
 }
 
-/// Endpoints from the one that lost most on.
+/// Sorts endpoints by loss, largest first.
 fn worst_first(endpoints: &[Payoff]) -> Vec<&Payoff> {
     let mut sorted: Vec<&Payoff> = endpoints.iter().collect();
     sorted.sort_by(|a, b| b.loss().total_cmp(&a.loss()));
     sorted
 }
 
-/// The sign test: how many of the canary's endpoints are below the median of the baseline's.
+/// The sign test: counts the canary's endpoints with a mean below the median of the baseline's endpoints.
 #[derive(Clone, Copy, Debug)]
 pub struct SignTest;
 
@@ -195,8 +196,8 @@
     }
 
     fn weight(&self, comparison: &Comparison<'_>) -> usize {
-        let mut baseline = known_means(comparison.baseline);
-        let canary = known_means(comparison.canary);
+        let mut baseline = means_with_enough_outcomes(comparison.baseline);
+        let canary = means_with_enough_outcomes(comparison.canary);
         baseline.sort_by(f64::total_cmp);
         let Some(median) = baseline.get(baseline.len() / 2) else {
             return 0;
@@ -209,8 +210,8 @@
     }
 }
 
-/// The means of the endpoints that have enough outcomes.
-fn known_means(endpoints: &[Payoff]) -> Vec<f64> {
+/// The means of the endpoints with at least [`MIN_ENDPOINT_OUTCOMES`].
+fn means_with_enough_outcomes(endpoints: &[Payoff]) -> Vec<f64> {
     endpoints
         .iter()
         .filter(|payoff| payoff.count >= MIN_ENDPOINT_OUTCOMES)
@@ -241,7 +242,7 @@
     }
 }
 
-/// The probability of ranks of `low` as far below those of `high` where both are drawn alike.
+/// The probability that ranks of `low` are at least this far below those of `high` if both have the same distribution.
 fn rank_sum_error(low: &[f64], high: &[f64]) -> f64 {
     let total = low.len() + high.len();
     if low.is_empty() || high.is_empty() || total < 3 {
@@ -259,13 +260,13 @@
         return 1.0;
     }
     let z_squared = gap * gap / (variance * per_rank);
-    let left = (total as f64 - 1.0 - z_squared).max(f64::EPSILON);
-    let t = (z_squared * (total - 2) as f64 / left).sqrt();
-    // No order of the endpoints is less likely than one of all.
+    let remainder = (total as f64 - 1.0 - z_squared).max(f64::EPSILON);
+    let t = (z_squared * (total - 2) as f64 / remainder).sqrt();
+    // Each assignment of ranks to the two arms is equally likely, so one of them bounds the probability from below.
     student_tail(t, total - 2).max(1.0 / combinations(total, low.len()))
 }
 
-/// The rank of each value, from the lowest; equal ones share the mean of theirs.
+/// The rank of each value, the lowest first. Equal values get the mean of their ranks.
 fn midranks(values: &[f64]) -> Vec<f64> {
     let mut sorted = values.to_vec();
     sorted.sort_by(f64::total_cmp);
--- a/crates/fault-injection/src/elimination/rules/mod.rs
+++ b/crates/fault-injection/src/elimination/rules/mod.rs
@@ -1,5 +1,5 @@
-//! The rules that are compared: today's, and candidates. A rule says how much a group votes against the canary by one metric, and
-//! whether the votes of all groups eliminate it.
+//! The elimination rules that are compared: the policy's rule and the candidates. A rule computes the weight of a group's vote
+//! against the canary by one metric. It also decides whether the votes of all groups eliminate the canary.
 
 mod endpoint_rules;
 mod shared_votes;
@@ -18,48 +18,48 @@
 
 use super::scenario::Fleet;
 
-/// What a group knows of the two arms by one metric.
+/// The outcomes of both arms that a group has counted for one metric.
 #[derive(Debug)]
 pub struct Comparison<'a> {
-    /// What the policy's test rests on.
+    /// The evidence that the policy's test uses.
     pub evidence: &'a EliminationEvidence,
-    /// What each of the canary's endpoints was paid.
+    /// Payoff of each endpoint on the canary.
     pub canary: &'a [Payoff],
-    /// What each of the baseline's was.
+    /// Payoff of each endpoint on the baseline.
     pub baseline: &'a [Payoff],
 }
 
 impl Comparison<'_> {
-    /// The weight that the policy votes with against the canary.
+    /// The weight of the policy's vote against the canary.
     pub fn policy_weight(&self) -> usize {
         self.evidence.weight(Arm::Canary)
     }
 }
 
-/// Which aggregator a gateway reports an outcome to.
+/// The aggregator to which a gateway reports an outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportTarget {
-    /// That of the gateway's group: all groups meet the same endpoints.
+    /// The aggregator of the gateway's group. Aggregators of different groups count outcomes of the same endpoints.
     OwnGroup,
-    /// That of the endpoint: no two aggregators count outcomes of the same endpoint.
+    /// The aggregator of the endpoint. No two aggregators count outcomes of the same endpoint.
     EndpointsGroup,
 }
 
-/// A rule by which groups vote against the canary, and votes count.
+/// How groups vote against the canary, and how their votes are counted.
 pub trait EliminationRule: Sync {
-    /// What the report calls it.
+    /// Name of the rule in the report.
     fn name(&self) -> &'static str;
 
-    /// Which aggregator counts an outcome.
+    /// The aggregator that counts an outcome.
     fn report_target(&self) -> ReportTarget {
         ReportTarget::OwnGroup
     }
 
-    /// The weight of a group's vote against the canary by one metric; 0 is no vote.
+    /// The weight of a group's vote against the canary by one metric; 0 means no vote.
     fn weight(&self, comparison: &Comparison<'_>) -> usize;
 
-    /// Whether the highest weights that each group has voted with in this stage eliminate the canary. By default the policy
-    /// counts them.
+    /// Whether the votes eliminate the canary. `weights` holds the highest weight of each group's votes in this stage. By default
+    /// the votes are counted as the policy counts them.
     fn eliminates(&self, fleet: Fleet, weights: &[usize]) -> bool {
         let context = fleet_context(fleet);
         let mut votes = EliminationVotes::default();
@@ -77,7 +77,7 @@
     context
 }
 
-/// The policy as it is.
+/// The rule that the policy implements.
 #[derive(Clone, Copy, Debug)]
 pub struct PolicyRule;
 
@@ -91,13 +91,13 @@
     }
 }
 
-/// A rule whose aggregators each count the outcomes of their part of the endpoints, so that their votes are independent where
-/// endpoints are.
+/// Applies a rule with [`ReportTarget::EndpointsGroup`]: each aggregator counts the outcomes of its own part of the endpoints.
+/// The votes are as independent as the endpoints.
 #[derive(Clone, Copy, Debug)]
 pub struct ByEndpoint<R> {
-    /// What the report calls it.
+    /// Name of the rule in the report.
     pub name: &'static str,
-    /// How aggregators vote.
+    /// The rule by which aggregators vote.
     pub rule: R,
 }
 
--- a/crates/fault-injection/src/elimination/rules/shared_votes.rs
+++ b/crates/fault-injection/src/elimination/rules/shared_votes.rs
@@ -1,22 +1,22 @@
-//! Votes that count less the more the groups share endpoints.
+//! Counts votes for less the more endpoints the groups share.
 
 use harrierdock_policy::payoff::{DELTA, ETA};
 
 use super::{Comparison, EliminationRule};
 use crate::elimination::scenario::Fleet;
 
-/// How many endpoints of an arm a gateway keeps to.
+/// Endpoints of an arm to which one gateway sends requests.
 const ENDPOINTS_PER_GATEWAY: f64 = 20.0;
-/// One group makes up half of the weight at the most where its outcomes are its own.
+/// Largest share of the needed weight that one group can contribute if groups share no endpoints.
 const LARGEST_SHARE_OF_INDEPENDENT_VOTE: f64 = 0.5;
 
-/// A rule whose votes need as much more weight together as they depend on each other: the design effect of `voters` votes with
-/// a correlation of `sharing` is `1 + (voters - 1) * sharing`.
+/// Applies a rule, and raises the total weight that its votes need by the design effect of correlated votes. `voters` votes with
+/// a correlation of `sharing` have a design effect of `1 + (voters - 1) * sharing`.
 #[derive(Clone, Copy, Debug)]
 pub struct SharedVotes<R> {
-    /// What the report calls it.
+    /// Name of the rule in the report.
     pub name: &'static str,
-    /// How groups vote.
+    /// The rule by which groups vote.
     pub rule: R,
 }
 
@@ -34,18 +34,21 @@
         let voters = (fleet.groups() / 2).max(1);
         let needed = (DELTA.ln() / ETA.ln()).floor();
         let needed_together = needed * (1.0 + (voters - 1) as f64 * sharing);
-        // A vote is worth what it holds at, up to δ where groups see the same endpoints.
+        // A vote counts with its weight, capped at the weight for δ if all groups share the same endpoints.
         let own_share = LARGEST_SHARE_OF_INDEPENDENT_VOTE;
         let largest = needed * (own_share + (1.0 - own_share) * sharing);
-        let held = weights.iter().filter(|weight| **weight > 0);
-        let total: f64 = held.clone().map(|weight| largest.min(*weight as f64)).sum();
-        held.count() >= voters && total >= needed_together
+        let votes = weights.iter().filter(|weight| **weight > 0);
+        let total: f64 = votes
+            .clone()
+            .map(|weight| largest.min(*weight as f64))
+            .sum();
+        votes.count() >= voters && total >= needed_together
     }
 }
 
-/// The share of a group's endpoints that another group meets too.
+/// The share of a group's endpoints to which another group also sends requests.
 fn endpoint_sharing(fleet: Fleet) -> f64 {
     let endpoints = fleet.endpoints() as f64;
-    let met_by_one = (ENDPOINTS_PER_GATEWAY / endpoints).min(1.0);
-    1.0 - (1.0 - met_by_one).powf(fleet.gateways_per_group())
+    let share_of_one_gateway = (ENDPOINTS_PER_GATEWAY / endpoints).min(1.0);
+    1.0 - (1.0 - share_of_one_gateway).powf(fleet.gateways_per_group())
 }
--- a/crates/fault-injection/src/elimination/rules/statistics.rs
+++ b/crates/fault-injection/src/elimination/rules/statistics.rs
@@ -1,22 +1,22 @@
-//! Tail probabilities, and the weight of a vote that holds at one.
+//! Tail probabilities, and their conversion to weights of votes.
 
 use harrierdock_policy::payoff::ETA;
 
-/// The least probability that is told apart from none.
-const LEAST_PROBABILITY: f64 = 1e-12;
+/// Smaller probabilities of error are rounded up to this one.
+const MIN_PROBABILITY: f64 = 1e-12;
 
-/// How many factors of η a probability of error holds at.
+/// The largest weight whose [`vote_error`] is at least this probability of error.
 pub(super) fn vote_weight(error_probability: f64) -> usize {
-    let probability = error_probability.clamp(LEAST_PROBABILITY, 1.0);
+    let probability = error_probability.clamp(MIN_PROBABILITY, 1.0);
     (probability.ln() / ETA.ln()) as usize
 }
 
-/// The probability of error that a vote of this weight holds at.
+/// The probability of error that a vote of this weight claims: η to the power of the weight.
 pub(super) fn vote_error(weight: usize) -> f64 {
     ETA.powf(weight as f64)
 }
 
-/// The probability that Student's t with this many degrees of freedom is above `t` (Abramowitz and Stegun, 26.7.3 and 26.7.4).
+/// The probability that Student's t with `degrees` degrees of freedom is above `t` (Abramowitz and Stegun, 26.7.3 and 26.7.4).
 pub(super) fn student_tail(t: f64, degrees: usize) -> f64 {
     if t <= 0.0 || degrees == 0 {
         return 1.0;
@@ -40,7 +40,7 @@
     (1.0 - within) / 2.0
 }
 
-/// The probability of `successes` or more in this many trials.
+/// The probability of at least `successes` successes in `trials` independent trials.
 pub(super) fn binomial_tail(trials: usize, probability: f64, successes: usize) -> f64 {
     let odds = probability / (1.0 - probability);
     let mut term = (1.0 - probability).powi(trials as i32);
@@ -52,7 +52,7 @@
     1.0 - below
 }
 
-/// In how many ways some of these can be chosen; infinite where they are too many.
+/// The binomial coefficient of `total` over `chosen`; infinite if it overflows.
 pub(super) fn combinations(total: usize, chosen: usize) -> f64 {
     let fewer = chosen.min(total - chosen);
     (0..fewer)
