--- a/crates/fault-injection/src/duties/simulation/event.rs
+++ b/crates/fault-injection/src/duties/simulation/event.rs
@@ -1,10 +1,10 @@
-//! What happens in simulated time.
+//! Events of the simulation.
 
 use harrierdock_lease::{Epoch, LeaseName};
 
 use super::GatewayIndex;
 
-/// What happens in simulated time.
+/// An event in simulated time.
 pub(super) enum SimulatedEvent {
     TimerFired {
         gateway: GatewayIndex,
@@ -23,10 +23,10 @@
         gateway: GatewayIndex,
         incarnation: u32,
     },
-    /// The holders act.
-    ActsDue,
-    /// An act of a holder arrives where its epoch is checked.
-    ActArrived {
+    /// Each holder starts an operation under its lease.
+    OperationsDue,
+    /// An operation of a holder arrives at the fencing guard.
+    OperationArrived {
         lease: LeaseName,
         epoch: Epoch,
         gateway: GatewayIndex,
@@ -34,15 +34,15 @@
 }
 
 impl SimulatedEvent {
-    /// The gateway that has to run for this to happen, if it needs one.
-    pub(super) fn awaited_gateway(&self) -> Option<GatewayIndex> {
+    /// The gateway that processes the event; the event waits while that gateway is stalled. `None` if no gateway processes it.
+    pub(super) fn processing_gateway(&self) -> Option<GatewayIndex> {
         match self {
             SimulatedEvent::TimerFired { gateway, .. }
             | SimulatedEvent::Exited { gateway, .. }
             | SimulatedEvent::MessageArrived { to: gateway, .. } => Some(*gateway),
             SimulatedEvent::Started { .. }
-            | SimulatedEvent::ActsDue
-            | SimulatedEvent::ActArrived { .. } => None,
+            | SimulatedEvent::OperationsDue
+            | SimulatedEvent::OperationArrived { .. } => None,
         }
     }
 }
--- a/crates/fault-injection/src/duties/simulation/mod.rs
+++ b/crates/fault-injection/src/duties/simulation/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet without sockets in simulated time. Every gateway has a clock that runs fast or slow and a process that is killed,
-//! stalled and started anew; the network between them loses, delays and corrupts messages.
+//! Simulates the leases of a fleet without sockets. The clock of each gateway runs too fast or too slow, and its process can be
+//! killed, stalled and restarted. The network loses, delays and corrupts messages.
 
 mod event;
 mod gateway;
@@ -21,68 +21,68 @@
 use gateway::SimulatedGateway;
 pub use network::{NetworkConditions, Partition};
 use observation::EpochHolder;
-pub use observation::HoldingChange;
+pub use observation::HolderChange;
 
-/// A gateway, by its number.
+/// Index of a gateway in [`LeaseSimulation::gateways`].
 pub type GatewayIndex = usize;
 
 const LEASE_DURATION: TimeDelta = TimeDelta(2_000_000);
 const HEARTBEAT_INTERVAL: TimeDelta = TimeDelta(800_000);
-/// The largest error of a clock's rate.
+/// Largest relative error of a clock's speed.
 const CLOCK_DRIFT_RATIO: f64 = 0.02;
-/// Gateways first start within this time.
+/// Gateways start at random within this time from the simulation's start.
 const START_SPREAD_SECONDS: f64 = 0.3;
-/// The leases of the fleet.
+/// The leases that the gateways of the fleet compete for.
 pub const LEASES: [LeaseName; 3] = [
     LeaseName::RolloutController,
     LeaseName::RecoveryOwner,
     LeaseName::Aggregator(1),
 ];
 
-/// A fleet without sockets, and what was observed of it.
+/// The simulated fleet, and counters of the faults observed in it.
 pub struct LeaseSimulation {
-    /// The simulation's time, which is the true one.
+    /// Simulated time. The clocks of gateways deviate from it.
     pub now: Timestamp,
-    /// All random numbers.
+    /// Source of all random numbers.
     pub rng: WyRand,
     settings: LeaseSettings,
-    /// The gateways, by their numbers.
+    /// Indexed by [`GatewayIndex`].
     pub gateways: Vec<SimulatedGateway>,
-    /// What happens to messages at the moment.
+    /// The current faults of the network.
     pub network: NetworkConditions,
     queue: BinaryHeap<Reverse<(Timestamp, u64)>>,
     events: BTreeMap<u64, SimulatedEvent>,
     last_event_number: u64,
     guard: FencingGuard,
-    /// Who believes to hold each lease, and in which epoch.
-    believed_holders: BTreeMap<LeaseName, BTreeMap<GatewayIndex, Epoch>>,
-    /// Who could act in the newest epoch of each lease.
+    /// The gateways that hold each lease according to their own lease manager, with their epoch.
+    reported_holders: BTreeMap<LeaseName, BTreeMap<GatewayIndex, Epoch>>,
+    /// The gateway that was able to act in the newest epoch of each lease.
     newest_holders: BTreeMap<LeaseName, EpochHolder>,
-    /// Whose act the guard admitted last, by lease.
+    /// The holder whose operation the guard admitted last, by lease.
     admitted_holders: BTreeMap<LeaseName, EpochHolder>,
-    /// Who began or ceased to hold a lease, in the order of time.
-    pub holding_changes: Vec<HoldingChange>,
-    /// How often a gateway could act while another one could.
+    /// All acquisitions and losses of a lease, in order of time.
+    pub holder_changes: Vec<HolderChange>,
+    /// How often two gateways were able to act on the same lease at the same time.
     pub two_holders: u64,
-    /// How often a gateway could act in an epoch that was not the newest, or another's.
-    pub epochs_back: u64,
-    /// Acts that reached the fencing guard.
-    pub acts: u64,
-    /// Acts that the guard refused.
-    pub acts_refused: u64,
-    /// Acts that it admitted in an older epoch, or of another gateway in the same one.
-    pub guard_admitted_two: u64,
+    /// How often a gateway was able to act in an older epoch, or in the epoch of another gateway.
+    pub epoch_regressions: u64,
+    /// Operations that arrived at the fencing guard.
+    pub operations: u64,
+    /// Operations that the guard refused.
+    pub operations_refused: u64,
+    /// Operations that the guard wrongly admitted: in an older epoch, or by a second gateway in the same epoch.
+    pub guard_contradictions: u64,
     /// Messages that could not be decoded.
-    pub messages_unread: u64,
-    /// Bytes of messages that ask for leases, or answer.
+    pub undecodable_messages: u64,
+    /// Bytes of all sent messages except [`MessageBody::KnownLeases`].
     pub lease_bytes: u64,
-    /// Bytes that each gateway sent.
+    /// Bytes that each gateway sent, by [`GatewayIndex`].
     pub sent_bytes: Vec<u64>,
-    /// The longest message, in bytes.
-    pub longest_message: usize,
+    /// Size of the longest message sent.
+    pub longest_message_bytes: usize,
 }
 
-/// Settings of the first gateway. Electors are spread over the fleet, as an operator would name them.
+/// Settings of the first gateway. The electors are spread evenly over the fleet.
 fn lease_settings(gateways: usize, electors: usize) -> LeaseSettings {
     let names: Vec<String> = (0..gateways)
         .map(|index| format!("gateway-{index:03}"))
@@ -102,7 +102,7 @@
 }
 
 impl LeaseSimulation {
-    /// A fleet whose gateways start within a moment. All random draws follow from the seed.
+    /// A fleet whose gateways start within [`START_SPREAD_SECONDS`]. All random draws follow from the seed.
     pub fn new(seed: u64, gateways: usize, electors: usize) -> LeaseSimulation {
         let mut rng = WyRand::new_seed(seed);
         let simulated_gateways = (0..gateways)
@@ -118,26 +118,26 @@
             events: BTreeMap::new(),
             last_event_number: 0,
             guard: FencingGuard::default(),
-            believed_holders: BTreeMap::new(),
+            reported_holders: BTreeMap::new(),
             newest_holders: BTreeMap::new(),
             admitted_holders: BTreeMap::new(),
-            holding_changes: Vec::new(),
+            holder_changes: Vec::new(),
             two_holders: 0,
-            epochs_back: 0,
-            acts: 0,
-            acts_refused: 0,
-            guard_admitted_two: 0,
-            messages_unread: 0,
+            epoch_regressions: 0,
+            operations: 0,
+            operations_refused: 0,
+            guard_contradictions: 0,
+            undecodable_messages: 0,
             lease_bytes: 0,
             sent_bytes: vec![0; gateways],
-            longest_message: 0,
+            longest_message_bytes: 0,
         };
         for gateway in 0..gateways {
             let seconds = START_SPREAD_SECONDS * simulation.rng.generate::<f64>();
             let at = simulation.now + TimeDelta::from_seconds(seconds);
             simulation.schedule(at, SimulatedEvent::Started { gateway });
         }
-        simulation.schedule(simulation.now, SimulatedEvent::ActsDue);
+        simulation.schedule(simulation.now, SimulatedEvent::OperationsDue);
         simulation
     }
 
@@ -167,25 +167,25 @@
         self.rng.generate::<f64>() < probability
     }
 
-    /// Whether a gateway runs; it may be stalled.
+    /// Whether a gateway's process exists. A stalled process counts as running.
     pub fn is_running(&self, gateway: GatewayIndex) -> bool {
         self.gateways[gateway].lease_manager.is_some()
     }
 
-    /// The gateway that holds a lease by its own account.
+    /// The first gateway that can act on a lease according to its own lease manager.
     pub fn holder(&self, lease: LeaseName) -> Option<GatewayIndex> {
-        let mut gateways = self.believed_holders.get(&lease)?.keys().copied();
+        let mut gateways = self.reported_holders.get(&lease)?.keys().copied();
         gateways.find(|gateway| self.acting_epoch(*gateway, lease).is_some())
     }
 
-    /// The epoch in which a gateway may act on a lease now.
+    /// The epoch in which a gateway can act on a lease now; `None` if it does not hold the lease.
     fn acting_epoch(&self, index: GatewayIndex, lease: LeaseName) -> Option<Epoch> {
         let gateway = &self.gateways[index];
         let lease_manager = gateway.lease_manager.as_ref()?;
         lease_manager.may_act(gateway.local_time(self.now), lease)
     }
 
-    /// Delivers an event to a gateway's lease manager and executes the actions it returns; nothing while it is down.
+    /// Delivers an event to a gateway's lease manager and executes the returned actions. Does nothing while the gateway is down.
     fn deliver(&mut self, index: GatewayIndex, event: Event) {
         let gateway = &mut self.gateways[index];
         let local_time = gateway.local_time(self.now);
@@ -202,14 +202,14 @@
         match action {
             Action::Send { to, message } => self.send(gateway, to, &message),
             Action::Acquired { lease, epoch } => {
-                let holders = self.believed_holders.entry(lease).or_default();
+                let holders = self.reported_holders.entry(lease).or_default();
                 holders.insert(gateway, epoch);
-                self.record_holding(lease, gateway, true);
+                self.record_holder(lease, gateway, true);
             }
             Action::Lost { lease, .. } => {
-                let holders = self.believed_holders.entry(lease).or_default();
+                let holders = self.reported_holders.entry(lease).or_default();
                 holders.remove(&gateway);
-                self.record_holding(lease, gateway, false);
+                self.record_holder(lease, gateway, false);
             }
             Action::SetTimer { after } => self.set_timer(gateway, after),
         }
@@ -223,7 +223,7 @@
         self.send_message(from, to.0, &bytes);
     }
 
-    /// Sets a gateway's timer, which cancels the one before; the time is by its own clock.
+    /// Sets a gateway's timer and cancels its previous one. `after` is measured by the gateway's own clock.
     fn set_timer(&mut self, index: GatewayIndex, after: TimeDelta) {
         let gateway = &mut self.gateways[index];
         gateway.timer_number += 1;
@@ -236,11 +236,11 @@
         self.schedule(at, fired);
     }
 
-    /// Plays until this point in time.
+    /// Simulates until this point in time.
     pub fn run(&mut self, until: Timestamp) {
         while let Some(event) = self.next_event(until) {
             let stalled_until = event
-                .awaited_gateway()
+                .processing_gateway()
                 .map(|gateway| self.gateways[gateway].stalled_until);
             match stalled_until {
                 Some(at) if at > self.now => self.schedule(at, event),
@@ -250,15 +250,15 @@
         self.now = until;
     }
 
-    /// Takes the next event that is due by then, and moves the time on to it.
+    /// Removes the next event that is due until this time, and advances the simulated time to it.
     fn next_event(&mut self, until: Timestamp) -> Option<SimulatedEvent> {
-        let Reverse((at, number)) = self.queue.peek().copied()?;
+        let Reverse((at, event_number)) = self.queue.peek().copied()?;
         if at > until {
             return None;
         }
         self.queue.pop();
         self.now = at;
-        self.events.remove(&number)
+        self.events.remove(&event_number)
     }
 
     fn handle(&mut self, event: SimulatedEvent) {
@@ -285,19 +285,19 @@
                     self.stop(gateway);
                 }
             }
-            SimulatedEvent::ActsDue => self.schedule_acts(),
-            SimulatedEvent::ActArrived {
+            SimulatedEvent::OperationsDue => self.start_operations(),
+            SimulatedEvent::OperationArrived {
                 lease,
                 epoch,
                 gateway,
-            } => self.handle_act(lease, epoch, gateway),
+            } => self.handle_operation(lease, epoch, gateway),
         }
     }
 
     fn receive_message(&mut self, from: PeerId, to: GatewayIndex, bytes: &[u8]) {
         match codec::decode(bytes) {
             Ok(message) => self.deliver(to, Event::MessageReceived { from, message }),
-            Err(_) => self.messages_unread += 1,
+            Err(_) => self.undecodable_messages += 1,
         }
     }
 }
--- a/crates/fault-injection/src/duties/simulation/network.rs
+++ b/crates/fault-injection/src/duties/simulation/network.rs
@@ -1,4 +1,4 @@
-//! The network between gateways: what becomes of the messages on it.
+//! The network between gateways: it loses, repeats, corrupts and delays messages.
 
 use std::collections::BTreeSet;
 
@@ -8,17 +8,17 @@
 use super::event::SimulatedEvent;
 use super::{GatewayIndex, LeaseSimulation};
 
-const SHORTEST_DELAY_SECONDS: f64 = 0.0002;
+const MIN_DELAY_SECONDS: f64 = 0.0002;
 const USUAL_DELAY_SECONDS: f64 = 0.002;
-/// The longest delay of a message that others overtake, which were sent long after it.
+/// Longest delay of a reordered message. Messages sent much later overtake it.
 const REORDERED_DELAY_SECONDS: f64 = 2.5;
 
 /// A partition of the fleet.
 #[derive(Clone, Debug)]
 pub struct Partition {
-    /// The gateways of one part.
+    /// The gateways on one side of the partition.
     pub inside: BTreeSet<GatewayIndex>,
-    /// Only what they send is dropped, not what they get.
+    /// Whether only messages from `inside` are dropped, and not those to it.
     pub is_one_way: bool,
 }
 
@@ -30,20 +30,20 @@
     }
 }
 
-/// What happens to messages at the moment; ratios are shares of all messages.
+/// The faults of the network. Ratios are shares of all messages.
 #[derive(Clone, Debug)]
 pub struct NetworkConditions {
-    /// Messages that are lost.
+    /// Lost messages.
     pub loss_ratio: f64,
-    /// Messages that come twice.
+    /// Messages that arrive twice.
     pub repeat_ratio: f64,
-    /// Messages with a byte changed.
+    /// Messages with one byte changed.
     pub corruption_ratio: f64,
-    /// Messages that others overtake.
+    /// Messages with a delay of up to [`REORDERED_DELAY_SECONDS`].
     pub reordering_ratio: f64,
-    /// The longest delay of the others, in seconds.
+    /// Longest delay of the other messages, beyond [`MIN_DELAY_SECONDS`].
     pub longest_delay_seconds: f64,
-    /// A part of the fleet that the rest does not hear.
+    /// `None` if messages reach the whole fleet.
     pub partition: Option<Partition>,
 }
 
@@ -62,9 +62,9 @@
 }
 
 impl LeaseSimulation {
-    /// Sends a message, as the network's conditions allow.
+    /// Sends a message through the network with its current faults.
     pub(super) fn send_message(&mut self, from: GatewayIndex, to: GatewayIndex, bytes: &[u8]) {
-        self.longest_message = self.longest_message.max(bytes.len());
+        self.longest_message_bytes = self.longest_message_bytes.max(bytes.len());
         self.sent_bytes[from] += bytes.len() as u64;
         let partition = self.network.partition.as_ref();
         if partition.is_some_and(|partition| partition.drops(from, to)) {
@@ -81,7 +81,7 @@
         }
     }
 
-    /// The bytes as they arrive.
+    /// The bytes as they arrive; one byte may be changed.
     fn draw_corruption(&mut self, bytes: &[u8]) -> Vec<u8> {
         let mut bytes = bytes.to_vec();
         if self.draw_bool(self.network.corruption_ratio) {
@@ -98,6 +98,6 @@
             self.network.longest_delay_seconds
         };
         let drawn_seconds = longest_seconds * self.rng.generate::<f64>();
-        TimeDelta::from_seconds(SHORTEST_DELAY_SECONDS + drawn_seconds)
+        TimeDelta::from_seconds(MIN_DELAY_SECONDS + drawn_seconds)
     }
 }
