--- /dev/null
+++ b/crates/fault-injection/src/admission/simulation.rs
@@ -0,0 +1,498 @@
+//! Simulates a scenario with one admission policy. Endpoints process attempts in slots, queue further attempts in order and drop
+//! those of timed out requests. Gateways send each attempt to the less loaded of two drawn endpoints.
+
+use harrierdock_types::PeerId;
+use std::cmp::Reverse;
+use std::collections::{BinaryHeap, VecDeque};
+
+use harrierdock_admission::{load_report, Action, AdmissionController, AdmissionParameters, Event};
+use harrierdock_types::Timestamp;
+use nanorand::{Rng, WyRand};
+
+use super::policies::{
+    EndpointState, Gateway, Policy, SheddingState, REPORT_INTERVAL_US, SHEDDING_GROUPS,
+    TIMER_INTERVAL_US,
+};
+use super::scenario::{
+    Fault, Scenario, END_US, KILL_AT_US, RESTART_DELAY_US, SECOND_US, TENANT_SHARES, ZONES,
+};
+
+/// Other gateways learn of a restart after this time.
+const RESTART_NOTICE_DELAY_US: i64 = 200_000;
+/// The timestamp of the simulation's start. It keeps all timestamps positive.
+const START_US: i64 = 1_000 * SECOND_US;
+const MIN_MESSAGE_DELAY_US: i64 = 1_300;
+const MESSAGE_DELAY_SPREAD_US: u64 = 26_700;
+/// Messages carry the shed ratio in steps of one to this many.
+const SHED_RATIO_STEPS: f64 = 63.0;
+pub(super) const TENTH_SECOND_US: i64 = 100_000;
+
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) enum SimulationEvent {
+    ProcessingFinished {
+        endpoint: usize,
+        attempt: Attempt,
+    },
+    GatewayTimerFired {
+        gateway: usize,
+        incarnation: u32,
+    },
+    LoadReportArrived {
+        to: usize,
+        from: usize,
+        bytes: Vec<u8>,
+    },
+    /// A member of a shedding group reports to its coordinator.
+    SheddingReportArrived {
+        to: usize,
+        from: usize,
+        received: usize,
+        answered: usize,
+        in_flight: usize,
+    },
+    /// A coordinator sets the shed ratio of a member, in [`SHED_RATIO_STEPS`].
+    ShedRatioArrived {
+        to: usize,
+        steps: u64,
+    },
+    /// A waiting request tries again to get an endpoint.
+    SelectionRetried {
+        request: usize,
+    },
+    TimeoutExpired {
+        request: usize,
+        attempt_number: u8,
+    },
+    GatewaysKilled,
+    GatewayRestarted {
+        gateway: usize,
+    },
+    /// All other gateways learn of the restart.
+    RestartNoticed {
+        gateway: usize,
+    },
+}
+
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct Attempt {
+    pub(super) request: usize,
+    pub(super) gateway: usize,
+    /// Incarnation of the gateway that sent the attempt.
+    pub(super) incarnation: u32,
+    /// Number among the attempts of its request, from 1.
+    pub(super) number: u8,
+    pub(super) sent_at_us: i64,
+}
+
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub(super) enum RequestPhase {
+    #[default]
+    New,
+    /// The request waits at its gateway, for admission or for an endpoint.
+    Waiting,
+    InFlight,
+    Finished,
+}
+
+#[derive(Clone, Copy, Debug, Default)]
+pub(super) struct RequestState {
+    pub(super) phase: RequestPhase,
+    pub(super) gateway: usize,
+    pub(super) incarnation: u32,
+    /// Attempts sent so far.
+    pub(super) attempts: u8,
+    /// Endpoint of the last attempt.
+    pub(super) endpoint: usize,
+    /// When the last attempt was sent.
+    pub(super) sent_at_us: i64,
+}
+
+/// Requests of a tenant or gateway that arrive during the surge.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct ServedRequests {
+    pub offered: f64,
+    /// Requests answered within the latency objective.
+    pub in_time: f64,
+}
+
+/// Totals of one simulation.
+#[derive(Clone, Debug, Default)]
+pub struct Totals {
+    /// Priority weight of the answered requests.
+    pub priority_weight: f64,
+    /// Priority weight of the answered requests that arrived during the surge.
+    pub priority_weight_in_surge: f64,
+    pub sent: usize,
+    /// Requests answered after their latency objective or not at all.
+    pub late: usize,
+    pub rejected: usize,
+    /// Requests for which the admission controller decided to wait.
+    pub waited: usize,
+    pub waited_in_time: usize,
+    /// Bytes of all load reports.
+    pub report_bytes: usize,
+    /// Requests sent in each tenth of a second.
+    pub sent_by_tenth: Vec<f64>,
+    /// By priority level and tenant.
+    pub tenants: [Vec<ServedRequests>; 2],
+    /// By the gateway that the client prefers.
+    pub gateways: Vec<ServedRequests>,
+}
+
+pub struct Simulation<'a> {
+    pub(super) scenario: &'a Scenario,
+    pub(super) policy: Policy,
+    /// Simulated time since the start.
+    pub(super) now_us: i64,
+    /// Events by time and, at the same time, in the order in which they were scheduled.
+    events: BinaryHeap<Reverse<(i64, u64, SimulationEvent)>>,
+    last_event_number: u64,
+    pub(super) rng: WyRand,
+    pub(super) gateways: Vec<Gateway>,
+    /// Attempts that each endpoint processes.
+    pub(super) running: Vec<usize>,
+    /// Attempts that wait at each endpoint.
+    pub(super) queues: Vec<VecDeque<Attempt>>,
+    /// Running and queued attempts of each endpoint.
+    pub(super) loads: Vec<usize>,
+    /// By the index of the request's arrival.
+    pub(super) requests: Vec<RequestState>,
+    /// Whether the admission controller decided to wait, by request.
+    pub(super) has_waited: Vec<bool>,
+    pub(super) totals: Totals,
+}
+
+impl<'a> Simulation<'a> {
+    pub fn new(scenario: &'a Scenario, policy: Policy) -> Simulation<'a> {
+        let mut simulation = Simulation {
+            scenario,
+            policy,
+            now_us: 0,
+            events: BinaryHeap::new(),
+            last_event_number: 0,
+            rng: WyRand::new_seed(scenario.seed ^ 0x5eed),
+            gateways: Vec::new(),
+            running: vec![0; scenario.speeds.len()],
+            queues: vec![VecDeque::new(); scenario.speeds.len()],
+            loads: vec![0; scenario.speeds.len()],
+            requests: vec![RequestState::default(); scenario.arrivals.len()],
+            has_waited: vec![false; scenario.arrivals.len()],
+            totals: Totals {
+                sent_by_tenth: vec![0.0; (END_US / TENTH_SECOND_US) as usize],
+                tenants: [0, 1].map(|_| vec![ServedRequests::default(); TENANT_SHARES.len()]),
+                gateways: vec![ServedRequests::default(); scenario.gateways],
+                ..Totals::default()
+            },
+        };
+        for gateway in 0..scenario.gateways {
+            let initial = simulation.initial_gateway(gateway, 1);
+            simulation.gateways.push(initial);
+        }
+        for gateway in 0..scenario.gateways {
+            simulation.start_gateway(gateway);
+        }
+        if scenario.fault == Fault::KillMost {
+            simulation.schedule(KILL_AT_US, SimulationEvent::GatewaysKilled);
+        }
+        simulation
+    }
+
+    fn initial_gateway(&self, gateway: usize, incarnation: u32) -> Gateway {
+        let scenario = self.scenario;
+        let parameters = AdmissionParameters {
+            classes: scenario.classes.clone(),
+            zone_count: ZONES,
+            tenant_quotas: TENANT_SHARES.to_vec(),
+            incarnation,
+            min_retry_after: None,
+            seed: scenario.seed ^ (gateway as u64) << 20 ^ u64::from(incarnation),
+        };
+        Gateway {
+            incarnation,
+            is_running: true,
+            endpoints: vec![EndpointState::INITIAL; scenario.speeds.len()],
+            shedding: SheddingState {
+                class_shares: [1.0 / 3.0; 3],
+                ..SheddingState::default()
+            },
+            admission: (self.policy == Policy::SharedSlack)
+                .then(|| AdmissionController::new(parameters)),
+        }
+    }
+
+    /// The gateway learns its peers. Its first timer event is at a random time within the interval.
+    fn start_gateway(&mut self, gateway: usize) {
+        for peer in (0..self.scenario.gateways).filter(|peer| *peer != gateway) {
+            let incarnation = self.gateways[peer].incarnation;
+            self.deliver(
+                gateway,
+                Event::MemberChanged {
+                    peer: PeerId(peer),
+                    incarnation: Some(incarnation),
+                },
+            );
+        }
+        let delay_us = self.rng.generate_range(0..TIMER_INTERVAL_US as u64);
+        let incarnation = self.gateways[gateway].incarnation;
+        self.schedule(
+            self.now_us + delay_us as i64,
+            SimulationEvent::GatewayTimerFired {
+                gateway,
+                incarnation,
+            },
+        );
+    }
+
+    pub(super) fn schedule(&mut self, at_us: i64, event: SimulationEvent) {
+        self.last_event_number += 1;
+        self.events
+            .push(Reverse((at_us, self.last_event_number, event)));
+    }
+
+    pub(super) fn timestamp(&self) -> Timestamp {
+        Timestamp(START_US + self.now_us)
+    }
+
+    /// Simulates until two seconds after the last arrival.
+    pub fn run(mut self) -> Totals {
+        let mut next_request = 0;
+        loop {
+            let arrival_us = self
+                .scenario
+                .arrivals
+                .get(next_request)
+                .map_or(i64::MAX, |arrival| arrival.at_us);
+            let event_us = self
+                .events
+                .peek()
+                .map_or(i64::MAX, |Reverse((at_us, _, _))| *at_us);
+            if arrival_us.min(event_us) > END_US + 2 * SECOND_US {
+                return self.totals;
+            }
+            if arrival_us <= event_us {
+                self.now_us = arrival_us;
+                self.handle_arrival(next_request);
+                next_request += 1;
+            } else if let Some(Reverse((at_us, _, event))) = self.events.pop() {
+                self.now_us = at_us;
+                self.handle(event);
+            }
+        }
+    }
+
+    /// Delivers an event to a gateway's admission controller and executes the returned actions.
+    pub(super) fn deliver(&mut self, gateway: usize, event: Event) {
+        let now = self.timestamp();
+        let Some(admission) = self.gateways[gateway].admission.as_mut() else {
+            return;
+        };
+        for action in admission.handle(now, event) {
+            match action {
+                Action::Admit { id } => {
+                    let request = id.0 as usize;
+                    if self.requests[request].phase == RequestPhase::Waiting {
+                        self.select_endpoint(request);
+                    }
+                }
+                Action::Reject { id, .. } => self.reject(id.0 as usize),
+                Action::SendReport { to, bytes } => {
+                    self.totals.report_bytes += bytes.len();
+                    self.send_message(
+                        gateway,
+                        to.0,
+                        SimulationEvent::LoadReportArrived {
+                            to: to.0,
+                            from: gateway,
+                            bytes,
+                        },
+                    );
+                }
+                Action::SetTimer { after } => {
+                    let incarnation = self.gateways[gateway].incarnation;
+                    self.schedule(
+                        self.now_us + after.0,
+                        SimulationEvent::GatewayTimerFired {
+                            gateway,
+                            incarnation,
+                        },
+                    );
+                }
+            }
+        }
+    }
+
+    /// Schedules the arrival of a message, unless the sender or the receiver is cut off.
+    fn send_message(&mut self, from: usize, to: usize, arrival: SimulationEvent) {
+        if !self.scenario.is_cut_off(from, self.now_us)
+            && !self.scenario.is_cut_off(to, self.now_us)
+        {
+            let delay_us =
+                MIN_MESSAGE_DELAY_US + self.rng.generate_range(0..MESSAGE_DELAY_SPREAD_US) as i64;
+            self.schedule(self.now_us + delay_us, arrival);
+        }
+    }
+
+    fn handle(&mut self, event: SimulationEvent) {
+        match event {
+            SimulationEvent::ProcessingFinished { endpoint, attempt } => {
+                self.finish_processing(endpoint, attempt);
+            }
+            SimulationEvent::GatewayTimerFired {
+                gateway,
+                incarnation,
+            } => {
+                let state = &self.gateways[gateway];
+                if state.is_running && state.incarnation == incarnation {
+                    self.deliver(gateway, Event::TimerFired);
+                    self.update_shedding(gateway, incarnation);
+                }
+            }
+            SimulationEvent::LoadReportArrived { to, from, bytes } => {
+                if let (true, Ok(report)) =
+                    (self.gateways[to].is_running, load_report::decode(&bytes))
+                {
+                    self.deliver(
+                        to,
+                        Event::ReportReceived {
+                            from: PeerId(from),
+                            report,
+                        },
+                    );
+                }
+            }
+            SimulationEvent::SheddingReportArrived {
+                to,
+                from,
+                received,
+                answered,
+                in_flight,
+            } => {
+                if self.gateways[to].is_running {
+                    self.gateways[to].shedding.record_report(
+                        self.now_us,
+                        from,
+                        received,
+                        answered,
+                        in_flight,
+                    );
+                }
+            }
+            SimulationEvent::ShedRatioArrived { to, steps } => {
+                self.gateways[to].shedding.shed_ratio = (steps as f64 / SHED_RATIO_STEPS).min(0.9)
+            }
+            SimulationEvent::SelectionRetried { request } => {
+                let state = &self.requests[request];
+                let gateway = &self.gateways[state.gateway];
+                if state.phase == RequestPhase::Waiting
+                    && gateway.is_running
+                    && gateway.incarnation == state.incarnation
+                {
+                    self.select_endpoint(request);
+                }
+            }
+            SimulationEvent::TimeoutExpired { request, .. } => self.handle_timeout(request),
+            SimulationEvent::GatewaysKilled => self.kill_gateways(),
+            SimulationEvent::GatewayRestarted { gateway } => {
+                let incarnation = self.gateways[gateway].incarnation + 1;
+                self.gateways[gateway] = self.initial_gateway(gateway, incarnation);
+                self.start_gateway(gateway);
+                self.schedule(
+                    self.now_us + RESTART_NOTICE_DELAY_US,
+                    SimulationEvent::RestartNoticed { gateway },
+                );
+            }
+            SimulationEvent::RestartNoticed { gateway } => {
+                let incarnation = Some(self.gateways[gateway].incarnation);
+                for other in (0..self.scenario.gateways).filter(|other| *other != gateway) {
+                    self.deliver(
+                        other,
+                        Event::MemberChanged {
+                            peer: PeerId(gateway),
+                            incarnation,
+                        },
+                    );
+                }
+            }
+        }
+    }
+
+    /// Kills gateways. Their requests are lost, but endpoints still process the attempts.
+    fn kill_gateways(&mut self) {
+        for gateway in
+            (0..self.scenario.gateways).filter(|gateway| self.scenario.is_killed[*gateway])
+        {
+            self.gateways[gateway].is_running = false;
+            self.schedule(
+                self.now_us + RESTART_DELAY_US,
+                SimulationEvent::GatewayRestarted { gateway },
+            );
+        }
+        for request in &mut self.requests {
+            if self.scenario.is_killed[request.gateway]
+                && matches!(
+                    request.phase,
+                    RequestPhase::InFlight | RequestPhase::Waiting
+                )
+            {
+                request.phase = RequestPhase::Finished;
+            }
+        }
+    }
+
+    /// The timer event of shedding by groups (departure I in docs/design.md): members report to their coordinator, and
+    /// coordinators send the shed ratio to their members.
+    fn update_shedding(&mut self, gateway: usize, incarnation: u32) {
+        let (now_us, gateway_count, coordinator) = (
+            self.now_us,
+            self.scenario.gateways,
+            gateway % SHEDDING_GROUPS,
+        );
+        if self.policy != Policy::SharedSlack {
+            self.schedule(
+                now_us + TIMER_INTERVAL_US,
+                SimulationEvent::GatewayTimerFired {
+                    gateway,
+                    incarnation,
+                },
+            );
+        }
+        if self.policy != Policy::PartToShed || gateway_count <= SHEDDING_GROUPS {
+            return;
+        }
+        let in_flight = self.gateways[gateway]
+            .endpoints
+            .iter()
+            .map(|endpoint| endpoint.in_flight as usize)
+            .sum();
+        let shedding = &mut self.gateways[gateway].shedding;
+        let is_report_due = now_us - shedding.last_report_us >= REPORT_INTERVAL_US;
+        if coordinator == gateway {
+            let (received, answered) = (
+                std::mem::take(&mut shedding.received),
+                std::mem::take(&mut shedding.answered),
+            );
+            shedding.record_report(now_us, gateway, received, answered, in_flight);
+            shedding.update_shed_ratio(now_us, true);
+            let steps = (shedding.shed_ratio * SHED_RATIO_STEPS) as u64;
+            if is_report_due && shedding.shed_ratio > 0.0 {
+                shedding.last_report_us = now_us;
+                for to in (gateway + SHEDDING_GROUPS..gateway_count).step_by(SHEDDING_GROUPS) {
+                    self.send_message(gateway, to, SimulationEvent::ShedRatioArrived { to, steps });
+                }
+            }
+            return;
+        }
+        shedding.update_shed_ratio(now_us, false);
+        if is_report_due {
+            shedding.last_report_us = now_us;
+            let report = SimulationEvent::SheddingReportArrived {
+                to: coordinator,
+                from: gateway,
+                received: std::mem::take(&mut shedding.received),
+                answered: std::mem::take(&mut shedding.answered),
+                in_flight,
+            };
+            self.send_message(gateway, coordinator, report);
+        }
+    }
+}
--- a/crates/fault-injection/src/cli/mod.rs
+++ b/crates/fault-injection/src/cli/mod.rs
@@ -115,7 +115,7 @@
 }
 
 fn run_admission(arguments: &AdmissionArguments) -> Verdict {
-    let max_gateways = admission::MOST_GATEWAYS;
+    let max_gateways = admission::MAX_GATEWAYS;
     if arguments.seeds == 0 || !(1..=max_gateways).contains(&arguments.gateways) {
         return Err(CliError::AdmissionRange { max_gateways });
     }
--- a/crates/fault-injection/src/duties/mod.rs
+++ b/crates/fault-injection/src/duties/mod.rs
@@ -75,11 +75,12 @@
     /// Changes of any lease's holder in the minutes without faults.
     #[serde(rename = "moves_while_well")]
     pub holder_changes_without_faults: u64,
-    /// Bytes of messages per second without faults for each lease and elector, `KnownLeases` messages excluded: the largest value of
-    /// the three electorate sizes.
+    /// Bytes of messages per second without faults for each lease and elector, `KnownLeases` messages excluded: the largest value
+    /// of the three electorate sizes.
     #[serde(rename = "bytes_duty_elector_s")]
     pub bytes_per_lease_elector_second: f64,
-    /// Mean bytes of all messages that a gateway sends per second without faults: the largest value of the three electorate sizes.
+    /// Mean bytes of all messages that a gateway sends per second without faults: the largest value of the three electorate
+    /// sizes.
     #[serde(rename = "bytes_a_gateway_s")]
     pub bytes_per_gateway_second: f64,
     /// The first seed with a violation or an unheld lease.
@@ -254,8 +255,8 @@
     add_counters(&simulation, report);
 }
 
-/// Kills almost half of the electors one after another without restarting them. Measures the share of time in which each lease has
-/// a holder.
+/// Kills almost half of the electors one after another without restarting them. Measures the share of time in which each lease
+/// has a holder.
 fn measure_held_share(seed: u64, gateways: usize, report: &mut Report) {
     let mut simulation = LeaseSimulation::new(
         seed,
--- a/crates/fault-injection/src/elimination/outcomes.rs
+++ b/crates/fault-injection/src/elimination/outcomes.rs
@@ -55,7 +55,7 @@
         self.clear(Metric::InTime);
     }
 
-    /// Counts an attempt in the metrics that the policy uses for it. Response times count only if `is_paired`: while both arms run.
+    /// Counts an attempt in the metrics that the policy uses for it. Response times count only while both arms run (`is_paired`).
     pub fn count(&mut self, finished: &FinishedAttempt, is_paired: bool) {
         let FinishedAttempt {
             endpoint,
--- a/crates/fault-injection/tests/elimination_rules.rs
+++ b/crates/fault-injection/tests/elimination_rules.rs
@@ -40,8 +40,8 @@
     })
 }
 
-/// Canary and baseline payoffs as in docs/incidents/2026-12-03-open-votes.md. Each canary endpoint has a few outcomes, and three of
-/// them lost one or two. Each baseline endpoint has many outcomes, so the bad ones are clear outliers.
+/// Canary and baseline payoffs as in docs/incidents/2026-12-03-open-votes.md. Each canary endpoint has a few outcomes; three
+/// endpoints lost one or two. Each baseline endpoint has many outcomes, so the bad ones are clear outliers.
 fn incident_payoffs() -> (Vec<Payoff>, Vec<Payoff>) {
     let mut canary = payoffs(4.0, &[0.0; 27]);
     canary.extend(payoffs(4.0, &[1.0, 2.0, 1.0]));
--- a/crates/fault-injection/tests/known_failing_tests.rs
+++ b/crates/fault-injection/tests/known_failing_tests.rs
@@ -5,8 +5,8 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
-/// A stand-in for cargo. It lists `shape::is_green`, `shape::is_red` (which fails) and `twice` (listed two times), and appends its
-/// arguments to the file `$CALLS`.
+/// A stand-in for cargo. It lists `shape::is_green`, `shape::is_red` (which fails) and `twice` (listed two times). It appends
+/// its arguments to the file `$CALLS`.
 const CARGO_STAND_IN: &str = r#"#!/usr/bin/env bash
 echo "cargo $*" >> "$CALLS"
 case "$*" in
