--- a/crates/fault-injection/src/admission/mod.rs
+++ b/crates/fault-injection/src/admission/mod.rs
@@ -178,7 +178,7 @@
 
 /// Simulates the scenarios of `seeds` seeds from `first_seed` on. `progress` is called after each scenario with the number of
 /// finished ones.
-pub fn play(
+pub fn run_seeds(
     first_seed: u64,
     seeds: u64,
     gateways: usize,
--- a/crates/fault-injection/src/cli/mod.rs
+++ b/crates/fault-injection/src/cli/mod.rs
@@ -120,7 +120,7 @@
         return Err(CliError::AdmissionRange { max_gateways });
     }
     let bar = progress_bar(arguments.seeds);
-    let report = admission::play(
+    let report = admission::run_seeds(
         arguments.seed,
         arguments.seeds,
         arguments.gateways,
@@ -239,7 +239,7 @@
 
 fn run_duties(arguments: &DutiesArguments) -> Verdict {
     let bar = progress_bar(arguments.seeds);
-    let report = duties::play(arguments.seed, arguments.seeds, arguments.gateways, || {
+    let report = duties::run_seeds(arguments.seed, arguments.seeds, arguments.gateways, || {
         bar.inc(1)
     });
     print_report(&report, report.ok)
@@ -251,7 +251,7 @@
     let settings = elimination::ModelSettings::all_rows(arguments.seed, arguments.draws);
     let bar = progress_bar(settings.steps() as u64);
     let rules = elimination::rules::compared_rules();
-    let report = elimination::play(&settings, &rules, || bar.inc(1));
+    let report = elimination::run_draws(&settings, &rules, || bar.inc(1));
     bar.finish_and_clear();
     eprint!("{}", report.table());
     print_report(&report, true)
--- a/crates/fault-injection/src/duties/mod.rs
+++ b/crates/fault-injection/src/duties/mod.rs
@@ -328,7 +328,12 @@
 }
 
 /// Simulates `seeds` seeds from `first_seed` on. `progress` is called after each seed. The fleet has at least five gateways.
-pub fn play(first_seed: u64, seeds: u64, gateways: usize, mut progress: impl FnMut()) -> Report {
+pub fn run_seeds(
+    first_seed: u64,
+    seeds: u64,
+    gateways: usize,
+    mut progress: impl FnMut(),
+) -> Report {
     let gateways = gateways.max(5);
     let mut report = Report {
         seed: first_seed,
--- a/crates/fault-injection/src/elimination/mod.rs
+++ b/crates/fault-injection/src/elimination/mod.rs
@@ -68,7 +68,7 @@
 
 /// Simulates all draws with all rules. The report compares the other rules with the first one. `progress` is called after each
 /// of [`ModelSettings::steps`].
-pub fn play(
+pub fn run_draws(
     settings: &ModelSettings,
     rules: &[Box<dyn EliminationRule>],
     mut progress: impl FnMut(),
@@ -85,7 +85,7 @@
                 },
                 bad_endpoint_ratio: *bad_endpoint_ratio,
             };
-            rows.extend(setup.play().rows(&names));
+            rows.extend(setup.run().rows(&names));
             progress();
         }
     }
@@ -108,31 +108,31 @@
 }
 
 impl Setup<'_> {
-    fn play(&self) -> Draws {
+    fn run(&self) -> Draws {
         let endpoints = self.fleet.endpoints();
         Draws {
             gateways: self.fleet.gateways,
             endpoints,
             bad_endpoints: (self.bad_endpoint_ratio * endpoints as f64).round() as usize,
-            good: self.play_draws(CanaryBuild::Good),
-            bad: self.play_draws(CanaryBuild::Bad),
+            good: self.run_draws(CanaryBuild::Good),
+            bad: self.run_draws(CanaryBuild::Bad),
         }
     }
 
     /// Simulates the draws on several threads. Each draw has its own seed, so the result does not depend on their order.
-    fn play_draws(&self, build: CanaryBuild) -> Vec<Vec<StageVerdicts>> {
+    fn run_draws(&self, build: CanaryBuild) -> Vec<Vec<StageVerdicts>> {
         let draws = self.settings.draws.get();
         let threads = thread::available_parallelism().map_or(1, NonZeroUsize::get);
         let threads = threads.clamp(1, MAX_THREADS);
-        let play_every_nth = |first: usize| {
+        let run_every_nth = |first: usize| {
             (first..draws)
                 .step_by(threads)
-                .map(|draw| self.play_draw(draw, build))
+                .map(|draw| self.run_draw(draw, build))
                 .collect::<Vec<_>>()
         };
         thread::scope(|scope| {
             let parts: Vec<_> = (0..threads)
-                .map(|first| scope.spawn(move || play_every_nth(first)))
+                .map(|first| scope.spawn(move || run_every_nth(first)))
                 .collect();
             parts
                 .into_iter()
@@ -141,7 +141,7 @@
         })
     }
 
-    fn play_draw(&self, draw: usize, build: CanaryBuild) -> Vec<StageVerdicts> {
+    fn run_draw(&self, draw: usize, build: CanaryBuild) -> Vec<StageVerdicts> {
         let seed = self
             .settings
             .seed
@@ -151,6 +151,6 @@
         // The first values drawn from close seeds are similar.
         let mut rng = WyRand::new_seed(rng.generate::<u64>());
         let scenario = Scenario::draw(self.fleet, self.bad_endpoint_ratio, build, &mut rng);
-        trial::play(&scenario, self.rules, &mut rng)
+        trial::run_trial(&scenario, self.rules, &mut rng)
     }
 }
--- a/crates/fault-injection/src/elimination/trial.rs
+++ b/crates/fault-injection/src/elimination/trial.rs
@@ -15,7 +15,7 @@
 pub type StageVerdicts = [Option<f64>; STAGE_RATIOS.len()];
 
 /// Simulates all stages of a rollout. An eliminated canary continues, so that each draw gives a verdict for each stage.
-pub fn play(
+pub fn run_trial(
     scenario: &Scenario,
     rules: &[Box<dyn EliminationRule>],
     rng: &mut WyRand,
@@ -23,7 +23,7 @@
     let mut fleet = GossipFleet::new(scenario);
     let mut verdicts = vec![StageVerdicts::default(); rules.len()];
     for stage in 0..STAGE_RATIOS.len() {
-        let eliminated_at = play_stage(scenario, stage, rules, &mut fleet, rng);
+        let eliminated_at = run_stage(scenario, stage, rules, &mut fleet, rng);
         for (verdicts, eliminated_at) in verdicts.iter_mut().zip(eliminated_at) {
             verdicts[stage] = eliminated_at;
         }
@@ -32,7 +32,7 @@
 }
 
 /// Simulates one stage. Returns when each rule eliminated the canary, in seconds from the stage's start.
-fn play_stage(
+fn run_stage(
     scenario: &Scenario,
     stage: usize,
     rules: &[Box<dyn EliminationRule>],
@@ -48,7 +48,7 @@
     let intervals = (STAGE_SECONDS / TEST_INTERVAL_SECONDS) as usize;
     for interval in 0..intervals {
         let elapsed = interval as f64 * TEST_INTERVAL_SECONDS;
-        fleet.play_interval(scenario, start + elapsed, rng);
+        fleet.run_interval(scenario, start + elapsed, rng);
         if ballots.iter().all(|ballot| ballot.eliminated_at.is_some()) {
             continue;
         }
@@ -112,7 +112,7 @@
     }
 
     /// Sends the requests of all groups until the next test.
-    fn play_interval(&mut self, scenario: &Scenario, start: f64, rng: &mut WyRand) {
+    fn run_interval(&mut self, scenario: &Scenario, start: f64, rng: &mut WyRand) {
         let requests =
             (scenario.fleet.group_requests_per_second() * TEST_INTERVAL_SECONDS).round() as usize;
         let last_change = scenario
