--- a/crates/fault-injection/src/admission/policies.rs
+++ b/crates/fault-injection/src/admission/policies.rs
@@ -9,9 +9,10 @@
 
 use super::scenario::{Scenario, SLOTS_PER_ENDPOINT};
 
-/// Time between two timer events of a gateway whose policy sets no timers itself.
+/// Time between two timer events of a gateway, unless the admission controller sets the timer. The first event is at a random
+/// time within the interval.
 pub const TIMER_INTERVAL_US: i64 = 50_000;
-/// Window of the load reports that a shedding group sums up, and the shortest time between two increases of its ratio.
+/// A coordinator sums up the reports of its group within this window. It raises the shed ratio once per window at most.
 pub const SHEDDING_WINDOW_US: i64 = 500_000;
 pub const REPORT_INTERVAL_US: i64 = SHEDDING_WINDOW_US / 4;
 /// Gateways with an index below this are the coordinators of the shedding groups.
@@ -23,7 +24,7 @@
 pub enum Policy {
     /// Each gateway limits its own attempts at each endpoint.
     Alone,
-    /// Like `Alone`; gateways also shed a ratio of the requests that their group's coordinator sets.
+    /// Like `Alone`; gateways also shed a part of the requests. The coordinator of their group sets the ratio.
     PartToShed,
     /// The admission controller of the gateway.
     SharedSlack,
--- a/crates/fault-injection/src/admission/scenario.rs
+++ b/crates/fault-injection/src/admission/scenario.rs
@@ -174,7 +174,7 @@
         rng.shuffle(&mut is_killed);
         let (mut at_us, mut arrivals) = (0.0, Vec::new());
         let surge_rate = capacity * load_ratio * surge_factor;
-        // Draws arrivals at the surge's rate all the time, and drops those that only a surge adds outside of it.
+        // Arrivals are drawn at the rate of the surge. Outside of the surge the surplus arrivals are dropped.
         loop {
             at_us += draw_exponential(&mut rng) / surge_rate;
             if at_us >= END_US as f64 {
--- a/crates/fault-injection/src/admission/simulation.rs
+++ b/crates/fault-injection/src/admission/simulation.rs
@@ -1,5 +1,5 @@
 //! Simulates a scenario with one admission policy. Endpoints process attempts in slots, queue further attempts in order and drop
-//! those of timed out requests. Gateways send each attempt to the less loaded of two drawn endpoints.
+//! attempts of timed out requests. Gateways send each attempt to the less loaded of two drawn endpoints.
 
 use harrierdock_types::PeerId;
 use std::cmp::Reverse;
--- a/crates/fault-injection/src/duties/simulation/network.rs
+++ b/crates/fault-injection/src/duties/simulation/network.rs
@@ -18,7 +18,7 @@
 pub struct Partition {
     /// The gateways on one side of the partition.
     pub inside: BTreeSet<GatewayIndex>,
-    /// Whether only messages from `inside` are dropped, and not those to it.
+    /// Whether only messages sent from `inside` to the other side are dropped; otherwise messages in both directions are.
     pub is_one_way: bool,
 }
 
--- a/crates/fault-injection/src/duties/simulation/observation.rs
+++ b/crates/fault-injection/src/duties/simulation/observation.rs
@@ -44,8 +44,8 @@
 }
 
 impl LeaseSimulation {
-    /// Checks the leases that a gateway holds against those of the other gateways. An overlap starts when a lease is acquired or
-    /// renewed, so a check after each event of a gateway finds it.
+    /// Counts other gateways that hold the same leases as this gateway. An overlap starts when a lease is acquired or renewed, so
+    /// a check after each event of a gateway finds it.
     pub(super) fn check_holders(&mut self, gateway: GatewayIndex) {
         for lease in LEASES {
             let Some(epoch) = self.acting_epoch(gateway, lease) else {
--- a/crates/fault-injection/src/elimination/scenario.rs
+++ b/crates/fault-injection/src/elimination/scenario.rs
@@ -43,11 +43,11 @@
 }
 
 impl Range {
-    fn uniform(&self, rng: &mut WyRand) -> f64 {
+    fn draw_uniform(&self, rng: &mut WyRand) -> f64 {
         self.low + (self.high - self.low) * rng.generate::<f64>()
     }
 
-    fn log_uniform(&self, rng: &mut WyRand) -> f64 {
+    fn draw_log_uniform(&self, rng: &mut WyRand) -> f64 {
         self.low * (self.high / self.low).powf(rng.generate::<f64>())
     }
 }
@@ -107,15 +107,15 @@
     fn draw(rng: &mut WyRand) -> EndpointFault {
         match rng.generate_range(0..4_u32) {
             0 => EndpointFault::Errors {
-                ratio: ENDPOINT_ERROR_RATIOS.uniform(rng),
+                ratio: ENDPOINT_ERROR_RATIOS.draw_uniform(rng),
                 class: None,
             },
             1 => EndpointFault::Errors {
-                ratio: ENDPOINT_ERROR_RATIOS.uniform(rng),
+                ratio: ENDPOINT_ERROR_RATIOS.draw_uniform(rng),
                 class: Some(ClassId(rng.generate_range(0..CLASSES))),
             },
             2 => EndpointFault::Slow {
-                ratio: SLOW_RATIOS.uniform(rng),
+                ratio: SLOW_RATIOS.draw_uniform(rng),
             },
             _ => EndpointFault::Pauses {
                 phase_seconds: PAUSE_PERIOD_SECONDS * rng.generate::<f64>(),
@@ -159,12 +159,12 @@
         let class = is_in_one_class.then(|| ClassId(rng.generate_range(0..CLASSES)));
         if rng.generate::<bool>() {
             BuildFault::Errors {
-                ratio: BUILD_ERROR_RATIOS.log_uniform(rng),
+                ratio: BUILD_ERROR_RATIOS.draw_log_uniform(rng),
                 class,
             }
         } else {
             BuildFault::Slow {
-                ratio: SLOW_RATIOS.uniform(rng),
+                ratio: SLOW_RATIOS.draw_uniform(rng),
                 class,
             }
         }
