--- a/crates/fault-injection/src/duties/simulation/mod.rs
+++ b/crates/fault-injection/src/duties/simulation/mod.rs
@@ -102,7 +102,7 @@
 }
 
 impl LeaseSimulation {
-    /// A fleet whose gateways start within [`START_SPREAD_SECONDS`]. All random draws follow from the seed.
+    /// A fleet whose gateways start within `START_SPREAD_SECONDS`. All random draws follow from the seed.
     pub fn new(seed: u64, gateways: usize, electors: usize) -> LeaseSimulation {
         let mut rng = WyRand::new_seed(seed);
         let simulated_gateways = (0..gateways)
--- a/crates/fault-injection/src/duties/simulation/network.rs
+++ b/crates/fault-injection/src/duties/simulation/network.rs
@@ -39,9 +39,9 @@
     pub repeat_ratio: f64,
     /// Messages with one byte changed.
     pub corruption_ratio: f64,
-    /// Messages with a delay of up to [`REORDERED_DELAY_SECONDS`].
+    /// Messages with a delay of up to `REORDERED_DELAY_SECONDS`.
     pub reordering_ratio: f64,
-    /// Longest delay of the other messages, beyond [`MIN_DELAY_SECONDS`].
+    /// Longest delay of the other messages, beyond `MIN_DELAY_SECONDS`.
     pub longest_delay_seconds: f64,
     /// `None` if messages reach the whole fleet.
     pub partition: Option<Partition>,
--- a/crates/fault-injection/src/elimination/rules/shared_votes.rs
+++ b/crates/fault-injection/src/elimination/rules/shared_votes.rs
@@ -1,4 +1,4 @@
-//! Counts votes for less the more endpoints the groups share.
+//! Votes that count less if the groups share more endpoints.
 
 use harrierdock_policy::payoff::{DELTA, ETA};
 
--- a/crates/fault-injection/src/elimination/rules/statistics.rs
+++ b/crates/fault-injection/src/elimination/rules/statistics.rs
@@ -52,7 +52,7 @@
     1.0 - below
 }
 
-/// The binomial coefficient of `total` over `chosen`; infinite if it overflows.
+/// The binomial coefficient `total` choose `chosen`; infinite if it overflows.
 pub(super) fn combinations(total: usize, chosen: usize) -> f64 {
     let fewer = chosen.min(total - chosen);
     (0..fewer)
--- a/crates/fault-injection/src/elimination/scenario.rs
+++ b/crates/fault-injection/src/elimination/scenario.rs
@@ -245,7 +245,7 @@
     ((ratio * endpoints as f64).floor() as usize).max(1)
 }
 
-/// Draws the class of a request by [`CUMULATIVE_CLASS_SHARES`].
+/// Draws the class of a request by `CUMULATIVE_CLASS_SHARES`.
 pub fn draw_class(rng: &mut WyRand) -> ClassId {
     let draw = rng.generate::<f64>();
     let class = CUMULATIVE_CLASS_SHARES
