--- a/crates/flow-export/src/error.rs
+++ b/crates/flow-export/src/error.rs
@@ -68,7 +68,7 @@
 #[derive(Debug, Error)]
 pub enum FlowExportError {
     /// The reloaded settings disable export, which requires a restart.
-    #[error("flows: stopping the export requires a restart")]
+    #[error("stopping the export requires a restart")]
     DisabledWhileRunning,
     /// A collector's key file is unreadable or invalid.
     #[error(transparent)]
--- a/crates/gateway/src/downstream/listener.rs
+++ b/crates/gateway/src/downstream/listener.rs
@@ -26,8 +26,8 @@
     tv_sec: 0,
     tv_nsec: 0,
 };
-/// Connections accepted per turn of the event loop, so that a burst of them doesn't delay requests under way.
-const MAX_ACCEPTS_PER_TURN: usize = 64;
+/// Connections accepted per iteration of the event loop, so that a burst of connections doesn't delay open requests.
+const MAX_ACCEPTS_PER_ITERATION: usize = 64;
 
 /// Whether connections are accepted, or what ends the pause.
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -77,7 +77,7 @@
     }
 }
 
-/// Why accepting connections stopped in one turn of the event loop.
+/// Why accepting connections stopped in one iteration of the event loop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AcceptResult {
     /// The accept queue is empty.
@@ -150,10 +150,10 @@
         Ok(())
     }
 
-    /// Accepts queued connections, up to the limit per turn and while descriptors are available.
+    /// Accepts queued connections, up to the limit per iteration and while descriptors are available.
     pub(crate) fn accept(&mut self, context: &mut Context) -> AcceptResult {
         let result = self.accept_up_to_limit(context);
-        // The last connection accepted in this turn may have emptied the queue. A connection that arrives later must not
+        // The last connection accepted in this iteration may have emptied the queue. A connection that arrives later must not
         // inherit the start of this backlog.
         let has_backlog = result != AcceptResult::NoneWaiting && self.listener.may_have_backlog();
         self.listener.backlog_since = has_backlog.then(|| {
@@ -164,7 +164,7 @@
     }
 
     fn accept_up_to_limit(&mut self, context: &mut Context) -> AcceptResult {
-        for accepted_count in 0..MAX_ACCEPTS_PER_TURN {
+        for accepted_count in 0..MAX_ACCEPTS_PER_ITERATION {
             if context.descriptors.available() == 0 {
                 // After the first accept it is unknown whether another connection is queued. If one is, the listener becomes
                 // ready again. Reporting a shortage here could close a connection needlessly.
--- a/crates/gateway/src/gossip.rs
+++ b/crates/gateway/src/gossip.rs
@@ -16,8 +16,8 @@
 
 /// Longest datagram that is sent or accepted.
 const MAX_DATAGRAM_BYTES: usize = 256;
-/// Datagrams read per turn of the event loop, so that a burst of them doesn't delay requests.
-const MAX_READS_PER_TURN: usize = 32;
+/// Datagrams read per iteration of the event loop, so that a burst of datagrams doesn't delay requests.
+const MAX_READS_PER_ITERATION: usize = 32;
 
 /// UDP socket for messages to and from peers.
 pub(crate) struct GossipSocket {
@@ -67,10 +67,10 @@
         }))
     }
 
-    /// Reads received datagrams, up to the limit per turn, and queues them as internal events.
+    /// Reads received datagrams, up to the limit per iteration, and queues them as internal events.
     pub(crate) fn receive(&self, context: &mut Context) {
         let mut buffer = [0_u8; MAX_DATAGRAM_BYTES + 1];
-        for _ in 0..MAX_READS_PER_TURN {
+        for _ in 0..MAX_READS_PER_ITERATION {
             match self.socket.recv_from(&mut buffer) {
                 Ok((size, sender)) => self.handle_datagram(context, sender, &buffer[..size]),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
--- a/crates/gateway/src/multi_site/forwarding.rs
+++ b/crates/gateway/src/multi_site/forwarding.rs
@@ -31,8 +31,8 @@
 
 /// The maximum length of a received datagram.
 const MAX_DATAGRAM_BYTES: usize = 2048;
-/// Datagrams read per iteration of the event loop, so that a flood of them doesn't delay requests.
-const MAX_READS_PER_TURN: usize = 64;
+/// Datagrams read per iteration of the event loop, so that a flood of datagrams doesn't delay requests.
+const MAX_READS_PER_ITERATION: usize = 64;
 /// The size of the socket's send and receive buffers.
 const SOCKET_BUFFER_BYTES: usize = 1 << 20;
 /// Responses stored for the other site may take up this fraction of the memory limit.
@@ -210,7 +210,7 @@
     /// Reads the received datagrams and passes them to the transport.
     pub(crate) fn receive(&mut self) {
         let mut buffer = [0_u8; MAX_DATAGRAM_BYTES];
-        for _ in 0..MAX_READS_PER_TURN {
+        for _ in 0..MAX_READS_PER_ITERATION {
             match self.socket.recv_from(&mut buffer) {
                 Ok((size, from)) => {
                     self.transport
--- a/crates/gateway/src/multi_site/log.rs
+++ b/crates/gateway/src/multi_site/log.rs
@@ -18,7 +18,7 @@
 }
 
 impl Refusals {
-    /// Counts a refusal. Logs the count if the last line is long enough ago.
+    /// Counts a refusal. Logs the count and resets it, at most once per `REFUSAL_LOG_INTERVAL`.
     pub(crate) fn log(&mut self, now: Timestamp, remote: &SocketAddr, reason: &str) {
         self.count += 1;
         let is_log_due = self
--- a/crates/gateway/tests/sockets/early_clients.rs
+++ b/crates/gateway/tests/sockets/early_clients.rs
@@ -252,7 +252,8 @@
     assert_eq!(gateway.wait_for_exit(), Some(0));
 }
 
-// Guards against counting the shutdown time from the end of the start: answers would come too late, at or after the kill.
+// Guards against counting the shutdown time from the end of startup instead of from SIGTERM: responses would then arrive after
+// the platform kills the process.
 #[test]
 fn answers_precede_the_earliest_kill_when_sigterm_precedes_the_configuration() {
     let one = endpoint("one", &Trace::default(), &[EndpointBehavior::Unresponsive]);
--- a/crates/multi-site/src/membership/failure_detection.rs
+++ b/crates/multi-site/src/membership/failure_detection.rs
@@ -6,14 +6,15 @@
 use super::{Membership, MembershipAction};
 use crate::HEARTBEAT_INTERVAL;
 
-/// Heartbeat intervals without a heartbeat or an echo after which a path is unusable.
+/// A path is unusable after this many heartbeat intervals without a heartbeat or without an echo.
 const UNUSABLE_AFTER_INTERVALS: f64 = 7.0;
-/// Heartbeat intervals without a heartbeat after which the other end is suspected. On a link that loses a third of all
+/// The other end is suspected after this many heartbeat intervals without a heartbeat. On a link that loses a third of all
 /// heartbeats, seven in a row are missed every few minutes, and fourteen hardly ever.
 const SUSPECT_AFTER_INTERVALS: f64 = 14.0;
-/// Heartbeat intervals after which a suspected gateway is lost unless it refutes that, and an unresponsive path is closed.
+/// A suspected gateway is lost after this many heartbeat intervals unless it refutes the suspicion. A path without a heartbeat
+/// for as long is closed.
 const LOST_AFTER_INTERVALS: f64 = 25.0;
-/// Heartbeat intervals after which the record of an unavailable gateway is removed.
+/// The record of an unavailable gateway is removed after this many heartbeat intervals.
 const REMOVE_AFTER_INTERVALS: f64 = 3000.0;
 
 /// A path on which heartbeats have stopped arriving.
@@ -119,7 +120,7 @@
         });
     }
 
-    /// Marks a gateway as suspected until it refutes that itself.
+    /// Marks a gateway as suspected until it refutes the suspicion itself.
     pub(super) fn suspect(&mut self, now: Timestamp, peer: &GatewayName) {
         let Some(member) = self.members.get_mut(peer) else {
             return;
--- a/crates/multi-site/src/multi_site/inbound.rs
+++ b/crates/multi-site/src/multi_site/inbound.rs
@@ -55,7 +55,7 @@
         path: PathId,
         request: &ForwardedRequest,
     ) -> Result<(ClassId, TimeDelta), ForwardingOutcome> {
-        // A request for an earlier incarnation may already have run there.
+        // The earlier incarnation of this gateway may already have run the request.
         if request.receiver_incarnation != self.incarnation() {
             return Err(ForwardingOutcome::Unknown);
         }
--- a/crates/multi-site/src/multi_site/status.rs
+++ b/crates/multi-site/src/multi_site/status.rs
@@ -14,7 +14,7 @@
     /// Requests forwarded to the other site.
     #[serde(rename = "handed_over")]
     pub forwarded: u64,
-    /// Forwarded requests that the other site did not accept, rejected, or reported as unknown.
+    /// Forwarded requests that the other site rejected or did not accept, or whose outcome it did not know.
     #[serde(rename = "refused")]
     pub refused_there: u64,
     /// Forwarded requests that succeeded at the other site.
@@ -32,7 +32,7 @@
     /// Inbound requests not accepted.
     #[serde(rename = "turned_away")]
     pub inbound_refused: u64,
-    /// Repeated copies of inbound requests.
+    /// Inbound requests received again, with an id that was received before.
     #[serde(rename = "copies")]
     pub duplicates: u64,
     /// Responses that matched no forwarded request.
@@ -47,30 +47,30 @@
 pub struct MemberStatus {
     /// The site and name, as `SITE/GATEWAY`.
     pub gateway: String,
-    /// The state in words; `unheard` before the first heartbeat or record.
+    /// The state as text; `unheard` before the first heartbeat or record.
     #[serde(rename = "standing")]
     pub state: String,
-    /// Seconds since its state or incarnation last changed.
+    /// Seconds since the gateway's state or incarnation last changed; 0 before the first known change.
     pub since_s: f64,
-    /// Whether this gateway has a usable path to it.
+    /// Whether the reporting gateway has a usable path to the gateway.
     #[serde(rename = "road")]
     pub has_usable_path: bool,
-    /// The shortest round trip of the usable paths in milliseconds; `None` without one.
+    /// The shortest round trip of the usable paths in milliseconds; `None` without a usable path.
     pub round_trip_ms: Option<f64>,
 }
 
-/// The status of this gateway.
+/// The status of this gateway as of its last event.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Status {
     /// The site and name, as `SITE/GATEWAY`.
     pub gateway: String,
-    /// The state that this gateway announces, in words.
+    /// The state that this gateway announces, as text.
     #[serde(rename = "standing")]
     pub state: String,
-    /// Where its clients' requests go, in words.
+    /// Where its clients' requests go: `here`, `away` or `returning`.
     #[serde(rename = "home")]
     pub traffic_location: String,
-    /// Why its traffic was last moved, in words.
+    /// Why its traffic was last moved, as text.
     #[serde(rename = "why")]
     pub move_reason: String,
     /// The number of ready endpoints at the local site.
@@ -86,7 +86,7 @@
     /// The number of inbound requests that still run here.
     #[serde(rename = "owed_to_them")]
     pub open_inbound: usize,
-    /// The counters since the start.
+    /// The counters, written at the same level as the other fields.
     #[serde(flatten)]
     pub counters: Counters,
 }
@@ -124,7 +124,7 @@
 const UNHEARD: &str = "unheard";
 
 impl MultiSite {
-    /// The status as of the last event.
+    /// Returns the status as of the last event.
     pub fn status(&self) -> Status {
         let other_site = &self.config.other_site;
         let members = self
