--- a/crates/gateway/src/cli/arguments.rs
+++ b/crates/gateway/src/cli/arguments.rs
@@ -1,4 +1,5 @@
-//! Command line arguments. The doc comments are the help texts.
+//! Command line arguments. The doc comments are the help texts. Existing scripts fix the option names, so some differ from
+//! the Rust names.
 
 use std::path::PathBuf;
 use std::str::FromStr;
--- a/crates/gateway/src/config/environment.rs
+++ b/crates/gateway/src/config/environment.rs
@@ -6,11 +6,11 @@
 
 use super::error::{ConfigError, FileError};
 
-/// Name of this gateway.
+/// Sets the gateway's name.
 pub(super) const NAME_VARIABLE: &str = "LB_NAME";
-/// Address to listen on for clients.
+/// Sets the address to listen on for clients.
 pub(super) const LISTEN_VARIABLE: &str = "LB_LISTEN";
-/// Address of discovery.
+/// Sets the address of the discovery service.
 pub(super) const DISCOVERY_VARIABLE: &str = "LB_DISCOVERY";
 const LISTEN_FIELD: &str = "listen";
 
--- a/crates/gateway/src/config/error.rs
+++ b/crates/gateway/src/config/error.rs
@@ -21,17 +21,17 @@
     /// `LB_LISTEN` does not contain a socket address.
     #[error("LB_LISTEN {text}: {source}")]
     ListenVariable {
-        /// Value of the variable.
+        /// The variable's value, as set.
         text: String,
-        /// Parse error.
+        /// Why the value is not a socket address.
         source: AddrParseError,
     },
-    /// A file cannot be read or parsed.
+    /// The configuration or the extension file cannot be read or parsed.
     #[error("{}: {source}", path.display())]
     File {
         /// Path of the file.
         path: PathBuf,
-        /// Read or parse error.
+        /// Why the file cannot be read or parsed.
         source: FileError,
     },
     /// The policy settings are invalid.
@@ -39,7 +39,7 @@
     Settings {
         /// Path of the file.
         path: PathBuf,
-        /// Field and reason.
+        /// The invalid field below `settings`, and the reason.
         source: Box<SettingsError>,
     },
     /// The extension file is invalid.
@@ -47,10 +47,10 @@
     ExtensionFile {
         /// Path of the file.
         path: PathBuf,
-        /// Field and reason.
+        /// The invalid field, and the reason.
         source: Box<ExtensionError>,
     },
-    /// The extension is invalid, and its path is unknown.
+    /// The extension settings are invalid. The path of their file is not known here.
     #[error(transparent)]
     Extension(Box<ExtensionError>),
 }
@@ -103,7 +103,7 @@
     Site {
         /// Path of the field below `sites`.
         field: String,
-        /// Reason.
+        /// Why the field is invalid.
         source: SiteError,
     },
 }
@@ -117,7 +117,7 @@
     /// Both sites have the same name.
     #[error("'{site}' is this site's own name")]
     OwnSite {
-        /// Name of both sites.
+        /// The name that both sites have.
         site: String,
     },
     /// The list of gateways of the other site is empty.
@@ -126,7 +126,7 @@
     /// The configuration has no request class of this name.
     #[error("'{class}' is not a request class of the configuration")]
     UnknownClass {
-        /// Name in the extension file.
+        /// The class name in the extension file.
         class: String,
     },
     /// The certificate was issued to another gateway.
--- a/crates/gateway/src/config/extension.rs
+++ b/crates/gateway/src/config/extension.rs
@@ -1,4 +1,5 @@
-//! The extension file (`--with`): settings beyond the platform's configuration.
+//! The extension file (`--with`): settings beyond the platform's configuration. Existing files fix the names in the `rename`
+//! attributes, so some differ from the Rust names.
 
 use std::path::{Path, PathBuf};
 
@@ -26,7 +27,7 @@
     /// Leases, each held by one gateway at a time.
     #[serde(rename = "fleet")]
     pub(crate) leases: Option<LeaseConfig>,
-    /// Folder of the file, the base of relative paths in it.
+    /// Folder of the file. Relative paths in the file start from this folder.
     #[serde(skip)]
     folder: PathBuf,
 }
@@ -103,7 +104,7 @@
         sites + flows + leases
     }
 
-    /// Returns the folder of the file, the base of relative paths in it.
+    /// Returns the folder of the file, from which relative paths in the file start.
     pub(crate) fn folder(&self) -> &Path {
         &self.folder
     }
--- a/crates/gateway/src/config/gateway.rs
+++ b/crates/gateway/src/config/gateway.rs
@@ -1,4 +1,5 @@
-//! The platform's configuration of a gateway, read from its file and from the environment at startup and at a reload.
+//! The platform's configuration of a gateway, read from its file and from the environment at startup and at a reload. The
+//! platform fixes the names in the `rename` attributes, so some differ from the Rust names.
 
 use std::net::{AddrParseError, SocketAddr};
 use std::path::{Path, PathBuf};
@@ -30,7 +31,7 @@
     pub(crate) name: String,
     /// Address to listen on for clients.
     pub(crate) listen: SocketAddr,
-    /// Address of discovery.
+    /// Address of the discovery service.
     pub(crate) discovery: SocketAddr,
     #[serde(default)]
     seed: String,
--- a/crates/gateway/src/config/lease.rs
+++ b/crates/gateway/src/config/lease.rs
@@ -1,4 +1,5 @@
-//! Lease settings: the gateways, the electors among them, and the leases.
+//! Lease settings: the gateways, the electors among them, and the leases. Existing extension files fix the names in the
+//! `rename` attributes, so some differ from the Rust names.
 
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
@@ -126,7 +127,7 @@
     Settings {
         /// Name of the field below `fleet`.
         field: &'static str,
-        /// Reason.
+        /// Why the lease crate rejects the field.
         source: ConfigurationError,
     },
     /// The number of names differs from the number of peers.
@@ -134,7 +135,7 @@
         "fleet.gateways: {names} names for {peers} `peers` in the configuration: name each peer, in the same order"
     )]
     PeerCount {
-        /// Number of names.
+        /// Number of names in `gateways`.
         names: usize,
         /// Number of configured peers.
         peers: usize,
@@ -169,7 +170,7 @@
     VoteRatio {
         /// Name of the field below `fleet.steward`.
         field: &'static str,
-        /// Configured value.
+        /// The configured ratio; valid from 0 to below 1.
         ratio: f64,
     },
     /// The decision timeout is shorter than the lease.
@@ -185,7 +186,7 @@
     /// The injected clock rate is out of range.
     #[error("fleet.rehearsal.clock_rate: {rate} is out of range: set a rate from 0.5 to 2, or remove it outside of tests")]
     ClockRate {
-        /// Configured clock rate.
+        /// The configured rate, outside `CLOCK_RATES`.
         rate: f64,
     },
 }
--- a/crates/gateway/src/config/sites.rs
+++ b/crates/gateway/src/config/sites.rs
@@ -1,4 +1,5 @@
-//! Settings of the connections between two sites.
+//! Settings of the connections between two sites. Existing extension files fix the names in the `rename` attributes, so some
+//! differ from the Rust names.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
--- a/crates/gateway/src/control_plane/discovery_messages.rs
+++ b/crates/gateway/src/control_plane/discovery_messages.rs
@@ -1,4 +1,5 @@
-//! Endpoint list messages of the discovery service. All JSON names and paths of discovery are defined here.
+//! Endpoint list messages of the discovery service. The discovery protocol fixes their JSON names and paths; only this file
+//! uses them and maps them to the Rust names.
 
 use std::net::SocketAddr;
 
@@ -9,7 +10,7 @@
 
 use crate::upstream::EndpointInstance;
 
-/// Path of a snapshot request.
+/// Path that returns the whole endpoint list.
 pub(crate) const SNAPSHOT_PATH: &str = "/v1/endpoints";
 
 /// Path of the stream of changes since `version`.
@@ -42,7 +43,7 @@
     }
 }
 
-/// An endpoint in an endpoint list.
+/// An endpoint in an endpoint list, as discovery sends it.
 #[derive(Clone, Deserialize)]
 pub(crate) struct EndpointMessage {
     id: String,
--- a/crates/gateway/src/control_plane/rollout_messages.rs
+++ b/crates/gateway/src/control_plane/rollout_messages.rs
@@ -1,4 +1,5 @@
-//! Messages of the rollout platform. All JSON names and paths of the platform are defined here.
+//! Messages of the rollout platform. The platform fixes their JSON names and paths; only this file uses them and maps them to
+//! the Rust names.
 
 use harrierdock_types::{
     BuildId, PlatformStatus, RolloutDecision, RolloutPhase, RolloutUpdate, TimeDelta,
@@ -10,7 +11,7 @@
 /// Path to which votes are posted.
 pub(super) const VOTES_PATH: &str = "/apis/fleet/votes";
 
-/// State of the most recent rollout.
+/// State of the most recent rollout, as the platform sends it.
 #[derive(Clone, Copy, Debug, Deserialize)]
 pub(crate) struct RolloutMessage {
     #[serde(rename = "image")]
@@ -25,7 +26,7 @@
     age_ms: i64,
 }
 
-/// Rollout phases in the order in which a build passes through them. The derived order relies on it.
+/// Rollout phases in the order in which a build passes through them. The derived `Ord` depends on the order of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Deserialize)]
 enum PhaseMessage {
     #[serde(rename = "trial")]
@@ -79,7 +80,7 @@
     }
 }
 
-/// A line of the event stream.
+/// A line of the event stream: a rollout state or a complaint.
 #[derive(Deserialize)]
 #[serde(tag = "type", content = "object")]
 pub(super) enum EventMessage {
@@ -97,7 +98,7 @@
     /// Name of the endpoint that sent the response.
     #[serde(rename = "host")]
     pub(super) endpoint: String,
-    /// Name of the request class.
+    /// Name of the request class of the response.
     #[serde(rename = "type")]
     pub(super) class: String,
     /// Must be present and valid, but is not used.
@@ -105,7 +106,7 @@
     _age_ms: i64,
 }
 
-/// Name of a decision in a vote.
+/// Returns the platform's name for a decision.
 pub(super) fn decision_name(decision: RolloutDecision) -> &'static str {
     match decision {
         RolloutDecision::Withdraw => "clear",
@@ -115,7 +116,7 @@
     }
 }
 
-/// JSON body of a vote.
+/// Formats the JSON body of a vote.
 pub(super) fn vote_body(build: BuildId, stage: usize, decision: RolloutDecision) -> String {
     let opinion = decision_name(decision);
     format!(r#"{{"image":{build},"ring":{stage},"opinion":"{opinion}"}}"#)
--- a/crates/gateway/src/dispatch/answers.rs
+++ b/crates/gateway/src/dispatch/answers.rs
@@ -1,4 +1,4 @@
-//! Answers: every request gets exactly one, from an endpoint, from the policy or at its deadline.
+//! Answers. Every request gets exactly one: an endpoint's response, the policy's rejection, or a failure at the deadline.
 
 use harrierdock_flow_metering::FlowOutcome;
 use harrierdock_multi_site::{Event as MultiSiteEvent, RequestEnd};
--- a/crates/gateway/src/dispatch/preconditions.rs
+++ b/crates/gateway/src/dispatch/preconditions.rs
@@ -1,5 +1,5 @@
 //! Preconditions: each attempt records the state that its decision relied on. The attempt is cancelled before its last byte is
-//! written if that state no longer holds.
+//! written if the recorded state no longer holds.
 
 use harrierdock_attempt_guard::{CurrentState, ListedEndpoint, Precondition, Violation};
 use harrierdock_event_loop::ConnectionId;
--- a/crates/gateway/src/dispatch/rollout.rs
+++ b/crates/gateway/src/dispatch/rollout.rs
@@ -142,7 +142,7 @@
     }
 
     /// Handles readiness of a command's connection. Checks the lease only when the command can be
-    /// written, since the lease may expire before that.
+    /// written, since the lease may expire while the connection is established.
     pub(crate) fn handle_rollout_command_readiness(
         &mut self,
         connection_id: ConnectionId,
--- a/crates/gateway/src/downstream/connection.rs
+++ b/crates/gateway/src/downstream/connection.rs
@@ -38,7 +38,7 @@
 /// How a connection is idle, and since when.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Idle {
-    /// The reason why no request is under way.
+    /// What the connection is waiting for.
     pub(super) kind: IdleKind,
     /// Start of the idle time.
     pub(super) since: Timestamp,
--- a/crates/gateway/src/downstream/mod.rs
+++ b/crates/gateway/src/downstream/mod.rs
@@ -135,7 +135,7 @@
     }
 
     /// Reads the client's connection and returns whether the client still waits for this request. The client may have
-    /// disconnected while the event loop handled other sockets; no attempt may be sent for it after that.
+    /// disconnected while the event loop handled other sockets; no attempt may be sent for a client that has disconnected.
     pub(crate) fn is_client_waiting(&mut self, context: &mut Context, id: RequestId) -> bool {
         if let Some(connection_id) = self.waiting.connection_of(id) {
             self.handle_readiness(context, connection_id, READABLE);
--- a/crates/gateway/src/downstream/request_parser.rs
+++ b/crates/gateway/src/downstream/request_parser.rs
@@ -1,4 +1,4 @@
-//! Parses request heads of clients. All paths, header fields and parameters that clients use on the wire are defined here.
+//! Parses request heads of clients. The client protocol fixes the paths, header fields and parameters, which are defined here.
 
 use harrierdock_config::ClassNames;
 use harrierdock_http::RequestHead;
@@ -6,7 +6,7 @@
 
 use crate::runtime::context::OutboundRequest;
 
-/// Longest request id that is accepted.
+/// A longer request id makes the request invalid.
 const MAX_ID_BYTES: usize = 64;
 
 const READY_PATH: &str = "/ready";
@@ -48,7 +48,7 @@
     pub(super) client_request_id: &'head str,
     /// Request class that the client named.
     pub(super) class: ClassId,
-    /// Affinity key, if the request has one.
+    /// Affinity key; `None` if the request has none.
     pub(super) key: Option<AffinityKey>,
     /// Whether the client marked the request as a retry.
     pub(super) is_client_retry: bool,
--- a/crates/gateway/src/lease/participant.rs
+++ b/crates/gateway/src/lease/participant.rs
@@ -19,21 +19,21 @@
 pub(crate) enum LeaseAction {
     /// Send a message to a peer.
     Send {
-        /// The receiver.
+        /// The peer to send the message to.
         to: PeerId,
         /// The encoded message.
         bytes: Vec<u8>,
     },
     /// Record that this gateway holds a lease from now on.
     Acquired {
-        /// The acquired lease.
+        /// The lease that this gateway now holds.
         lease: LeaseName,
         /// The epoch to send along with operations under the lease.
         epoch: Epoch,
     },
     /// Record that this gateway no longer holds a lease.
     Lost {
-        /// The lost lease.
+        /// The lease that expired, was transferred, or was superseded by a newer epoch.
         lease: LeaseName,
     },
     /// Set the timer to this time, replacing the previous timer.
@@ -49,8 +49,8 @@
 }
 
 impl UndecodableMessages {
-    /// Counts a message, and logs the count if the last log line is old enough. One line per interval is enough to notice a faulty
-    /// path or a gateway of another version.
+    /// Counts a message. Logs the count and resets it, at most once per `UNDECODABLE_LOG_INTERVAL`: one line is enough to
+    /// notice a faulty path or a gateway of another version.
     fn record(&mut self, now: Timestamp, sender: &str, error: &DecodeError) {
         self.unlogged_count += 1;
         let is_log_due = self
@@ -80,7 +80,7 @@
 
 /// This gateway's part in the leases.
 pub(crate) struct LeaseParticipant {
-    /// When the timer fires; `None` if it isn't set. The dispatcher sets this.
+    /// When the timer fires; `None` if no timer is set. Set by the dispatcher.
     pub(crate) timer_deadline: Option<Timestamp>,
     manager: LeaseManager,
     settings: LeaseConfig,
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -1,4 +1,5 @@
-//! Counters of a gateway process, and the log line that prints them.
+//! Counters of a gateway process, and the log line that prints them. Tools parse the names in the log line, so some differ from
+//! the Rust names.
 
 use std::fmt;
 
--- a/crates/gateway/src/multi_site/forwarding.rs
+++ b/crates/gateway/src/multi_site/forwarding.rs
@@ -29,7 +29,7 @@
 use crate::runtime::context::{Context, OutboundRequest};
 use crate::runtime::timer::Timer;
 
-/// The maximum length of a received datagram.
+/// A longer datagram is truncated on receipt.
 const MAX_DATAGRAM_BYTES: usize = 2048;
 /// Datagrams read per iteration of the event loop, so that a flood of datagrams doesn't delay requests.
 const MAX_READS_PER_ITERATION: usize = 64;
@@ -38,7 +38,7 @@
 /// Responses stored for the other site may take up this fraction of the memory limit.
 const STORED_RESPONSE_MEMORY_DIVISOR: usize = 32;
 const BYTES_PER_MEGABYTE: usize = 1 << 20;
-/// The timer is not changed if the transport's deadline moves by less than this.
+/// The timer is not reset if the transport's deadline moves by less than this.
 const TIMER_SLACK_MICROS: i64 = 1000;
 
 /// An error on opening the transport to the other site or on reloading its keys.
@@ -59,7 +59,7 @@
     /// The UDP socket cannot be bound.
     #[error("sites.listen: {address}: {source}")]
     Listen {
-        /// The configured address.
+        /// The address in `sites.listen`.
         address: SocketAddr,
         /// The error of the system call.
         source: io::Error,
@@ -71,7 +71,7 @@
 
 /// The outcome of an inbound request, to send to the other site.
 pub(crate) struct InboundAnswer {
-    /// How the request ended.
+    /// Whether the request succeeded, was rejected, or failed.
     pub(crate) outcome: ForwardingOutcome,
     /// The build of the endpoint that answered, if one did.
     pub(crate) build: Option<BuildId>,
@@ -92,15 +92,15 @@
 
 /// The attributes of a request that are forwarded besides its HTTP fields.
 pub(crate) struct OutboundAttributes {
-    /// The name of its request class.
+    /// The name of the request class.
     pub(crate) class: String,
-    /// Its affinity key, if the client sent one.
+    /// The affinity key; `None` if the client sent none.
     pub(crate) key: Option<AffinityKey>,
-    /// Whether its client has sent it before.
+    /// Whether the client has sent the request before.
     pub(crate) is_client_retry: bool,
-    /// The oldest build that may answer requests with its affinity key; 0 for any.
+    /// The oldest build that may answer requests with this affinity key; 0 for any.
     pub(crate) sticky_build: BuildId,
-    /// The time until its deadline.
+    /// The time until the request's deadline.
     pub(crate) time_left: TimeDelta,
 }
 
@@ -143,7 +143,7 @@
     pub(crate) sites_deadline: Option<Timestamp>,
     /// The refused connections that are not logged yet.
     pub(crate) refusals: Refusals,
-    /// The name of the other site.
+    /// The other site's name. A reload cannot change it.
     pub(crate) other_site: String,
     local_name: GatewayName,
     socket: Rc<UdpSocket>,
--- a/crates/gateway/src/multi_site/inbound.rs
+++ b/crates/gateway/src/multi_site/inbound.rs
@@ -1,4 +1,4 @@
-//! The open requests from the other site, with the messages that forwarded them.
+//! The unanswered requests from the other site, each with the message that forwarded it.
 
 use std::collections::BTreeMap;
 
@@ -8,13 +8,13 @@
 
 use crate::runtime::context::OutboundRequest;
 
-/// An open request from the other site.
+/// An unanswered request from the other site.
 struct Inbound {
     inbound_id: InboundId,
     message: ForwardedRequest,
 }
 
-/// The inbound requests that have not been answered.
+/// The unanswered inbound requests, by their id in the request table and by inbound id.
 #[derive(Default)]
 pub(crate) struct InboundRequests {
     by_id: BTreeMap<RequestId, Inbound>,
@@ -46,12 +46,12 @@
         Some(inbound_id)
     }
 
-    /// The id in the request table of an inbound request; `None` once it is answered.
+    /// Returns an inbound request's id in the request table; `None` once the request is answered.
     pub(crate) fn request_id(&self, inbound_id: InboundId) -> Option<RequestId> {
         self.by_inbound_id.get(&inbound_id).copied()
     }
 
-    /// The HTTP fields of a request as its client sent them.
+    /// Returns the HTTP fields of an inbound request, as the client sent them.
     pub(crate) fn outbound_request(&self, id: RequestId) -> Option<OutboundRequest<'_>> {
         let message = &self.by_id.get(&id)?.message;
         Some(OutboundRequest {
--- a/crates/gateway/src/rollout/commands.rs
+++ b/crates/gateway/src/rollout/commands.rs
@@ -15,37 +15,37 @@
 use super::log;
 use crate::config::lease::RolloutControllerConfig;
 
-/// A retry waits for the command timeout divided by this.
+/// The delay before a retry is the command timeout divided by this.
 const RETRY_DELAY_DIVISOR: f64 = 2.0;
 
 /// Durations for commands and votes that do not come from the rollout controller's settings.
 pub(crate) struct CommandTimes {
     /// How long a vote counts after it was cast.
     pub(crate) vote_ttl: TimeDelta,
-    /// The timeout of a command.
+    /// How long a command may take, from connecting to its response.
     pub(crate) timeout: TimeDelta,
-    /// The interval at which leases are renewed.
+    /// The interval at which the lease holder renews its leases.
     pub(crate) heartbeat: TimeDelta,
 }
 
 /// The gateway that sends commands, with the settings of its rollout controller.
 pub(crate) struct CommandSender<'a> {
-    /// The settings of the rollout controller.
+    /// The settings of the rollout controller, which include the address that commands are sent to.
     pub(crate) settings: &'a RolloutControllerConfig,
-    /// The name of this gateway.
+    /// The gateway's name, which each command contains.
     pub(crate) name: &'a str,
-    /// The peer id of this gateway.
+    /// The gateway's own peer id.
     pub(crate) local_peer: PeerId,
     /// The number of gateways in the fleet.
     pub(crate) gateway_count: usize,
 }
 
-/// A command to send.
+/// A command that the rollout controller has decided to send.
 #[derive(Clone, Copy)]
 pub(crate) struct Command {
     /// The stage to change, and the decision to carry out.
     pub(crate) vote: Vote,
-    /// Whether it was sent before.
+    /// Whether the command was sent before.
     pub(crate) is_retry: bool,
 }
 
@@ -54,7 +54,7 @@
     connection_id: ConnectionId,
     command: Command,
     exchange: RequestExchange,
-    /// The epoch under which the command was written; `None` before that.
+    /// The epoch under which the command was written; `None` until the command is written.
     epoch: Option<Epoch>,
     deadline: Timestamp,
 }
@@ -67,13 +67,13 @@
     pub(crate) outcome: CallOutcome,
     /// The later epoch for which the deployment controller rejected the command; `None` without such a rejection.
     pub(crate) later_epoch: Option<Epoch>,
-    /// The connection of the command, which is closed.
+    /// The connection that the command was sent on; already closed.
     pub(crate) connection_id: ConnectionId,
-    /// When the command's timer fires, to cancel it.
+    /// When the command's timer fires; used to cancel the timer.
     pub(crate) deadline: Timestamp,
 }
 
-/// How a command ended, by its response or without one.
+/// How a command ended, with or without a response.
 struct CommandResult {
     outcome: CallOutcome,
     later_epoch: Option<Epoch>,
@@ -124,7 +124,7 @@
 }
 
 impl RolloutCommands {
-    /// Starts without a pending command.
+    /// Creates the rollout controller of this gateway. No command is pending.
     pub(crate) fn new(
         now: Timestamp,
         sender: &CommandSender<'_>,
--- a/crates/gateway/src/rollout/deployment_messages.rs
+++ b/crates/gateway/src/rollout/deployment_messages.rs
@@ -1,4 +1,5 @@
-//! The JSON messages of the deployment controller's API. All its field names and its path are in this file.
+//! The JSON messages of the deployment controller's API. The API fixes their field names and the path; only this file uses
+//! them and maps them to the Rust names.
 
 use harrierdock_lease::Epoch;
 use harrierdock_rollout_controller::{Decision, Vote};
@@ -22,9 +23,9 @@
 pub(super) struct CommandMessage<'a> {
     /// The stage to change, and the decision to carry out.
     pub(super) vote: Vote,
-    /// The epoch of the lease, as fencing token.
+    /// The epoch of the lease, which serves as the fencing token.
     pub(super) epoch: Epoch,
-    /// The name of this gateway.
+    /// The name of the gateway that sends the command.
     pub(super) gateway: &'a str,
     /// The incarnation of this gateway: Unix time in milliseconds.
     pub(super) incarnation: u64,
@@ -49,7 +50,7 @@
     }
 }
 
-/// The name of a decision in commands.
+/// Returns the API's name for a decision.
 fn decision_name(decision: Decision) -> &'static str {
     match decision {
         Decision::Promote => "on",
--- a/crates/gateway/src/rollout/log.rs
+++ b/crates/gateway/src/rollout/log.rs
@@ -2,7 +2,7 @@
 
 use harrierdock_rollout_controller::{Decision, Notice, Vote};
 
-/// The text for a command in log lines.
+/// Describes a command for log lines.
 pub(super) fn describe(vote: Vote) -> String {
     let stage = vote.stage;
     format!(
--- a/crates/gateway/src/upstream/mod.rs
+++ b/crates/gateway/src/upstream/mod.rs
@@ -29,7 +29,7 @@
     pub(crate) attempt: usize,
 }
 
-/// An attempt to start.
+/// The parameters of `Upstream::start_attempt`.
 pub(crate) struct AttemptStart {
     /// The request and the attempt's number.
     pub(crate) id: AttemptId,
--- a/crates/gateway/src/upstream/wire.rs
+++ b/crates/gateway/src/upstream/wire.rs
@@ -1,4 +1,4 @@
-//! The wire format of requests to endpoints and of their responses, with the header names that endpoints use.
+//! The wire format of requests to endpoints and of their responses. The endpoint protocol fixes the header names.
 
 use std::net::SocketAddr;
 
--- a/crates/gateway/tests/leases/held_listener.rs
+++ b/crates/gateway/tests/leases/held_listener.rs
@@ -7,7 +7,7 @@
 
 use socket2::{Domain, Socket, Type};
 
-/// Its backlog is full, so the kernel leaves the SYN of every further connection unacknowledged.
+/// A listener whose backlog is full, so the kernel leaves the SYN of every further connection unacknowledged.
 pub struct HeldListener {
     listener: TcpListener,
     /// Fills the backlog.
--- a/crates/gateway/tests/sockets/attempts.rs
+++ b/crates/gateway/tests/sockets/attempts.rs
@@ -23,7 +23,8 @@
         trace.note(format!("client: {answer}"));
         wait_for_connection_reuse();
     }
-    // A second client connection. Its chunked body, sent only after "100 Continue", must reach the endpoint whole.
+    // A second client connection. The client sends its chunked body only after "100 Continue", and the body must reach the
+    // endpoint whole.
     let mut second = gateway.client();
     let head = "POST /api HTTP/1.1\r\nX-Txn: c1\r\nX-Lane: lodge\r\nX-Remaining-Ms: 9000\r\n";
     second.send(format!(
--- a/crates/gateway/tests/sockets/discovery.rs
+++ b/crates/gateway/tests/sockets/discovery.rs
@@ -166,8 +166,8 @@
     );
 }
 
-/// Starts a discovery service that handles one request at a time, each for `work`. A request that waits over 2 s is refused
-/// after 2 s, but still takes its processing time. One that would wait over 5 s is refused at once.
+/// Starts a discovery service that handles one request at a time and takes `work` for each. A request that waits longer than
+/// 2 s is refused after 2 s, but still takes its processing time. A request that would wait longer than 5 s is refused at once.
 fn shared_discovery(trace: &Trace, work: Duration) -> SocketAddr {
     let (trace, free_at) = (trace.clone(), Mutex::new(Instant::now()));
     let (max_wait, max_queue) = (Duration::from_secs(2), Duration::from_secs(5));
@@ -216,7 +216,7 @@
             start_gateway(&config)
         })
         .collect();
-    // If all retried at once, requests that were already given up would use all of discovery's capacity.
+    // If all gateways retried at once, discovery would spend its whole capacity on requests that were already given up.
     gateways
         .iter()
         .for_each(|gateway| drop(gateway.wait_for_log_line("discovery: list 42 ")));
--- a/crates/gateway/tests/sockets/early_clients.rs
+++ b/crates/gateway/tests/sockets/early_clients.rs
@@ -18,7 +18,7 @@
 pub const DELAY: Duration = Duration::from_millis(400);
 /// How far the remaining time sent to an endpoint may differ from the actual one.
 pub const SLACK: Duration = Duration::from_millis(150);
-/// The shortest time from SIGTERM to a kill by the platform. The longest timeout of a request class here is 3 s.
+/// The shortest time from SIGTERM until the platform may kill the process. The longest timeout of a request class here is 3 s.
 const EARLIEST_KILL: Duration = Duration::from_millis(3_700);
 /// Number of clients that connect before the configuration is written.
 const CLIENTS: usize = 200;
@@ -350,7 +350,7 @@
     assert_eq!(lines, [expected]);
 }
 
-// Guards against ignoring the duration of the start: the endpoint would work for a client that no longer waits.
+// Guards against ignoring the duration of startup: the endpoint would work for a client that no longer waits.
 #[test]
 fn time_spent_waiting_for_the_start_is_deducted_from_the_remaining_time() {
     let trace = Trace::default();
@@ -371,7 +371,7 @@
     assert_eq!(client.receive(), "200 answer");
 }
 
-// Guards against deducting time from a client that did not wait: a start without clients is not time in the accept queue.
+// Guards against deducting time from a client that did not wait: a startup without clients is not time in the accept queue.
 #[test]
 fn a_client_that_connects_after_a_start_without_clients_keeps_its_full_time() {
     let trace = Trace::default();
--- a/crates/gateway/tests/sockets/graceful_shutdown.rs
+++ b/crates/gateway/tests/sockets/graceful_shutdown.rs
@@ -8,7 +8,7 @@
 
 use crate::support::*;
 
-/// The shortest time from SIGTERM to a kill by the platform. The longest timeout of a request class here is 3 s.
+/// The shortest time from SIGTERM until the platform may kill the process. The longest timeout of a request class here is 3 s.
 const EARLIEST_KILL: Duration = Duration::from_millis(3_700);
 /// The longest time that a gateway process may be suspended.
 const MAX_STALL: Duration = Duration::from_millis(150);
@@ -100,7 +100,7 @@
     assert_eq!(idle.receive(), "closed");
     late.send(last);
     trace.wait("a1", 1);
-    // The earliest kill is 3 s later; 0.5 s of that is reserved for setting up a connection.
+    // The platform may kill the process 3 s later; 0.5 s of that time is reserved for setting up a connection.
     let left: i64 = trace
         .text()
         .trim()
--- a/crates/gateway/tests/sockets/resource_limits.rs
+++ b/crates/gateway/tests/sockets/resource_limits.rs
@@ -151,7 +151,7 @@
         assert_eq!(client.request("GET /ready HTTP/1.1\r\n\r\n"), "503");
         clients.push(client);
     }
-    // A third of the descriptors is for clients, and half of those may be idle.
+    // A third of the descriptors is for clients, and half of that third may be idle.
     let (first, last) = clients.split_at_mut(5);
     assert!(first.iter_mut().all(|c| c.receive() == "closed"));
     assert!(last
--- a/crates/gateway/tests/sockets/start_order.rs
+++ b/crates/gateway/tests/sockets/start_order.rs
@@ -1,4 +1,4 @@
-//! The order of startup steps, and the waiting time deducted from early clients.
+//! The order of startup steps, and the waiting time that is deducted from the remaining time of early clients.
 
 use std::net::{SocketAddr, TcpStream};
 use std::process::Command;
@@ -15,7 +15,7 @@
 const ACCEPT_BATCH: usize = 64;
 /// The remaining time that a client sends, in milliseconds.
 const GRANTED_MS: u32 = 5_000;
-/// A remaining time that is shorter than a long start.
+/// A remaining time that is shorter than a long startup.
 const SHORT_MS: u32 = 350;
 /// Number of clients that connect while only `FREE_DESCRIPTORS` are free.
 const CLIENTS: usize = 100;
@@ -37,7 +37,7 @@
     read_remaining_time(trace, "a1")
 }
 
-// Guards against deducting waiting time although the queue is empty, because the accept batch that emptied it was full.
+// Guards against deducting waiting time although the accept queue is empty, because the batch that emptied the queue was full.
 #[test]
 fn a_client_that_connects_after_a_full_accept_batch_keeps_its_full_time() {
     let trace = Trace::default();
@@ -53,7 +53,7 @@
     assert!(sent >= granted - SLACK, "{sent:?} sent");
 }
 
-// Guards against deducting waiting time although the queue is empty, because the clients before used up the descriptors.
+// Guards against deducting waiting time although the accept queue is empty, because earlier clients used up the descriptors.
 #[test]
 fn a_client_that_connects_after_a_descriptor_shortage_keeps_its_full_time() {
     let trace = Trace::default();
@@ -76,8 +76,8 @@
     assert!(sent >= granted - SLACK, "{sent:?} sent");
 }
 
-// Guards against a listener that stays paused until the next maintenance although descriptors are free again: every four
-// clients delayed the next four by half a second.
+// Guards against a listener that stays paused until the next maintenance although descriptors are free again: each batch of
+// four clients would delay the next four by half a second.
 #[test]
 fn early_clients_over_the_descriptor_limit_are_accepted_as_soon_as_others_disconnect() {
     let one = endpoint("one", &Trace::default(), &[EndpointBehavior::Succeed]);
@@ -101,7 +101,8 @@
     assert!(took < MAX_ANSWER_TIME, "{took:?}");
 }
 
-// Guards against failing a request because the start took longer than its timeout, although it arrived at the end of the start.
+// Guards against failing a request because startup took longer than the request's timeout, although the request arrived when
+// startup was about to end.
 #[test]
 fn a_client_that_comes_at_the_end_of_a_long_start_keeps_its_time() {
     let trace = Trace::default();
@@ -119,7 +120,7 @@
     assert_eq!(answer, "200 answer", "after {:?}", written_at.elapsed());
 }
 
-// Guards against rejecting a request because the first list arrives after the start, although the client can wait.
+// Guards against rejecting a request because the first endpoint list arrives after startup, although the client can wait.
 #[test]
 fn a_client_that_comes_before_the_first_list_waits_for_it() {
     let one = endpoint("one", &Trace::default(), &[EndpointBehavior::Succeed]);
--- a/crates/gateway/tests/sockets/sticky_versions.rs
+++ b/crates/gateway/tests/sockets/sticky_versions.rs
@@ -1,5 +1,5 @@
-//! Sticky versions when rollout updates are repeated. After a reconnect, the platform sends again the newest rollout state that
-//! is known on its side of a network partition.
+//! Sticky versions when rollout updates are repeated. After a reconnect, the platform repeats the newest rollout state that it
+//! knows; during a network partition, this state may be outdated.
 
 use crate::support::*;
 
--- a/crates/multi-site/src/action.rs
+++ b/crates/multi-site/src/action.rs
@@ -14,18 +14,18 @@
     ServeLocally {
         /// The client's request.
         id: RequestId,
-        /// The time until its deadline.
+        /// The time until the request's deadline.
         remaining: TimeDelta,
     },
     /// Forward a client's request.
     Forward {
         /// The client's request.
         id: RequestId,
-        /// The path to send it on.
+        /// The path to forward the request on.
         path: PathId,
         /// This gateway's id for the forwarded request.
         forwarding_id: u64,
-        /// The receiver's incarnation. A receiver that now runs under another one refuses the request.
+        /// The receiver's incarnation. A receiver that now has another incarnation refuses the request.
         receiver_incarnation: u64,
         /// The sequence number of the newest heartbeat sent before the request.
         heartbeat_sequence: u32,
@@ -45,7 +45,7 @@
     Reject {
         /// The client's request.
         id: RequestId,
-        /// When the client should retry; `None` if it gets no hint.
+        /// When the client should retry; `None` to send no `Retry-After`.
         retry_after: Option<TimeDelta>,
     },
     /// Fail a client's request: whether it took effect is unknown.
@@ -57,13 +57,13 @@
     ServeInbound {
         /// This gateway's id for the inbound request.
         inbound: InboundId,
-        /// Its request class at this gateway.
+        /// The request class, by this gateway's ids.
         class: ClassId,
-        /// Its affinity key, if the client sent one.
+        /// The affinity key; `None` if the client sent none.
         key: Option<AffinityKey>,
-        /// The time until its deadline.
+        /// The time until the request's deadline.
         remaining: TimeDelta,
-        /// The message that forwarded it.
+        /// The message that forwarded the request.
         request: ForwardedRequest,
     },
     /// Abandon an inbound request, as if its client had disconnected.
@@ -85,7 +85,7 @@
     },
     /// Send a message to the gateway at the other end of a path.
     Send {
-        /// The path to send it on.
+        /// The path to send the message on.
         path: PathId,
         /// The message to encode and send.
         message: SiteMessage,
@@ -111,18 +111,18 @@
     Member {
         /// The gateway whose record changed.
         gateway: GatewayName,
-        /// Its new state.
+        /// The gateway's new state.
         state: MemberState,
-        /// Whether its former state was suspected or lost.
+        /// Whether the gateway's former state was suspected or lost.
         returned: bool,
-        /// Whether its incarnation has changed.
+        /// Whether the gateway's incarnation has changed.
         restarted: bool,
     },
     /// This gateway's traffic was moved between the sites.
     TrafficMoved {
         /// Where the traffic goes now.
         location: TrafficLocation,
-        /// Why it was moved.
+        /// Why the traffic was moved.
         reason: MoveReason,
     },
     /// Responses arrived that matched no open forwarded request.
--- a/crates/multi-site/src/event.rs
+++ b/crates/multi-site/src/event.rs
@@ -12,20 +12,20 @@
 pub enum OperatorCommand {
     /// Forward all requests, and accept none from the other site.
     Drain,
-    /// Undo the drain.
+    /// End the drain, so that local endpoints serve requests again.
     Resume,
 }
 
 /// How a request that the local policy handled has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestEnd {
-    /// An endpoint answered it.
+    /// An endpoint answered the request.
     Succeeded,
-    /// It was rejected without having run.
+    /// The request was rejected without having run.
     Rejected,
-    /// It failed, or was rejected although it may have run.
+    /// The request failed, or was rejected although it may have run.
     Failed,
-    /// Its client disconnected.
+    /// The client disconnected before the request was answered.
     ClientDisconnected,
 }
 
@@ -36,18 +36,18 @@
     RequestReceived {
         /// This gateway's id for the request.
         id: RequestId,
-        /// The request class.
+        /// The request class that the client named.
         class: ClassId,
-        /// The time until its deadline.
+        /// The time until the request's deadline.
         remaining: TimeDelta,
     },
     /// The local policy is about to reject a client's request that has not run.
     LocallyRejected {
         /// The request from [`Event::RequestReceived`].
         id: RequestId,
-        /// The request class.
+        /// The request class that the client named.
         class: ClassId,
-        /// The time until its deadline.
+        /// The time until the request's deadline.
         remaining: TimeDelta,
     },
     /// The client of a request disconnected.
@@ -57,11 +57,11 @@
     },
     /// The local policy has finished a client's or an inbound request.
     RequestEnded {
-        /// The request class.
+        /// The class of the request that ended.
         class: ClassId,
-        /// How the request ended.
+        /// Whether the request succeeded, was rejected or failed, or lost its client.
         end: RequestEnd,
-        /// The time from its receipt to its end.
+        /// The time from the request's receipt to its end.
         elapsed: TimeDelta,
     },
     /// The local policy has completed an inbound request.
@@ -84,7 +84,7 @@
     PathOpened {
         /// The id of the new path.
         path: PathId,
-        /// The gateway at its other end.
+        /// The gateway at the path's other end.
         peer: GatewayName,
     },
     /// A path was closed or its connection was lost.
@@ -101,7 +101,7 @@
     },
     /// A message arrived from the other site.
     MessageReceived {
-        /// The path on which it arrived.
+        /// The path on which the message arrived.
         path: PathId,
         /// The decoded message.
         message: SiteMessage,
--- a/crates/multi-site/src/failover.rs
+++ b/crates/multi-site/src/failover.rs
@@ -15,12 +15,12 @@
 /// Traffic returns once [`PROBE_SUCCESSES`] of the latest [`PROBES_CONSIDERED`] probes succeeded.
 const PROBES_CONSIDERED: usize = 5;
 const PROBE_SUCCESSES: usize = 4;
-/// The minimum duration of a failover. It doubles with each failover within [`FLAPPING_WINDOW`] of the last, so that a
+/// The minimum duration of a failover. It doubles with each failover within [`FLAPPING_WINDOW`] of the last one, so that a
 /// site that keeps failing and recovering starts at most five failovers in a minute.
 const MIN_FAILOVER: TimeDelta = TimeDelta(2_000_000);
 const MAX_MIN_FAILOVER: TimeDelta = TimeDelta(30_000_000);
 const FLAPPING_WINDOW: TimeDelta = TimeDelta(60_000_000);
-/// Makes the random numbers differ from those of membership, which uses the same seed.
+/// XORed into the seed, since membership uses the same seed and must draw other random numbers.
 const SEED_SALT: u64 = 0x5157;
 
 /// The result of one request at the local site's endpoints.
--- a/crates/multi-site/src/membership/connections.rs
+++ b/crates/multi-site/src/membership/connections.rs
@@ -7,14 +7,14 @@
 use super::{Membership, MembershipAction, Path};
 use crate::HEARTBEAT_INTERVAL;
 
-/// How many paths a gateway opens itself. Other gateways open as many to it on average.
+/// How many paths a gateway opens. On average, other gateways open the same number of paths to it.
 const OPENED_PATHS: usize = 3;
 /// The maximum number of paths, whichever end opened them.
 const MAX_PATHS: usize = 8 * OPENED_PATHS;
 /// Heartbeat intervals before the first retry of a failed connect, and their maximum. The delay doubles with each failure.
 const CONNECT_RETRY_INTERVALS: f64 = 2.0;
 const MAX_CONNECT_RETRY_INTERVALS: f64 = 32.0;
-/// Keeps the power of two in the retry delay small.
+/// Limits the exponent of the retry delay before `MAX_CONNECT_RETRY_INTERVALS` is applied.
 const MAX_CONNECT_RETRY_DOUBLINGS: u32 = 16;
 
 /// A gateway to which a path may be opened. Sorts by rank, with unavailable (leaving, suspected or lost) gateways last.
@@ -33,7 +33,7 @@
 }
 
 impl Membership {
-    /// Adds a path that either end opened. Closes it again if there are too many.
+    /// Adds a path that either end opened. Closes the new path if the limit of paths is exceeded.
     pub fn handle_path_opened(
         &mut self,
         now: Timestamp,
@@ -160,7 +160,7 @@
         }
     }
 
-    /// Closes one path that this end opened before it knew of better-ranked gateways.
+    /// Closes one path that this end opened before it knew of gateways with a lower rank.
     fn close_surplus_path(&mut self, wanted: &[GatewayName]) {
         let is_surplus = |path: &Path| path.opened_here && !wanted.contains(&path.peer);
         let surplus = self.paths.iter().find(|(_, path)| is_surplus(path));
--- a/crates/multi-site/src/membership/member.rs
+++ b/crates/multi-site/src/membership/member.rs
@@ -16,7 +16,7 @@
     pub(super) failed_connects: u32,
     pub(super) next_connect: Timestamp,
     pub(super) is_connecting: bool,
-    /// Its rendezvous rank; paths are opened to the lowest ranks first.
+    /// The gateway's rendezvous rank; paths are opened to the lowest ranks first.
     pub(super) rank: u64,
 }
 
--- a/crates/multi-site/src/membership/mod.rs
+++ b/crates/multi-site/src/membership/mod.rs
@@ -54,7 +54,7 @@
     PeerRestarted {
         /// The restarted gateway.
         peer: GatewayName,
-        /// Its new incarnation.
+        /// The gateway's new incarnation.
         incarnation: u64,
     },
 }
@@ -62,7 +62,7 @@
 /// A heartbeat with the path to send it on.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PathHeartbeat {
-    /// The path to send it on.
+    /// The path to send the heartbeat on.
     pub path: PathId,
     /// The heartbeat; its demand and grants are still empty.
     pub heartbeat: Heartbeat,
@@ -77,7 +77,7 @@
     pub heartbeats: Vec<PathHeartbeat>,
 }
 
-/// One gateway's view of all gateways, and its own paths.
+/// One gateway's view of all gateways, and the paths of this one gateway.
 pub struct Membership {
     own: MemberRecord,
     /// In how many heartbeat intervals the own record was sent since it last changed.
@@ -89,7 +89,7 @@
     heartbeat_sequence: u32,
     /// When the latest heartbeats were sent, indexed by sequence number modulo the length.
     sent_at: [Timestamp; HEARTBEATS_REMEMBERED],
-    /// The gateway at which repeating old records continues.
+    /// The gateway whose record is the next old one to repeat.
     next_repeated: Option<GatewayName>,
     actions: Vec<MembershipAction>,
 }
@@ -169,7 +169,7 @@
         self.paths.values().any(|p| p.is_usable && p.peer == *peer)
     }
 
-    /// A usable path to this gateway; the preferred one if that is usable.
+    /// A usable path to this gateway: the preferred path if it is usable, else any other.
     pub fn usable_path_to(&self, peer: &GatewayName, preferred: Option<PathId>) -> Option<PathId> {
         let is_usable = |id: &PathId| {
             let path = self.paths.get(id);
@@ -187,7 +187,7 @@
 
     /// The maximum age of a message that the other end sent after its heartbeat with this sequence number. `None` if unknown.
     ///
-    /// Needs no clock of the other end: the age is counted from when that heartbeat, or an earlier one, was received here.
+    /// Needs no clock of the other end: the age is counted from when this end received that heartbeat or an earlier one.
     pub fn max_message_age(
         &self,
         now: Timestamp,
--- a/crates/multi-site/src/membership/path.rs
+++ b/crates/multi-site/src/membership/path.rs
@@ -19,7 +19,7 @@
 
 /// A path to a gateway of the other site.
 pub struct Path {
-    /// The gateway at its other end.
+    /// The gateway at the path's other end.
     pub peer: GatewayName,
     /// When the path was opened.
     pub opened_at: Timestamp,
@@ -38,7 +38,7 @@
     pub(super) newest_sequence: u32,
     /// The latest heartbeats received, oldest first.
     received: VecDeque<ReceivedHeartbeat>,
-    /// The gateway at which sending the whole table continues; `None` once all is sent.
+    /// The gateway whose record is the next to send of the whole table; `None` once the whole table is sent.
     table_position: Option<GatewayName>,
 }
 
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Records a heartbeat. Returns false if it is a copy or was overtaken by a newer one.
+    /// Records a heartbeat. Returns false if the heartbeat is a copy, or if a newer heartbeat arrived before it.
     pub(super) fn record_heartbeat(&mut self, now: Timestamp, heartbeat: &Heartbeat) -> bool {
         if (heartbeat.incarnation, heartbeat.sequence) <= (self.incarnation, self.newest_sequence) {
             return false;
--- a/crates/multi-site/src/membership/records.rs
+++ b/crates/multi-site/src/membership/records.rs
@@ -11,7 +11,7 @@
 const MAX_RECORDS: usize = 4096;
 /// How many recently changed records one heartbeat carries at most.
 const MAX_FRESH_RECORDS: usize = 16;
-/// How many old records each heartbeat repeats, so that a gateway that missed one gets it later.
+/// How many old records each heartbeat repeats, so that a gateway that missed a record gets it later.
 const REPEATED_RECORDS: usize = 2;
 /// In how many intervals a changed record is sent, in addition to the logarithm of the number of records.
 const EXTRA_SENDS: u32 = 4;
@@ -34,7 +34,7 @@
                         incarnation: record.incarnation,
                     });
                 }
-                // A record without an address keeps the known one.
+                // A record without an address keeps the known address.
                 let address = record.address.or(member.record.address);
                 if member.record.address != address {
                     member.failed_connects = 0;
@@ -52,8 +52,8 @@
         }
     }
 
-    /// Refutes a record that another gateway sent about this one by raising the own record above it. The received record may be
-    /// a suspicion. It may also stem from an earlier start, even with a higher incarnation if the clock was set back.
+    /// Refutes another gateway's record of this gateway by raising this gateway's own record above it. The received record may
+    /// be a suspicion. It may also stem from an earlier start, even with a higher incarnation if the clock was set back.
     fn refute(&mut self, record: &MemberRecord) {
         if record.incarnation > self.own.incarnation {
             self.own.incarnation = record.incarnation + 1;
@@ -74,7 +74,8 @@
             .push(MembershipAction::Changed(Change::Joined { gateway }));
     }
 
-    /// The records for all heartbeats of this interval: the own one, those sent least often, and a few old ones.
+    /// The records for all heartbeats of this interval: this gateway's record, the fresh records sent least often, and a few
+    /// old records.
     pub(super) fn records_to_send(&mut self) -> Vec<MemberRecord> {
         // The number of intervals until all gateways have a record grows with the logarithm of their number.
         let count = self.members.len() as u32 + 2;
@@ -109,7 +110,7 @@
         fresh.into_iter().map(|f| f.1.clone()).collect()
     }
 
-    /// Selects the next gateways whose records to repeat, except the given ones.
+    /// Selects the next gateways whose old records to repeat. Skips the `excluded` gateways.
     fn select_repeated_records(&mut self, excluded: &[GatewayName]) -> Vec<GatewayName> {
         let start = self.next_repeated.take().unwrap_or_default();
         let from_start = self.members.range(start..).chain(self.members.iter());
--- a/crates/multi-site/src/multi_site/inbound.rs
+++ b/crates/multi-site/src/multi_site/inbound.rs
@@ -10,7 +10,7 @@
 use crate::{Action, InboundId};
 
 impl MultiSite {
-    /// Accepts or refuses a request. Each request runs at most once, and a refused one never runs, even if copies arrive.
+    /// Accepts or refuses a request. Each request runs at most once, and a refused request never runs, even if copies arrive.
     pub(super) fn handle_inbound_received(&mut self, path: PathId, request: ForwardedRequest) {
         let Some(sender) = self.peer(path) else {
             return;
--- a/crates/multi-site/src/multi_site/mod.rs
+++ b/crates/multi-site/src/multi_site/mod.rs
@@ -26,7 +26,7 @@
 pub struct OpenRequests {
     /// Requests forwarded to the other site that await its response.
     pub outbound: usize,
-    /// Requests from the other site that still run here.
+    /// Requests from the other site that still run at this site.
     pub inbound: usize,
 }
 
@@ -259,12 +259,12 @@
         self.membership.peer(path).cloned()
     }
 
-    /// This gateway's incarnation. Exceeds the configured one if another gateway sent a record with a later one.
+    /// This gateway's incarnation. Exceeds the configured incarnation if another gateway sent a record with a later one.
     pub fn incarnation(&self) -> u64 {
         self.membership.own_record().incarnation
     }
 
-    /// The counts since the start.
+    /// Returns the counters, all 0 at the start of the gateway.
     pub fn counters(&self) -> Counters {
         self.counters
     }
--- a/crates/multi-site/src/multi_site/outbound.rs
+++ b/crates/multi-site/src/multi_site/outbound.rs
@@ -167,7 +167,7 @@
                     build: response.build.map(BuildId),
                 });
             }
-            // The request has not run, so serve it locally unless the local policy has rejected it before.
+            // The request has not run. Serve it locally unless the local policy has rejected it before.
             ForwardingOutcome::NotAccepted
                 if !request.locally_rejected && remaining > TimeDelta::ZERO =>
             {
--- a/crates/multi-site/src/multi_site/status.rs
+++ b/crates/multi-site/src/multi_site/status.rs
@@ -26,10 +26,10 @@
     /// Forwarded requests that were served locally after their path or receiver was lost.
     #[serde(rename = "served_here_after")]
     pub served_locally_after_loss: u64,
-    /// Inbound requests accepted.
+    /// Inbound requests that this gateway accepted.
     #[serde(rename = "taken_in")]
     pub inbound_accepted: u64,
-    /// Inbound requests not accepted.
+    /// Inbound requests that this gateway refused, because it did not accept them or an earlier incarnation may have run them.
     #[serde(rename = "turned_away")]
     pub inbound_refused: u64,
     /// Inbound requests received again, with an id that was received before.
--- a/crates/multi-site/src/offered_capacity.rs
+++ b/crates/multi-site/src/offered_capacity.rs
@@ -9,24 +9,25 @@
 
 /// The initial offer as a share of the requests that the local endpoints serve in an interval.
 const INITIAL_OFFER_RATIO: f64 = 0.5;
-/// The offer grows by this factor after an interval in which it was used without overload.
+/// The offer grows by this factor after an interval in which it was used without overload, or while it is below the initial
+/// offer.
 const GROWTH_FACTOR: f64 = 1.2;
 /// The offer shrinks by this factor after an overloaded interval.
 const OVERLOAD_FACTOR: f64 = 0.8;
-/// An interval is overloaded if at least [`MIN_OVERLOAD_REQUESTS`] and more than this share of its requests were late or
-/// did not succeed.
+/// An interval is overloaded if at least [`MIN_OVERLOAD_REQUESTS`] of its finished requests, and more than this ratio of them,
+/// were late or did not succeed.
 const OVERLOAD_RATIO: f64 = 0.08;
 const MIN_OVERLOAD_REQUESTS: f64 = 2.0;
-/// The share of the offer that must be used before the offer grows.
+/// The offer counts as used if at least this ratio of it was used in an interval.
 const USED_RATIO: f64 = 0.5;
-/// Intervals without overload before the offer may grow. Without this wait, an overloaded site would offer capacity whenever
+/// Intervals without overload before the offer may grow. Without this delay, an overloaded site would offer capacity whenever
 /// no request happens to fail for a moment.
 const RECOVERY_INTERVALS: u32 = 10;
 /// An unused offer shrinks by this factor in each interval, down to the initial offer.
 const UNUSED_FACTOR: f64 = 0.97;
 /// The weight of a new interval in the moving average.
 const SMOOTHING: f64 = 0.1;
-/// A path may use its grant this many times over, since requests of the last grant may still be in flight.
+/// A path admits up to this many times its grant, since requests of the last grant may still be in flight.
 const IN_FLIGHT_FACTOR: f64 = 2.0;
 /// For how many intervals a gateway may save up its credit. Requests within the saved credit are admitted.
 pub(crate) const CREDIT_SAVED_INTERVALS: f64 = 3.0;
@@ -41,7 +42,7 @@
     admissible: Vec<f64>,
 }
 
-/// The counts of the current interval.
+/// How many requests were admitted and finished in the current interval.
 #[derive(Default)]
 struct IntervalStats {
     /// Inbound requests admitted.
--- a/crates/multi-site/src/path_selection.rs
+++ b/crates/multi-site/src/path_selection.rs
@@ -8,10 +8,10 @@
 use crate::offered_capacity::CREDIT_SAVED_INTERVALS;
 use crate::{Membership, PathId, RequestClass, HEARTBEAT_INTERVAL};
 
-/// Heartbeat intervals after which credit expires.
+/// Credit expires after this many heartbeat intervals.
 const CREDIT_VALID_INTERVALS: f64 = 5.0;
-/// The weight of a new response time in the mean; half of it is the weight in the ratio of refused requests. Windows and
-/// demand shrink by this share.
+/// The weight of a new response time in the mean response time. Half of it is the weight of a new response in `refused_ratio`.
+/// Windows and demand shrink by this ratio.
 const SMOOTHING: f64 = 0.1;
 /// A path is paused for [`PAUSE`] once more than this share of its requests is refused.
 const REFUSED_RATIO: f64 = 0.08;
@@ -33,6 +33,7 @@
     granted_at: Timestamp,
     in_flight: f64,
     window: f64,
+    /// The moving average of refused requests per forwarded request.
     refused_ratio: f64,
     paused_until: Timestamp,
 }
@@ -55,7 +56,7 @@
 pub(crate) struct ForwardingResult {
     pub(crate) path: PathId,
     pub(crate) class: ClassId,
-    /// Whether the other site served it. Otherwise it was refused, or no response arrived.
+    /// Whether the other site served the request. If not, the request was refused or no response arrived.
     pub(crate) was_served: bool,
     pub(crate) elapsed: TimeDelta,
 }
--- a/crates/multi-site/src/requests/inbound.rs
+++ b/crates/multi-site/src/requests/inbound.rs
@@ -1,4 +1,4 @@
-//! Inbound requests: the running ones, and the stored completions of earlier ones, by which late copies are recognized.
+//! Inbound requests: running requests, and the stored completions of earlier requests, by which late copies are recognized.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -44,14 +44,14 @@
 /// The state of a known inbound request.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum InboundState {
-    /// It runs here.
+    /// The request runs at this site.
     Running {
         /// This gateway's id for the request.
         inbound: InboundId,
-        /// The path on which it arrived.
+        /// The path on which the request arrived.
         path: PathId,
     },
-    /// It has ended or was refused.
+    /// The request has ended or was refused.
     Completed(InboundCompletion),
 }
 
--- a/crates/multi-site/src/requests/outbound.rs
+++ b/crates/multi-site/src/requests/outbound.rs
@@ -35,9 +35,9 @@
         }
     }
 
-    /// The time left to run the request at the local site although it may have run at the other one. `None` if it is not
-    /// retry-safe or too little time is left. An idempotency key makes it retry-safe only if a deduplication group spans both
-    /// sites; then both runs must lie within the deduplication window.
+    /// The time left to run the request at the local site although it may have run at the other site. `None` if the request is
+    /// not retry-safe or too little time is left. An idempotency key makes a request retry-safe only if a deduplication group
+    /// spans both sites; then both runs must lie within the deduplication window.
     pub(crate) fn local_retry_time(&self, now: Timestamp, tick: TimeDelta) -> Option<TimeDelta> {
         let remaining = match self.retry_safety {
             RetrySafety::Idempotent => self.deadline - now,
@@ -114,8 +114,8 @@
         self.remove(forwarding_id)
     }
 
-    /// Removes and returns the requests of a lost path that may run again at the local site. The others wait for a response:
-    /// those whose receiver is reachable on another path, and those that are not retry-safe.
+    /// Removes and returns the requests of a lost path that may run again at the local site. Two kinds of requests still
+    /// wait for a response: requests whose receiver is reachable on another path, and requests that are not retry-safe.
     pub(crate) fn take_local_retries(
         &mut self,
         path: PathId,
--- a/crates/site-messages/src/codec.rs
+++ b/crates/site-messages/src/codec.rs
@@ -21,21 +21,21 @@
     StatusQuery {
         /// The sender's id for the forwarded request.
         forwarding_id: u64,
-        /// The incarnation that forwarded it.
+        /// The sender's incarnation when it forwarded the request.
         sender_incarnation: u64,
-        /// The incarnation that it was forwarded to.
+        /// The receiver's incarnation that the request was forwarded to.
         receiver_incarnation: u64,
     },
     /// A notice that the client of a forwarded request disconnected.
     Cancel {
         /// The sender's id for the forwarded request.
         forwarding_id: u64,
-        /// The incarnation that forwarded it.
+        /// The sender's incarnation when it forwarded the request.
         sender_incarnation: u64,
     },
 }
 
-/// An error on encoding a message.
+/// Why a message cannot be encoded.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum EncodeError {
     /// The message would be longer than [`MAX_MESSAGE_BYTES`].
@@ -49,7 +49,7 @@
     Serialize(#[source] postcard::Error),
 }
 
-/// An error on decoding a message.
+/// Why bytes cannot be decoded as a message.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum DecodeError {
     /// The input is longer than [`MAX_MESSAGE_BYTES`].
--- a/crates/site-messages/src/forwarding.rs
+++ b/crates/site-messages/src/forwarding.rs
@@ -9,7 +9,7 @@
     pub forwarding_id: u64,
     /// The incarnation of the gateway that forwards the request.
     pub sender_incarnation: u64,
-    /// The receiver's incarnation as known to the sender. A receiver under another incarnation does not run the request.
+    /// The receiver's incarnation as known to the sender. A receiver with another incarnation does not run the request.
     pub receiver_incarnation: u64,
     /// The sequence number of the sender's newest heartbeat, from which the receiver bounds the request's age.
     pub heartbeat_sequence: u32,
@@ -56,9 +56,9 @@
 /// The response to a forwarded request or to a status query.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ForwardingResponse {
-    /// The id of the forwarded request.
+    /// The forwarding gateway's id for the request.
     pub forwarding_id: u64,
-    /// The incarnation that forwarded it.
+    /// The incarnation of the gateway that forwarded the request.
     pub sender_incarnation: u64,
     /// The outcome of the request at the receiver.
     pub outcome: ForwardingOutcome,
--- a/crates/site-messages/src/heartbeat.rs
+++ b/crates/site-messages/src/heartbeat.rs
@@ -8,7 +8,7 @@
 /// The full name of a gateway: its site and its name within the site.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct GatewayName {
-    /// The name of the site.
+    /// The site's name, unique among sites.
     pub site: String,
     /// The gateway's name, unique within its site.
     pub gateway: String,
@@ -20,7 +20,7 @@
     }
 }
 
-/// The state of a gateway. The gateway itself announces the first three; other gateways announce the last two about it.
+/// The state of a gateway. A gateway announces the first three about itself; other gateways announce the last two.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum MemberState {
     /// The gateway accepts forwarded requests.
@@ -31,7 +31,7 @@
     Leaving,
     /// The gateway's heartbeats have stopped arriving.
     Suspected,
-    /// The gateway was suspected and did not refute that in time.
+    /// The gateway was suspected and did not refute the suspicion in time.
     Lost,
 }
 
@@ -61,7 +61,7 @@
 /// A heartbeat, sent on each path in each heartbeat interval. It may be lost on the way.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The incarnation of the sender.
+    /// The sender's incarnation, which `sequence` counts in.
     pub incarnation: u64,
     /// The sequence number of the heartbeat within the incarnation, starting at 1.
     pub sequence: u32,
