--- a/crates/gateway/src/control_plane/discovery.rs
+++ b/crates/gateway/src/control_plane/discovery.rs
@@ -17,9 +17,9 @@
 
 /// Interval at which a working stream sends at least an empty line.
 const KEEPALIVE_INTERVAL: TimeDelta = TimeDelta(2_000_000);
-/// Keepalive intervals without a line after which a stream counts as unresponsive.
+/// A stream counts as unresponsive after this many keepalive intervals without a line.
 const MISSED_KEEPALIVES: f64 = 2.5;
-/// Maintenance intervals needed to detect an unresponsive stream, abandon a connection attempt and open the next one.
+/// Maintenance intervals that it takes to detect an unresponsive stream, abandon a connection attempt and open the next one.
 const RECOVERY_INTERVALS: f64 = 3.0;
 
 /// The tables that an endpoint list updates.
--- a/crates/gateway/src/control_plane/rollout_platform.rs
+++ b/crates/gateway/src/control_plane/rollout_platform.rs
@@ -14,10 +14,10 @@
 
 /// Interval at which a working stream sends at least an empty event.
 const KEEPALIVE_INTERVAL: TimeDelta = TimeDelta(1_000_000);
-/// Keepalive intervals without a line after which a stream counts as unresponsive.
+/// A stream counts as unresponsive after this many keepalive intervals without a line.
 const MISSED_KEEPALIVES: f64 = 2.5;
 
-/// Keepalive line.
+/// The line that keeps an idle stream alive; it carries no event.
 const EMPTY_EVENT: &[u8] = b"{}";
 
 /// The latest rollout state received so far.
--- a/crates/gateway/src/control_plane/votes.rs
+++ b/crates/gateway/src/control_plane/votes.rs
@@ -1,4 +1,4 @@
-//! Posts votes to the rollout platform, each on a connection of its own.
+//! Posts votes to the rollout platform, with one connection per vote.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/crates/gateway/src/multi_site/control_socket.rs
+++ b/crates/gateway/src/multi_site/control_socket.rs
@@ -10,7 +10,7 @@
 use harrierdock_types::{TimeDelta, Timestamp};
 use thiserror::Error;
 
-/// The maximum number of open connections. Further ones wait in the socket's accept queue.
+/// The maximum number of open connections. Further connections wait in the socket's accept queue.
 const MAX_CONNECTIONS: usize = 4;
 /// How long a connection may stay open without a command.
 const COMMAND_TIMEOUT: TimeDelta = TimeDelta(2_000_000);
@@ -47,7 +47,7 @@
     token: RegistrationToken,
 }
 
-/// The callbacks of a connection.
+/// What the gateway does for a connection.
 pub(crate) struct ControlHandlers<D> {
     /// Runs a command and returns the response.
     pub(crate) run_command: fn(&mut D, &str) -> String,
--- a/crates/gateway/src/multi_site/forwarding.rs
+++ b/crates/gateway/src/multi_site/forwarding.rs
@@ -61,7 +61,7 @@
     Listen {
         /// The address in `sites.listen`.
         address: SocketAddr,
-        /// The error of the system call.
+        /// The error reported by the operating system.
         source: io::Error,
     },
     /// The event loop cannot watch the socket.
@@ -137,9 +137,9 @@
     pub(crate) transport: SiteTransport,
     /// The paths that this gateway opened and whose handshake is not complete.
     pub(crate) connecting: BTreeMap<PathId, GatewayName>,
-    /// The open requests from the other site.
+    /// The unanswered requests from the other site.
     pub(crate) inbound: InboundRequests,
-    /// When the timer of the forwarding decisions fires, if it is set.
+    /// When the timer of the forwarding decisions fires; `None` if no timer is set.
     pub(crate) sites_deadline: Option<Timestamp>,
     /// The refused connections that are not logged yet.
     pub(crate) refusals: Refusals,
@@ -223,7 +223,7 @@
         }
     }
 
-    /// Calls a function with the HTTP fields of an inbound request. `None` if it is already answered.
+    /// Calls a function with the HTTP fields of an inbound request. `None` if the request is already answered.
     pub(crate) fn with_inbound_request<T>(
         &self,
         id: RequestId,
@@ -259,7 +259,7 @@
     /// Sends the transport's queued datagrams and sets its timer.
     pub(crate) fn flush(&mut self, context: &mut Context) {
         while let Some((to, bytes)) = self.transport.next_datagram() {
-            // The transport recovers from lost datagrams, also from one that cannot be sent.
+            // A datagram that cannot be sent counts as lost: the transport recovers from lost datagrams.
             let _ = self.socket.send_to(&bytes, to);
         }
         let time_until = |at: Instant| {
--- a/crates/gateway/src/rollout/elimination_log.rs
+++ b/crates/gateway/src/rollout/elimination_log.rs
@@ -5,7 +5,7 @@
 use harrierdock_policy::payoff::Payoff;
 use harrierdock_types::{Arm, BuildId};
 
-/// An elimination vote of this gateway.
+/// An elimination vote, as far as it decides whether a later vote is logged again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct EliminationVote {
     /// The build that is rolled out.
@@ -26,7 +26,7 @@
 }
 
 impl EliminationLog {
-    /// Logs a vote with its evidence, unless it is the last logged one.
+    /// Logs a vote with its evidence, unless the same vote was the last one logged against its arm.
     pub(crate) fn log(
         &mut self,
         vote: EliminationVote,
--- a/crates/gateway/src/runtime/maintenance.rs
+++ b/crates/gateway/src/runtime/maintenance.rs
@@ -37,7 +37,7 @@
         result
     }
 
-    /// Closes a connection to free its descriptor. Returns `false` if there is none to close. Unused and stalled client
+    /// Closes a connection to free its descriptor. Returns `false` if no connection can be closed. Unused and stalled client
     /// connections go first, then idle connections to endpoints, then recently used client connections.
     pub(crate) fn free_descriptor(&mut self) -> bool {
         let context = &mut self.context;
--- a/crates/site-transport/src/connection.rs
+++ b/crates/site-transport/src/connection.rs
@@ -84,12 +84,12 @@
         self.streams.queue(bytes)
     }
 
-    /// Writes queued messages as far as flow control permits. Returns true if there was progress.
+    /// Writes queued messages as far as flow control permits. Returns true if any bytes were written or a message was finished.
     pub(crate) fn write_messages(&mut self) -> bool {
         self.streams.write(&mut self.connection)
     }
 
-    /// Moves outgoing datagrams into the socket queue until it is full. Returns true if there were any.
+    /// Moves outgoing datagrams into the socket queue until it is full. Returns true if any datagram was moved.
     pub(crate) fn collect_datagrams(&mut self, now: Instant, out: &mut OutgoingDatagrams) -> bool {
         let mut progressed = false;
         let mut buffer = Vec::new();
@@ -104,7 +104,7 @@
         progressed
     }
 
-    /// Passes the connection's events to its QUIC endpoint, and the responses back. Returns true if there were any.
+    /// Passes the connection's events to its QUIC endpoint, and the responses back. Returns true if any event was pending.
     pub(crate) fn exchange_endpoint_events(
         &mut self,
         handle: ConnectionHandle,
@@ -120,7 +120,7 @@
         progressed
     }
 
-    /// Handles the connection's pending events and reports them to the caller. Returns true if there were any.
+    /// Handles the connection's pending events and reports them to the caller. Returns true if any event was pending.
     pub(crate) fn process_events(
         &mut self,
         now: Instant,
--- a/crates/site-transport/src/event.rs
+++ b/crates/site-transport/src/event.rs
@@ -31,14 +31,14 @@
         path: PathId,
         /// The gateway at the other end, if it is known.
         peer: Option<GatewayName>,
-        /// Category of the cause.
+        /// Who closed the path, or that it was lost.
         cause: CloseCause,
         /// Description of the cause, for the log.
         reason: String,
     },
     /// An inbound connection failed in its handshake, or this end refused the peer after the handshake.
     Refused {
-        /// Address of the other end.
+        /// UDP address of the other end.
         remote: SocketAddr,
         /// Description of the cause, for the log.
         reason: String,
--- a/crates/site-transport/src/streams.rs
+++ b/crates/site-transport/src/streams.rs
@@ -50,7 +50,7 @@
         true
     }
 
-    /// Writes queued messages as far as flow control permits. Returns true if there was progress.
+    /// Writes queued messages as far as flow control permits. Returns true if any bytes were written or a message was finished.
     pub(crate) fn write(&mut self, connection: &mut Connection) -> bool {
         self.open_streams(connection);
         let mut progressed = false;
--- a/crates/site-transport/src/transport.rs
+++ b/crates/site-transport/src/transport.rs
@@ -18,7 +18,7 @@
 
 /// Limit of connections, including those still in their handshake.
 pub(crate) const MAX_CONNECTIONS: usize = 64;
-/// Limit of datagrams queued for the socket. Beyond it, data stays queued in the connections.
+/// Limit of datagrams queued for the socket. At the limit, further data stays queued in the connections.
 const MAX_OUTGOING_DATAGRAMS: usize = 1024;
 
 /// Delivery guarantee of a message.
@@ -242,7 +242,7 @@
         self.connections.len()
     }
 
-    /// Whether there are no connections, open or otherwise.
+    /// Whether the transport has no connection, in any state.
     pub fn is_empty(&self) -> bool {
         self.connections.is_empty()
     }
