--- a/crates/multi-site/src/config.rs
+++ b/crates/multi-site/src/config.rs
@@ -34,7 +34,7 @@
     pub address: Option<SocketAddr>,
     /// The number of this start, higher than that of every earlier start.
     pub incarnation: u64,
-    /// The name of the other site.
+    /// The other site's name, as in its gateways' certificates.
     pub other_site: String,
     /// The gateways of the other site that are configured, with their addresses.
     pub seeds: Vec<(GatewayName, SocketAddr)>,
@@ -44,9 +44,9 @@
     pub slow_start_window: TimeDelta,
     /// The tick of the event loop, which is the resolution of its timers.
     pub tick: TimeDelta,
-    /// When a rejected client should retry; `None` gives it no hint.
+    /// When a rejected client should retry; `None` sends no `Retry-After`.
     pub retry_after: Option<TimeDelta>,
-    /// The limit on the bytes of all stored response bodies.
+    /// The limit on the total bytes of stored response bodies.
     pub stored_response_bytes: usize,
     /// The seed of the random number generators.
     pub seed: u64,
--- a/crates/multi-site/src/failover.rs
+++ b/crates/multi-site/src/failover.rs
@@ -10,7 +10,8 @@
 /// The local site has failed if this many requests in a row did not succeed within [`FAILURE_WINDOW_INTERVALS`].
 const FAILURES_BEFORE_FAILOVER: usize = 8;
 const FAILURE_WINDOW_INTERVALS: f64 = 30.0;
-/// The share of idempotent requests that goes to the local site during a failover, to probe whether it has recovered.
+/// The ratio of probes to all requests that may probe. A probe is a request sent to the local site during a failover, to test
+/// whether the site has recovered.
 const PROBE_RATIO: f64 = 0.05;
 /// Traffic returns once [`PROBE_SUCCESSES`] of the latest [`PROBES_CONSIDERED`] probes succeeded.
 const PROBES_CONSIDERED: usize = 5;
--- a/crates/multi-site/src/offered_capacity.rs
+++ b/crates/multi-site/src/offered_capacity.rs
@@ -7,7 +7,7 @@
 
 use crate::{PathId, RequestClass, RequestEnd};
 
-/// The initial offer as a share of the requests that the local endpoints serve in an interval.
+/// The ratio of the initial offer to the requests that the local endpoints serve in an interval.
 const INITIAL_OFFER_RATIO: f64 = 0.5;
 /// The offer grows by this factor after an interval in which it was used without overload, or while it is below the initial
 /// offer.
@@ -35,10 +35,10 @@
 /// The credit of one path: requests per interval, indexed by request class.
 #[derive(Default)]
 struct PathGrant {
-    /// How many requests the other end would forward.
+    /// How many requests the other end would forward per interval.
     demand: Vec<f64>,
     granted: Vec<f64>,
-    /// How many more requests are admitted, including saved credit.
+    /// How many more requests are admitted, saved credit included.
     admissible: Vec<f64>,
 }
 
--- a/crates/multi-site/src/path_selection.rs
+++ b/crates/multi-site/src/path_selection.rs
@@ -13,7 +13,7 @@
 /// The weight of a new response time in the mean response time. Half of it is the weight of a new response in `refused_ratio`.
 /// Windows and demand shrink by this ratio.
 const SMOOTHING: f64 = 0.1;
-/// A path is paused for [`PAUSE`] once more than this share of its requests is refused.
+/// A path is paused for [`PAUSE`] once its `refused_ratio` exceeds this.
 const REFUSED_RATIO: f64 = 0.08;
 const PAUSE: TimeDelta = TimeDelta(1_000_000);
 /// The limit of requests in flight on a path (its window): the initial value, and the bounds as it adapts to the responses.
@@ -22,7 +22,7 @@
 const MAX_WINDOW: f64 = 512.0;
 /// A request is forwarded only if its remaining time is at least this many mean response times.
 const MIN_RESPONSE_TIMES_LEFT: f64 = 2.0;
-/// The assumed mean response time before the first response, as a share of the latency objective.
+/// The ratio of the assumed mean response time before the first response to the latency objective.
 const INITIAL_RESPONSE_TIME_RATIO: f64 = 0.25;
 
 /// The credit and in-flight window of one path.
@@ -105,7 +105,8 @@
         }
     }
 
-    /// Selects the usable path to a serving gateway with the most credit. `None` without one or if time is short.
+    /// Selects the path with the most credit among the usable paths to serving gateways. `None` if no path admits the request
+    /// or too little time is left.
     pub(crate) fn select(
         &mut self,
         now: Timestamp,
