--- a/crates/fault-injection/src/stand_ins/discovery.rs
+++ b/crates/fault-injection/src/stand_ins/discovery.rs
@@ -59,7 +59,7 @@
     let (sender, lines) = channel();
     let lines = Mutex::new(lines);
     let address = serve_requests(move |request| {
-        trace.note(format!(
+        trace.record(format!(
             "discovery: {}",
             request.head.lines().next().unwrap_or("")
         ));
--- a/crates/fault-injection/src/stand_ins/endpoint.rs
+++ b/crates/fault-injection/src/stand_ins/endpoint.rs
@@ -62,14 +62,14 @@
     let trace = trace.clone();
     serve_requests(move |request| {
         let id = request.field("X-Txn").unwrap_or("none").to_string();
-        trace.note(describe_request(name, &id, request));
+        trace.record(describe_request(name, &id, request));
         let index = (request.number - 1).min(behaviors.len() - 1);
         let success_body = format!("{name} settled {id}");
         match behaviors[index] {
             EndpointBehavior::Unresponsive => {
                 let read = request.stream.read(&mut [0; 1]);
                 let is_closed = read.unwrap_or(0) == 0;
-                trace.note(format!(
+                trace.record(format!(
                     "{name}.{}: connection closed: {is_closed}",
                     request.connection
                 ));
--- a/crates/fault-injection/src/stand_ins/trace.rs
+++ b/crates/fault-injection/src/stand_ins/trace.rs
@@ -9,13 +9,13 @@
 /// How often a waiting test checks the trace.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// A list of recorded lines that several stand-ins share.
+/// A list of recorded lines. Clones share the same list.
 #[derive(Clone, Default)]
 pub struct Trace(pub Arc<Mutex<Vec<String>>>);
 
 impl Trace {
-    /// Appends a line.
-    pub fn note(&self, line: impl Into<String>) {
+    /// Appends a line without a line end.
+    pub fn record(&self, line: impl Into<String>) {
         self.lines().push(line.into());
     }
 
@@ -32,7 +32,7 @@
     /// # Panics
     ///
     /// If there are fewer lines after [`TEST_TIMEOUT`].
-    pub fn wait(&self, prefix: &str, count: usize) {
+    pub fn wait_for(&self, prefix: &str, count: usize) {
         let started = Instant::now();
         while self.count(prefix) < count {
             assert!(
@@ -44,7 +44,7 @@
         }
     }
 
-    /// All lines recorded so far, each with its line end.
+    /// All lines recorded so far, each followed by a line end.
     pub fn text(&self) -> String {
         self.lines().join("\n") + "\n"
     }
