--- a/crates/fault-injection/src/core/actions.rs
+++ b/crates/fault-injection/src/core/actions.rs
@@ -16,7 +16,7 @@
 /// Range of the time that a path takes to open, in microseconds.
 const SHORTEST_CONNECT_US: i64 = 1_000;
 const LONGEST_CONNECT_US: i64 = 50_000;
-/// Time after which a connection attempt to an unreachable peer fails.
+/// Delay until a connection attempt to an unreachable peer fails.
 const CONNECT_TIMEOUT: TimeDelta = SECOND;
 
 impl NetworkSimulation {
@@ -130,9 +130,9 @@
             .iter()
             .position(|gateway| gateway.address == address && gateway.name == peer);
         let is_cut = self.is_cut.contains(&true);
-        let reached = to.filter(|to| self.is_running(*to) && !is_cut);
+        let reachable = to.filter(|to| self.is_running(*to) && !is_cut);
         let delay = self.draw_span(SHORTEST_CONNECT_US, LONGEST_CONNECT_US);
-        match reached {
+        match reachable {
             Some(to) => {
                 let path = PathId(self.next_number());
                 self.schedule(delay, SimulatedEvent::PathOpened { from, to, path });
--- a/crates/fault-injection/src/core/endpoints.rs
+++ b/crates/fault-injection/src/core/endpoints.rs
@@ -16,7 +16,7 @@
 /// Range of the time that an endpoint works on a request, in microseconds.
 const SHORTEST_WORK_US: i64 = 5_000;
 const LONGEST_WORK_US: i64 = 300_000;
-/// Latency that is reported to the multi-site decisions for each finished attempt.
+/// Latency reported to the multi-site decisions for each finished attempt, whatever its simulated work.
 const REPORTED_LATENCY: TimeDelta = TimeDelta(100_000);
 const BUILD: BuildId = BuildId(1);
 const RESPONSE_BODY: [u8; 50] = [7; 50];
--- a/crates/fault-injection/src/core/faults.rs
+++ b/crates/fault-injection/src/core/faults.rs
@@ -1,4 +1,4 @@
-//! Injects faults drawn from the seeded random numbers, and removes all of them at the end.
+//! Injects faults drawn from the seed, and removes all of them at the end.
 
 use harrierdock_multi_site::{Event, OperatorCommand, PathId};
 use nanorand::Rng;
--- a/crates/fault-injection/src/core/rules.rs
+++ b/crates/fault-injection/src/core/rules.rs
@@ -69,9 +69,9 @@
         return false;
     };
     let sites: BTreeSet<usize> = request.runs.iter().map(|run| run.site).collect();
-    let is_at_both_sites = sites.len() > 1 && !class.deduplicates_across_sites;
+    let is_outside_group = sites.len() > 1 && !class.deduplicates_across_sites;
     let mut runs = request.runs.iter();
-    is_at_both_sites || runs.any(|run| run.at - first.at > DEDUPLICATION_WINDOW)
+    is_outside_group || runs.any(|run| run.at - first.at > DEDUPLICATION_WINDOW)
 }
 
 /// A request may have only one answer, and the answer must match what ran.
@@ -93,7 +93,7 @@
     findings.rejected_but_ran += u64::from(is_rejected && !is_repeat_harmless && has_run);
 }
 
-/// The largest number of these timestamps that lie within one minute.
+/// The largest number of these timestamps within any one minute.
 fn max_within_a_minute(timestamps: &[Timestamp]) -> u64 {
     let minute = SECOND * MINUTE_SECONDS;
     let count_from = |first: &Timestamp| {
--- a/crates/fault-injection/src/core/simulation.rs
+++ b/crates/fault-injection/src/core/simulation.rs
@@ -20,7 +20,7 @@
 const FAULT_SECONDS: f64 = 20.0;
 /// Time after the faults within which all open requests must be answered.
 const RECOVERY_SECONDS: f64 = 8.0;
-/// How far the clocks of the second site's gateways are ahead.
+/// How far the clocks of the second site's gateways run ahead of global simulated time.
 const CLOCK_SKEW_SECONDS: f64 = 30.0;
 const START: Timestamp = Timestamp(1_000_000_000);
 const SITE_NAMES: [&str; 2] = ["hobart", "launceston"];
@@ -44,14 +44,14 @@
     pub(super) inbound: BTreeMap<InboundId, RequestId>,
 }
 
-/// An answer to a client.
+/// A gateway's answer to a client, and when it was sent.
 #[derive(Clone, Copy)]
 pub(super) struct Answer {
     pub(super) outcome: ForwardingOutcome,
     pub(super) at: Timestamp,
 }
 
-/// An attempt that reached an endpoint.
+/// A request's run at an endpoint.
 #[derive(Clone, Copy)]
 pub(super) struct Run {
     pub(super) site: usize,
@@ -68,7 +68,7 @@
     pub(super) answers: Vec<Answer>,
     pub(super) runs: Vec<Run>,
     pub(super) is_forwarded: bool,
-    /// Whether it must not be forwarded (again): it was rejected locally, or came back from the other site.
+    /// Whether it must not be forwarded (again): its gateway rejected it locally or serves it locally after a forward.
     pub(super) stays_local: bool,
 }
 
--- a/crates/fault-injection/src/fleet/report.rs
+++ b/crates/fault-injection/src/fleet/report.rs
@@ -203,7 +203,7 @@
         );
         report.answered_twice += u64::from(request.is_answered_twice);
         report.non_idempotent_run_twice +=
-            u64::from(request.class == RequestClass::Lodge && request.runs.len() > 1);
+            u64::from(request.class == RequestClass::NonIdempotent && request.runs.len() > 1);
         let accepted_by = request.gateway.filter(|(gateway, incarnation)| {
             !group.killed.contains(&(*gateway, *incarnation)) && !was_stalled(request, *gateway)
         });
--- a/crates/fault-injection/src/simulation/endpoint_connections.rs
+++ b/crates/fault-injection/src/simulation/endpoint_connections.rs
@@ -15,16 +15,16 @@
     connection: Connection,
     endpoint: usize,
     reader: MessageReader,
-    /// The request that is queued or being worked on.
+    /// The request that the endpoint has not answered; `None` while the connection is idle.
     request: Option<PendingRequest>,
 }
 
-/// A request that has not been answered.
+/// A request that the endpoint has not answered yet.
 #[derive(Clone)]
 pub(super) struct PendingRequest {
-    /// The request id in the `X-Txn` header.
+    /// From the `X-Txn` header.
     pub(super) request_id: String,
-    /// Deadline, from the remaining time in the request's header.
+    /// Computed from the `X-Remaining-Ms` header on arrival.
     pub(super) deadline: Timestamp,
 }
 
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Returns the request of a connection, if it is not answered yet.
+    /// Returns a connection's unanswered request; `None` if it has none or is closed.
     pub(super) fn pending_request(&self, id: ConnectionId) -> Option<PendingRequest> {
         self.endpoint_connections.get(&id)?.request.clone()
     }
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Answers the request of a connection, if both still exist.
+    /// Answers a connection's pending request. Does nothing if the connection is closed or has none.
     pub(super) fn respond(&mut self, id: ConnectionId, status: u16) {
         let Some(endpoint_connection) = self.endpoint_connections.get_mut(&id) else {
             return;
--- a/crates/fault-injection/src/simulation/endpoints.rs
+++ b/crates/fault-injection/src/simulation/endpoints.rs
@@ -15,7 +15,7 @@
 };
 use super::{request_number, Simulation, SimulationError, TimerEvent};
 
-/// An endpoint of one of the sites.
+/// A simulated endpoint.
 pub struct Endpoint {
     /// Index of the endpoint's site.
     pub site: usize,
@@ -23,9 +23,9 @@
     pub address: SocketAddr,
     listener: Option<RegistrationToken>,
     incarnation: u32,
-    /// Start time of its slow start; `None` if it started warm.
+    /// When its slow start began; `None` if it started warm.
     pub slow_start_since: Option<Timestamp>,
-    /// Since when it is draining and must receive no more requests, except within [`DRAIN_GRACE`].
+    /// When its drain started; `None` if it is not draining. Requests must stop arriving within [`DRAIN_GRACE`].
     pub draining_since: Option<Timestamp>,
     /// Whether it was overloaded while warming up. It then stops answering.
     pub is_overloaded: bool,
@@ -136,7 +136,7 @@
         (INITIAL_CAPACITY_RATIO + (1.0 - INITIAL_CAPACITY_RATIO) * progress).min(1.0)
     }
 
-    /// Removes the request of a connection that its gateway closed from the queue.
+    /// Removes a connection's request from the queue.
     pub(super) fn remove_from_queue(&mut self, index: usize, connection: ConnectionId) {
         self.endpoints[index]
             .queue
@@ -165,7 +165,7 @@
         }
     }
 
-    /// Returns true if the endpoint's idempotency group remembers this key; otherwise the group remembers it from now on.
+    /// Returns true if the endpoint's idempotency group remembers this key. Otherwise stores the key.
     fn deduplicate(&mut self, index: usize, now: Timestamp, key: String) -> bool {
         let group = if self.shares_idempotency_group {
             0
@@ -183,7 +183,7 @@
         false
     }
 
-    /// Counts a request that arrives after a drain, and detects overload of a warming endpoint.
+    /// Counts a request that arrives too long after a drain, and detects overload of a warming endpoint.
     fn count_arrival(&mut self, index: usize, request_id: &str) {
         let now = self.now();
         let capacity_ratio = self.capacity_ratio(index);
--- a/crates/fault-injection/src/simulation/relay.rs
+++ b/crates/fault-injection/src/simulation/relay.rs
@@ -48,7 +48,7 @@
 }
 
 impl Relays {
-    /// Sends a datagram after its delay.
+    /// Sends a delayed datagram, identified by its number.
     pub(super) fn send_delayed(&mut self, id: u64) {
         if let Some(datagram) = self.delayed.remove(&id) {
             let _ = datagram.socket.send_to(&datagram.bytes, datagram.receiver);
--- a/crates/fault-injection/src/simulation/scenario.rs
+++ b/crates/fault-injection/src/simulation/scenario.rs
@@ -85,11 +85,11 @@
 /// Counts that the simulation observes itself, for the rules and the report.
 #[derive(Default)]
 pub struct Observations {
-    /// Requests that reached a draining endpoint or drained site after the grace period.
+    /// Requests that reached a draining endpoint, or were forwarded to a drained site, after the grace period.
     pub requests_after_drain: u64,
-    /// Warming endpoints that failed because of overload.
+    /// Warming endpoints that stopped answering because of overload.
     pub overloaded_warming_endpoints: u64,
-    /// Repeated requests that an idempotency group dropped.
+    /// Repeated requests that an idempotency group answered without running them again.
     pub repeats_dropped: u64,
     /// Repeated requests that ran because the idempotency group did not remember their key.
     pub repeats_outside_window: u64,
--- a/crates/fault-injection/src/sites/configuration.rs
+++ b/crates/fault-injection/src/sites/configuration.rs
@@ -1,5 +1,5 @@
 //! The configuration of the gateways of both sites, and the endpoint records of their discovery. Only this file contains
-//! their names on the wire.
+//! the names of their fields on the wire.
 
 use std::net::SocketAddr;
 
@@ -36,7 +36,7 @@
             "fall": OVERLOAD_WINDOW.0, "fall_multiple": OVERLOAD_RATIO}})
 }
 
-/// The configuration of a gateway with this cached endpoint list.
+/// The configuration of a gateway that starts with this cached endpoint list.
 pub(super) fn gateway_configuration(gateway: &Gateway, seed: u64, cached_list: &Value) -> Value {
     json!({"name": gateway.name, "listen": "127.0.0.1:0", "discovery": gateway.discovery,
         "seed": format!("{seed:016x}"), "limits": {"memory_mb": 192, "sockets": 1024},
--- a/crates/fault-injection/src/sites/cost.rs
+++ b/crates/fault-injection/src/sites/cost.rs
@@ -11,13 +11,13 @@
 
 const GATEWAYS_PER_SITE: usize = 2;
 const ENDPOINTS_PER_SITE: usize = 4;
-/// From the start of the clients to the first period.
+/// Time from the start of the clients to the first period.
 const LEAD_IN_SECONDS: f64 = 1.0;
-/// In each period, the measured time with local serving, and again with forwarding.
+/// In each period, the measured time with local serving, and the measured time with forwarding.
 const MEASURED_SECONDS: f64 = 5.0;
-/// From a command until all traffic has moved.
+/// Time from a command until all traffic has moved.
 const SETTLING_SECONDS: f64 = 1.0;
-/// Between usage samples, each period has four spans: local, settling, forwarded, returning.
+/// Spans between the usage samples of a period: local, settling, forwarded, returning.
 const SPANS_PER_PERIOD: usize = 4;
 const LOCAL_SPAN: usize = 0;
 const FORWARDED_SPAN: usize = 2;
@@ -32,14 +32,15 @@
     /// `added_ms` minus the round trip.
     #[serde(rename = "added_over_round_trip_ms")]
     pub added_beyond_round_trip_ms: f64,
-    /// Processor time per request while the first site forwards its requests, which are half of all, over that without
-    /// forwarding. Counts all gateways.
+    /// Processor time per request of all gateways while the first site forwards its requests, which are half of all requests,
+    /// divided by the processor time per request without forwarding.
     #[serde(rename = "cpu_half_across_over_home")]
     pub processor_time_ratio_half_forwarded: f64,
-    /// The same ratio for a forwarded request over a local one, derived from that half.
+    /// Processor time of a forwarded request divided by that of a local request, derived from
+    /// `processor_time_ratio_half_forwarded`.
     #[serde(rename = "cpu_across_over_home")]
     pub processor_time_ratio_forwarded: f64,
-    /// Processor time per request of gateways with an idle link to the other site, over that of gateways without one.
+    /// Processor time per request of gateways with an idle link to the other site, divided by that of gateways without a link.
     #[serde(rename = "cpu_idle_link_over_without")]
     pub processor_time_ratio_idle_link: f64,
     /// Forwarded requests.
@@ -51,7 +52,8 @@
     pub ok: bool,
 }
 
-/// In each period, drains the first site manually and lets its traffic return; then runs as long without the link.
+/// Measures the cost of forwarding. In each period, drains the first site manually and lets its traffic return. Then runs the
+/// same scenario without the link, for comparison.
 ///
 /// # Errors
 ///
--- a/crates/fault-injection/src/sites/harness.rs
+++ b/crates/fault-injection/src/sites/harness.rs
@@ -21,7 +21,7 @@
 use crate::stand_ins::{discovery_server, endpoint_list, Trace};
 
 const COMMAND_TIMEOUT: Duration = Duration::from_secs(3);
-/// Gateways of the other site in each gateway's configuration; it learns the others from gossip.
+/// Number of the other site's gateways in each gateway's configuration. A gateway learns of the others by gossip.
 const CONFIGURED_REMOTE_GATEWAYS: usize = 2;
 /// First letter of the gateways' names, by site.
 const NAME_PREFIXES: [&str; 2] = ["h", "l"];
@@ -32,7 +32,7 @@
     pub(super) forwarded: u64,
     pub(super) refused: u64,
     pub(super) succeeded: u64,
-    /// How often its traffic started to move between the sites.
+    /// How often the gateway's traffic started to move between the sites.
     pub(super) traffic_moves: u64,
 }
 
@@ -58,9 +58,9 @@
     relay_address: SocketAddr,
 }
 
-/// Processor time and requests up to one point in time.
+/// Processor time and requests until the sample was taken.
 pub(super) struct UsageSample {
-    /// Of each gateway's running incarnation, since its start; 0 if none runs.
+    /// Processor time of each gateway's running incarnation since its start; 0 for a gateway that isn't running.
     pub(super) processor_time_us: Vec<f64>,
     pub(super) request_count: usize,
 }
@@ -143,7 +143,8 @@
         Ok(())
     }
 
-    /// Flow export for a gateway that exports flows, otherwise the link to the other site if there is one.
+    /// The extension configuration of a gateway: flow export if it exports flows, else the link to the other site. `None` if
+    /// it has neither.
     fn extension_configuration(&self, index: usize) -> Option<Value> {
         let gateway = &self.gateways[index];
         let flow_export = self.scenario.flow_export.as_ref();
@@ -210,7 +211,7 @@
         }
     }
 
-    /// A snapshot of a site's endpoints as discovery sends it.
+    /// Builds the snapshot of a site's endpoints as discovery sends it.
     fn endpoint_list(&self, simulation: &Simulation, site: usize) -> Value {
         let records: Vec<Value> = endpoints_of_site(simulation, site)
             .into_iter()
--- a/crates/fault-injection/src/sites/report.rs
+++ b/crates/fault-injection/src/sites/report.rs
@@ -39,13 +39,13 @@
 pub struct GatewaySummary {
     /// The share of its answered requests that did not succeed within the latency objective.
     pub late_ratio: f64,
-    /// Over its answered requests.
+    /// 99th percentile of the latencies of its answered requests.
     pub latency_p99_ms: f64,
     /// Resident memory at the end, in MiB.
     pub memory_mb: f64,
 }
 
-/// What was observed, and whether the rules hold.
+/// Observations of a run on two sites, and whether the rules hold.
 #[derive(Debug, Default, Serialize)]
 pub struct Report {
     /// Requests written whole to an incarnation that ran until the end.
@@ -86,11 +86,11 @@
     /// How often a gateway's traffic started to move between the sites.
     #[serde(rename = "moves")]
     pub traffic_moves: u64,
-    /// Priority weight of requests that succeeded within the latency objective over that of all, in ten seconds after the
-    /// last fault.
+    /// Priority weight of requests that succeeded within the latency objective, divided by that of all requests. Measured over
+    /// ten seconds after the last fault.
     #[serde(rename = "revenue_share")]
     pub served_weight_ratio: f64,
-    /// The same in the run without the link between the sites.
+    /// The `served_weight_ratio` of the run without the link between the sites.
     #[serde(rename = "revenue_share_alone")]
     pub served_weight_ratio_without_link: f64,
     /// The highest `served_weight_ratio` that the capacity of the endpoints allows.
@@ -113,13 +113,13 @@
     /// What each gateway used, for each span between two usage samples.
     #[serde(skip)]
     pub usage_by_span: Vec<Vec<GatewayUsage>>,
-    /// One for each gateway, by its number.
+    /// One summary per gateway, by gateway index.
     #[serde(skip)]
     pub gateway_summaries: Vec<GatewaySummary>,
     /// Log lines on flow export from the shutdown of the gateways.
     #[serde(skip)]
     pub flow_export_log: Vec<String>,
-    /// From the first gateway to its first peer at the other site, in milliseconds; the shortest measured.
+    /// Shortest measured round trip from the first gateway to its first peer at the other site, in milliseconds.
     pub round_trip_ms: f64,
     /// The longest delay of the simulation's event loop, in milliseconds.
     #[serde(rename = "rig_late_ms")]
--- a/crates/fault-injection/src/sites/rules.rs
+++ b/crates/fault-injection/src/sites/rules.rs
@@ -10,14 +10,14 @@
     MEAN_WORK,
 };
 
-/// From the last fault to the start of the measurement of served requests.
+/// Time from the last fault to the start of the measurement of served requests.
 const MEASURED_AFTER_SECONDS: f64 = 2.0;
 const MEASURED_SECONDS: f64 = 10.0;
-/// A killed site that is restored earlier counts towards the capacity.
+/// A killed site that is restored within this time counts towards the capacity.
 const LONG_OUTAGE_SECONDS: f64 = 12.0;
 const SITES: f64 = 2.0;
 const SIGNIFICANT_DIGITS: u8 = 3;
-/// By priority weight, the highest first.
+/// Request shares by priority weight, the highest weight first.
 const CLASS_SHARES: [ClassShare; 2] = [
     ClassShare {
         request_ratio: 0.4,
@@ -138,7 +138,7 @@
     report
 }
 
-/// From the start of the clients to the start of the measurement, after the last kill or drain.
+/// Time from the start of the clients to the start of the measurement, which follows the last kill or drain.
 fn measured_after(scenario: &Scenario) -> TimeDelta {
     let faults = [scenario.kill, scenario.drain];
     let last_fault = faults
@@ -150,7 +150,7 @@
 }
 
 fn count_request(report: &mut Report, simulation: &Simulation, request: &ClientRequest) {
-    // Requests written whole to an incarnation that ran until the end were accepted.
+    // A request counts as accepted if it was written whole to an incarnation that ran until the end.
     let is_accepted = request.gateway.is_some_and(|(gateway, incarnation)| {
         let gateway = &simulation.gateways[gateway];
         gateway.is_alive && gateway.incarnation == incarnation
@@ -161,7 +161,7 @@
         report.unanswered += u64::from(request.answer.is_none());
     }
     report.answered_twice += u64::from(request.is_answered_twice);
-    if request.class == RequestClass::Lodge {
+    if request.class == RequestClass::NonIdempotent {
         report.non_idempotent_run_twice += u64::from(request.runs.len() > 1);
     }
 }
--- a/crates/fault-injection/src/sites/run.rs
+++ b/crates/fault-injection/src/sites/run.rs
@@ -19,7 +19,7 @@
 
 const BUFFERS: usize = 2048;
 const DESCRIPTORS: usize = 4096;
-/// From the start of the gateways to that of the clients, so that the links between the sites are up.
+/// Time from the start of the gateways to the start of the clients, in which the links between the sites come up.
 const LINK_UP_TIME: TimeDelta = TimeDelta(1_500_000);
 
 /// Runs a scenario once, with or without the link between the sites. Keeps the files of a failed run.
@@ -64,7 +64,7 @@
     Ok(report)
 }
 
-/// A simulation with the endpoints and the path between the sites, without gateways.
+/// Creates a simulation with the endpoints and the path between the sites, without gateways.
 fn new_simulation(
     scenario: &Scenario,
     event_loop: &EventLoop<'static, Simulation>,
--- a/crates/fault-injection/src/sites/scenario.rs
+++ b/crates/fault-injection/src/sites/scenario.rs
@@ -18,15 +18,15 @@
     pub duration_seconds: f64,
     /// Kills a site's endpoints and gateways.
     pub kill: Option<SiteTime>,
-    /// The kill spares the gateways.
+    /// The kill affects only the site's endpoints, not its gateways.
     pub endpoints_only: bool,
-    /// From the kill to the site's restart, with slow start; `None` if it stays down.
+    /// Time from the kill to the site's restart, with slow start; `None` if the site stays down.
     pub restore_after_seconds: Option<f64>,
     /// The share of lost datagrams between the sites.
     pub loss_ratio: f64,
-    /// Drops everything from the first site to the second.
+    /// Drops all datagrams from the first site to the second.
     pub is_one_way: bool,
-    /// Cuts the path between the sites.
+    /// Cuts the path between the sites in both directions.
     pub cut: Option<Outage>,
     /// Drains a site manually, and half of its endpoints through discovery.
     pub drain: Option<SiteTime>,
@@ -34,15 +34,15 @@
     pub rolling_restart_second: Option<f64>,
     pub gateways_per_site: usize,
     pub endpoints_per_site: usize,
-    /// At the second site; the first has this times `first_site_load_ratio`.
+    /// Requests per second at the second site. The first site has this many times `first_site_load_ratio`.
     pub requests_per_second: f64,
-    /// Requests at the first site over those at the second.
+    /// Ratio of the first site's requests to the second site's.
     pub first_site_load_ratio: f64,
     /// The gateways are configured with an idempotency group that spans both sites.
     pub shares_idempotency_group: bool,
-    /// Further steps, each with its second.
+    /// Additional steps, each with its time in seconds.
     pub extra_steps: Vec<(f64, ScenarioStep)>,
-    /// Flow export by every other gateway of each site.
+    /// Flow export by every other gateway of each site; `None` for no flow export.
     pub flow_export: Option<FlowExport>,
 }
 
--- a/crates/fault-injection/src/sites/steps.rs
+++ b/crates/fault-injection/src/sites/steps.rs
@@ -6,14 +6,14 @@
 use super::harness::{endpoints_of_site, TestHarness, UsageSample};
 use crate::simulation::{ScenarioStep, Simulation, TimerEvent, FIRST_BUILD};
 
-/// How long discovery takes to notice a change.
+/// How long discovery takes to publish a change.
 const DISCOVERY_DELAY: TimeDelta = TimeDelta(1_000_000);
 /// From the start of a drain until discovery has notified the gateways, with a margin of 50 ms.
-const DRAIN_NOTIFIED_DELAY: TimeDelta = TimeDelta(1_050_000);
-/// How long clients take to notice that gateways were killed.
-const KILL_NOTICED_DELAY: TimeDelta = TimeDelta(1_000_000);
-/// How long clients take to notice that gateways were started.
-const START_NOTICED_DELAY: TimeDelta = TimeDelta(500_000);
+const DRAIN_NOTIFICATION_DELAY: TimeDelta = TimeDelta(1_050_000);
+/// How long clients take to detect that gateways were killed.
+const KILL_DETECTION_DELAY: TimeDelta = TimeDelta(1_000_000);
+/// How long clients take to detect that gateways were started.
+const START_DETECTION_DELAY: TimeDelta = TimeDelta(500_000);
 
 /// Whether the scenario continues after a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -74,10 +74,10 @@
         for gateway in self.gateways_of_site(site) {
             self.kill(simulation, gateway);
         }
-        let noticed = now + KILL_NOTICED_DELAY;
+        let detected_at = now + KILL_DETECTION_DELAY;
         simulation
             .timers
-            .set(noticed, TimerEvent::ClientTargetsUpdated);
+            .set(detected_at, TimerEvent::ClientTargetsUpdated);
     }
 
     fn restore_site(&mut self, simulation: &mut Simulation, site: usize) -> Result<(), SitesError> {
@@ -91,10 +91,10 @@
                 self.start(simulation, gateway)?;
             }
         }
-        let noticed = now + START_NOTICED_DELAY;
+        let detected_at = now + START_DETECTION_DELAY;
         simulation
             .timers
-            .set(noticed, TimerEvent::ClientTargetsUpdated);
+            .set(detected_at, TimerEvent::ClientTargetsUpdated);
         Ok(())
     }
 
@@ -103,10 +103,10 @@
         if self.is_linked {
             self.command_site(site, "drain");
         }
-        // Half of its endpoints drain as well; the gateways learn it from discovery a second later.
-        let notified = simulation.now() + DRAIN_NOTIFIED_DELAY;
+        // Half of the site's endpoints drain as well, which discovery publishes after `DISCOVERY_DELAY`.
+        let notified_at = simulation.now() + DRAIN_NOTIFICATION_DELAY;
         for endpoint in endpoints_of_site(simulation, site).into_iter().step_by(2) {
-            simulation.endpoints[endpoint].draining_since = Some(notified);
+            simulation.endpoints[endpoint].draining_since = Some(notified_at);
         }
         if self.is_linked {
             simulation.drained_since[site] = Some(simulation.now());
@@ -124,7 +124,8 @@
         self.publish_all_endpoints(simulation);
     }
 
-    /// Endpoints alternate between the sites, so every other pair is half of each site's endpoints.
+    /// Deploys the next build to half of each site's endpoints. Endpoints alternate between the sites, so every other pair is
+    /// half of each site.
     fn release_build(&mut self, simulation: &mut Simulation, failure_ratio: f64) {
         for pair in simulation.endpoints.chunks_mut(2).skip(1).step_by(2) {
             for endpoint in pair {
@@ -154,7 +155,7 @@
     }
 }
 
-/// Has discovery send a site's endpoint list after [`DISCOVERY_DELAY`].
+/// Schedules discovery to send a site's endpoint list after [`DISCOVERY_DELAY`].
 fn schedule_discovery_update(simulation: &mut Simulation, site: usize) {
     let at = simulation.now() + DISCOVERY_DELAY;
     let later = simulation.steps.iter().position(|(time, _)| *time > at);
--- a/crates/fault-injection/src/sites/timeline.rs
+++ b/crates/fault-injection/src/sites/timeline.rs
@@ -5,17 +5,17 @@
 use super::scenario::Scenario;
 use crate::simulation::ScenarioStep;
 
-/// How long after the last request answers are awaited.
+/// Time between the last request and the end of the run, in which answers can still arrive.
 const ANSWER_WAIT_SECONDS: f64 = 2.5;
-/// Between the restarts of two gateways in a rolling restart.
+/// Interval between the restarts of two gateways in a rolling restart.
 const RESTART_INTERVAL_SECONDS: f64 = 1.5;
 
-/// From the start of the clients to the end of the scenario.
+/// Time from the start of the clients to the end of the scenario.
 pub(super) fn total_seconds(scenario: &Scenario) -> f64 {
     scenario.duration_seconds + ANSWER_WAIT_SECONDS
 }
 
-/// All steps of a scenario whose clients start at `start`, sorted by time.
+/// Returns all steps of a scenario, sorted by time. `start` is when clients start.
 pub(super) fn timeline(scenario: &Scenario, start: Timestamp) -> Vec<(Timestamp, ScenarioStep)> {
     let mut steps = vec![
         (scenario.duration_seconds, ScenarioStep::StopRequests),
--- a/crates/fault-injection/src/sites/usage.rs
+++ b/crates/fault-injection/src/sites/usage.rs
@@ -5,7 +5,8 @@
 use super::report::{GatewaySummary, GatewayUsage, Report};
 use crate::simulation::{Answer, ClientRequest, Simulation, LATENCY_OBJECTIVE};
 
-/// Adds the gateways' counters, logs and resource usage to a report. With flow export, shuts the gateways down.
+/// Adds the gateways' counters, logs and resource usage to a report. With flow export, also shuts the gateways down, because
+/// they log their flow export totals then.
 pub(super) fn add_usage(
     report: &mut Report,
     harness: &mut TestHarness,
--- a/crates/gateway/build.rs
+++ b/crates/gateway/build.rs
@@ -1,5 +1,5 @@
-//! Link options of the program `harrierdock`. They make its start cheaper: before `main`, the dynamic linker loads the libraries
-//! that the program names and relocates the pointers in its constant data.
+//! Link options of the program `harrierdock` that shorten its start. Before `main`, the dynamic linker loads the program's
+//! libraries and relocates the pointers in its constant data; these options leave less of both.
 
 use std::env;
 
@@ -10,10 +10,10 @@
     {
         return;
     }
-    // At a fixed address, pointers in constant data need no relocation. The price is that the program's own code and constants
-    // stand at known addresses; the libraries, the heap and the stack remain at random ones.
+    // At a fixed address, pointers in constant data need no relocation. In exchange, the addresses of the program's own code
+    // and constants are predictable; those of the libraries, the heap and the stack remain random.
     println!("cargo::rustc-link-arg-bin=harrierdock=-no-pie");
-    // The unwinder becomes part of the program, so that libgcc_s need not be loaded.
+    // Links the unwinder statically, so that libgcc_s isn't loaded.
     println!("cargo::rustc-link-lib=static:-bundle=gcc_eh");
 }
 
--- a/crates/gateway/src/config/lease.rs
+++ b/crates/gateway/src/config/lease.rs
@@ -1,5 +1,5 @@
-//! Lease settings: the gateways, the electors among them, and the leases. Existing extension files fix the names in the
-//! `rename` attributes, so some differ from the Rust names.
+//! Settings of the leases that gateways share: the `fleet` section of the extension file. Existing extension files fix the names
+//! in the `rename` attributes, so some differ from the Rust names.
 
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
@@ -31,7 +31,7 @@
     /// Names of the three to seven electors. Only electors hold leases.
     pub(crate) electorate: Vec<String>,
     /// Number of the electorate. Add one at each change; a change adds or removes one gateway.
-    #[serde(default = "first_electorate")]
+    #[serde(default = "default_electorate_number")]
     pub(crate) electorate_number: u32,
     /// Duration of a lease without renewal, in milliseconds.
     #[serde(default = "default_lease_ms")]
@@ -87,7 +87,7 @@
     pub(crate) clock_rate: f64,
 }
 
-fn first_electorate() -> u32 {
+fn default_electorate_number() -> u32 {
     1
 }
 
@@ -119,7 +119,7 @@
     NORMAL_CLOCK_RATE
 }
 
-/// The lease settings are invalid. Each message has the field, the reason and the remedy.
+/// The lease settings are invalid. Each message states the field, the reason and the remedy.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub(crate) enum LeaseConfigError {
     /// A field is invalid regardless of the configuration.
@@ -127,7 +127,7 @@
     Settings {
         /// Name of the field below `fleet`.
         field: &'static str,
-        /// Why the lease crate rejects the field.
+        /// Why the field is invalid, and the remedy.
         source: ConfigurationError,
     },
     /// The number of names differs from the number of peers.
@@ -225,7 +225,7 @@
     }
 }
 
-/// Values of the configuration that the lease settings must agree with.
+/// Values of the gateway's configuration that the lease settings must match.
 pub(crate) struct FleetContext<'a> {
     /// Name of this gateway.
     pub(crate) name: &'a str,
@@ -324,7 +324,7 @@
         Ok(())
     }
 
-    /// Parses the configured electorate, for a change while the gateway runs.
+    /// Parses the configured electorate, for an electorate change while the gateway runs.
     ///
     /// # Errors
     ///
@@ -343,7 +343,7 @@
         without_electorate(self) != without_electorate(other)
     }
 
-    /// Summarizes the settings in one line.
+    /// Summarizes the settings for a log line.
     pub(crate) fn summary(&self, own_name: &str) -> String {
         format!(
             "{own_name} shares {} with {} gateways, electors {}, lease {} ms, heartbeat {} ms",
--- a/crates/gateway/src/dispatch/leases.rs
+++ b/crates/gateway/src/dispatch/leases.rs
@@ -1,4 +1,4 @@
-//! Passes peers' messages and the gateway's events to the lease participant, and executes the actions it returns.
+//! Passes peers' messages and the gateway's events to the lease participant, and executes the actions that it returns.
 
 use harrierdock_lease::{Event, LeaseName};
 use harrierdock_rollout_controller::{self as rollout_controller, Event as RolloutEvent};
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Delivers the firing of the lease participant's timer.
+    /// Handles the expiry of the lease participant's timer.
     pub(crate) fn handle_lease_timer(&mut self) {
         if let Some(leases) = &mut self.leases {
             leases.timer_deadline = None;
@@ -84,8 +84,8 @@
                 LeaseAction::Acquired { .. } | LeaseAction::Lost { .. } => {}
                 LeaseAction::SetTimer(deadline) => {
                     if let Some(leases) = &mut self.leases {
-                        let earlier = leases.timer_deadline;
-                        self.context.replace_timer(earlier, deadline, Timer::Lease);
+                        let previous = leases.timer_deadline;
+                        self.context.replace_timer(previous, deadline, Timer::Lease);
                         leases.timer_deadline = Some(deadline);
                     }
                 }
@@ -124,7 +124,8 @@
         }
     }
 
-    /// Applies reloaded lease settings. Keeps the current settings if the new ones are invalid.
+    /// Applies the electorate of reloaded lease settings. Keeps the current electorate if the new one is invalid. Logs a
+    /// warning for that, and for a change of any other lease setting.
     pub(crate) fn reload_electorate(&mut self, extension: &ExtensionConfig) {
         let now = self.context.now();
         match (&mut self.leases, &extension.leases) {
