--- a/crates/fault-injection/src/cli/mod.rs
+++ b/crates/fault-injection/src/cli/mod.rs
@@ -56,7 +56,7 @@
     Report(#[from] serde_json::Error),
 }
 
-/// `true` if all properties hold.
+/// Whether all properties hold, or why there is no report.
 type Verdict = Result<bool, CliError>;
 
 /// Runs the command in the process's arguments. Returns exit code 0 if every property holds, 1 if one doesn't, and 2 if the
@@ -276,7 +276,7 @@
             gateways: arguments.gateways,
             duration,
         };
-        let report = soak::play(&settings).map_err(|error| CliError::Run(error.to_string()))?;
+        let report = soak::run_soak(&settings).map_err(|error| CliError::Run(error.to_string()))?;
         all_hold &= print_report(&report, report.ok)?;
     }
     Ok(all_hold)
--- a/crates/fault-injection/src/collector/mod.rs
+++ b/crates/fault-injection/src/collector/mod.rs
@@ -1,6 +1,6 @@
 //! A flow collector that counts what it receives by UDP, TCP or TLS. It can be stopped, read slowly, or drop datagrams.
 //!
-//! It has a thread for its listener and one for each stream; all of them end with [`Collector::stop`].
+//! It has a thread for its listener and one for each stream. All of them stop on [`Collector::stop`].
 
 mod counts;
 mod record;
@@ -41,7 +41,7 @@
     Listen {
         /// The address in [`CollectorOptions`].
         address: SocketAddr,
-        /// The error of the system.
+        /// The error from the operating system.
         source: io::Error,
     },
     /// A thread panicked while it held the counts.
@@ -55,7 +55,7 @@
     pub listen: SocketAddr,
     /// The transport protocol of the flow messages.
     pub transport: CollectorTransport,
-    /// The collector reads one octet a second from a stream, and writes to the exporter after each.
+    /// The collector reads one octet per second from a stream, and writes to the exporter after each.
     pub is_slow: bool,
     /// The share of datagrams that it drops, from 0 to 1.
     pub loss_ratio: f64,
@@ -131,7 +131,7 @@
         self.is_running.store(is_running, Ordering::SeqCst);
     }
 
-    /// Makes all threads of the collector end; returns without waiting for them.
+    /// Stops all threads of the collector; returns without waiting for them.
     pub fn stop(&self) {
         self.is_stopped.store(true, Ordering::SeqCst);
     }
--- a/crates/fault-injection/src/collector/transport.rs
+++ b/crates/fault-injection/src/collector/transport.rs
@@ -31,7 +31,7 @@
     }
 }
 
-/// The name isn't that of a transport.
+/// A name is none of the transport names.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("'{name}' is not a transport: expected udp, tcp or tls")]
 pub struct UnknownTransport {
--- a/crates/fault-injection/src/fleet/faults.rs
+++ b/crates/fault-injection/src/fleet/faults.rs
@@ -9,25 +9,26 @@
 /// What happens to the fleet while a fault lasts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultKind {
-    /// One gateway is stopped with SIGSTOP and resumed at the end.
+    /// One gateway is stopped with SIGSTOP, and resumed at the end of the fault.
     Stall,
-    /// One gateway is killed and restarted at the end.
+    /// One gateway is killed, and restarted at the end of the fault.
     Kill,
-    /// A majority of gateways is killed and restarted at the end.
+    /// A majority of the gateways is killed, and restarted at the end of the fault.
     KillMost,
     /// One gateway is partitioned from all others.
     Cut,
     /// One half of the gateways is partitioned from the other half.
     CutHalf,
-    /// Datagrams to one gateway, or those from it, are dropped.
+    /// Datagrams to one gateway, or datagrams from it, are dropped.
     CutOneWay,
     /// Datagrams of one gateway are delayed; a share of all datagrams is lost, duplicated, reordered or corrupted.
     Slow,
     /// One gateway is restarted with a clock that runs 2% fast or slow.
     Skew,
-    /// All gateways are restarted in turn, a tenth at a time.
+    /// All gateways are restarted, about a tenth at a time.
     Restart,
-    /// Every other gateway is restarted with another message format, and back at the end.
+    /// Every other gateway is restarted with another version of the lease messages, and with the usual version at the end of
+    /// the fault.
     Mixed,
 }
 
@@ -44,23 +45,23 @@
     (FaultKind::Mixed, "mixed"),
 ];
 
-/// A fault and when it happens, written as `stall@2+3`.
+/// A kind of fault, its start and its duration, written as `stall@2+3`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fault {
     pub kind: FaultKind,
-    /// Seconds since clients started.
+    /// Seconds since the start of the clients.
     pub start_second: f64,
     pub duration_seconds: f64,
 }
 
-/// Why a text names no fault.
+/// Why a text can't be parsed as a fault.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ParseFaultError {
     #[error(
-        "'{0}' is not KIND@T+D, as stall@2+3: T is its start and D its duration, both in seconds"
+        "'{0}' is not of the form KIND@T+D, such as stall@2+3: T is the start and D the duration, both in seconds"
     )]
     Format(String),
-    #[error("'{kind}' is not a kind of fault; use one of {}", KINDS.map(|(_, name)| name).join(", "))]
+    #[error("'{kind}' is not a kind of fault: expected one of {}", KINDS.map(|(_, name)| name).join(", "))]
     Kind { kind: String },
 }
 
--- a/crates/fault-injection/src/fleet/mod.rs
+++ b/crates/fault-injection/src/fleet/mod.rs
@@ -1,5 +1,5 @@
 //! Fault injection for one fleet: built gateways that share leases, with faults drawn from the seed. The verdict depends
-//! on what the clients, the endpoints and the deployment controller observed; durations are reported without a bound.
+//! on what the clients, the endpoints and the deployment controller observed. Durations are reported, but no rule limits them.
 
 mod error;
 pub mod faults;
@@ -31,13 +31,13 @@
     pub gateways: usize,
     /// How long clients send requests.
     pub duration_seconds: f64,
-    /// Empty to draw them from the seed.
+    /// The faults to inject; if empty, two or three are drawn from the seed.
     pub faults: Vec<Fault>,
     pub endpoints: usize,
     pub requests_per_second: f64,
     pub lease_ms: u32,
     pub heartbeat_ms: u32,
-    /// From the move of a rollout stage to the announcement of the next one.
+    /// Time from the move of a rollout stage to the announcement of the next stage.
     pub stage_pause_ms: u64,
     /// Runs the gateways without a `fleet` section, to compare the cost of leases.
     pub without_leases: bool,
@@ -60,12 +60,12 @@
     }
 }
 
-/// A step of the timeline. Faults are given by their index.
+/// A step of the timeline. Faults are identified by their index.
 #[derive(Clone, Copy)]
 enum Step {
     InjectFault(usize),
     EndFault(usize),
-    /// Restarts about a tenth of the gateways: those whose number modulo the batch count is `batch`. Electors have low numbers,
+    /// Restarts about a tenth of the gateways: those whose index modulo the batch count is `batch`. Electors have low indexes,
     /// so they are not restarted together.
     RestartBatch {
         fault: usize,
@@ -75,7 +75,7 @@
     EndRun,
 }
 
-/// Runs a scenario in a folder of its own. Calls `progress` with the elapsed share of the run.
+/// Runs a scenario in a temporary folder. Calls `progress` with the elapsed share of the run, from 0 to 1.
 ///
 /// # Errors
 /// A gateway, socket or folder can't be set up, or a gateway does not shut down in time.
@@ -95,11 +95,11 @@
 const OBSERVE_INTERVAL: TimeDelta = TimeDelta(20_000);
 const BUFFERS: usize = 2048;
 const DESCRIPTORS: usize = 4096;
-/// How long after the last request answers are awaited.
+/// Time between the last request and the end of the run, in which answers can still arrive.
 const ANSWER_WAIT_SECONDS: f64 = 2.2;
-/// Delays the restarts until the fault that causes them has been injected.
+/// Time from the start of a fault to the first restart that it causes, so that the fault is injected before the restart.
 const RESTART_OFFSET_SECONDS: f64 = 0.01;
-/// Combined with the run's seed, so that faults don't follow the simulation's random numbers.
+/// Combined with the run's seed, so that the draws of faults are independent of the simulation's draws.
 const FAULT_SEED: u64 = 0x4641_554c_5453;
 
 impl FleetRun {
@@ -145,8 +145,8 @@
         Ok(start)
     }
 
-    /// Dispatches events that arrive before `until` or the next observation, then runs due timers and observes the
-    /// gateways.
+    /// Dispatches the event loop once, at most until `until` or the next observation. Then handles expired timers and observes
+    /// the gateways.
     ///
     /// # Errors
     /// The event loop fails, or a gateway does not restart.
@@ -156,7 +156,7 @@
             .simulation
             .timers
             .next_deadline()
-            .map_or(deadline, |due| due.min(deadline));
+            .map_or(deadline, |expiry| expiry.min(deadline));
         let wait = self.simulation.io.clock.duration_until(deadline);
         self.event_loop.dispatch(wait, &mut self.simulation)?;
         self.simulation.handle_expired_timers();
@@ -164,12 +164,12 @@
     }
 }
 
-/// The number of restart batches: at most ten, each of at least one gateway.
+/// Number of batches in a rolling restart: at most ten, with at least one gateway each.
 fn batch_count(scenario: &Scenario) -> usize {
     scenario.gateways.div_ceil(scenario.gateways.div_ceil(10))
 }
 
-/// All steps of a run whose clients start at `start`, sorted by time.
+/// Returns all steps of a run, sorted by time. `start` is when clients start.
 fn timeline(scenario: &Scenario, faults: &[Fault], start: Timestamp) -> Vec<(Timestamp, Step)> {
     let at = |second: f64| start + TimeDelta::from_seconds(second);
     let mut steps = vec![
@@ -186,7 +186,7 @@
         );
         steps.push((at(begin), Step::InjectFault(index)));
         steps.push((at(end), Step::EndFault(index)));
-        // Rolling restarts last as long as the fault. A change of the message format needs one at both ends.
+        // A rolling restart lasts as long as the fault. `Mixed` needs one at its start and one at its end.
         let restart_seconds: Vec<f64> = match fault.kind {
             FaultKind::Restart => vec![begin],
             FaultKind::Mixed => vec![begin, end],
--- a/crates/fault-injection/src/fleet/process_group/configuration.rs
+++ b/crates/fault-injection/src/fleet/process_group/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration of the gateways of a fleet. Only this file contains its names on the wire.
+//! The configuration of the gateways of a fleet. Only this file contains the names of its fields on the wire.
 
 use serde_json::{json, Value};
 
@@ -11,12 +11,12 @@
 use crate::stand_ins::endpoint_list;
 
 const ZONE: &str = "hobart";
-/// Version of the lease messages, and the one of a gateway with another message format.
+/// Versions of the lease messages: the default, and the one under `uses_other_wire_format`.
 const USUAL_WIRE_FORMAT: u8 = 1;
 const OTHER_WIRE_FORMAT: u8 = 2;
 const ENDPOINT_LIST_VERSION: u32 = 1;
-/// The longest time until a command to the deployment controller takes effect.
-const ROLLOUT_COMMAND_BOUND_MS: u32 = 10_000;
+/// The time after which a gateway logs a rollout stage without a decision.
+const DECISION_TIMEOUT_MS: u32 = 10_000;
 
 /// The `settings` of a gateway's configuration.
 fn policy_settings(gateways: usize, ordinal: usize) -> Value {
@@ -68,7 +68,7 @@
         let electors = &names[..names.len().min(MAX_ELECTORS)];
         let mut fleet = json!({"gateways": names, "electorate": electors, "lease_ms": self.scenario.lease_ms,
             "heartbeat_ms": self.scenario.heartbeat_ms, "drift": SKEW, "duties": LEASES,
-            "steward": {"installation": self.deployment_controller_address, "bound_ms": ROLLOUT_COMMAND_BOUND_MS}});
+            "steward": {"installation": self.deployment_controller_address, "bound_ms": DECISION_TIMEOUT_MS}});
         let overrides = self.gateways[index].overrides;
         if overrides.clock_rate.is_some() || overrides.uses_other_wire_format {
             let wire_format = if overrides.uses_other_wire_format {
--- a/crates/fault-injection/src/fleet/process_group/fault_injection.rs
+++ b/crates/fault-injection/src/fleet/process_group/fault_injection.rs
@@ -10,16 +10,16 @@
 use crate::fleet::relay::DatagramFaults;
 use crate::simulation::Simulation;
 
-/// The share of faults aimed at the gateway that last sent a rollout command: probably the lease holder.
+/// Probability that a fault hits the gateway that sent the last rollout command, which is probably the lease holder.
 const HOLDER_PROBABILITY: f64 = 0.7;
 const SLOW_DATAGRAM_DELAY: Duration = Duration::from_millis(250);
-/// Shares of all datagrams while those of one gateway are delayed.
+/// Shares of all datagrams during [`FaultKind::Slow`].
 const LOSS_RATIO: f64 = 0.1;
 const DUPLICATION_RATIO: f64 = 0.1;
 const REORDERING_RATIO: f64 = 0.1;
 const CORRUPTION_RATIO: f64 = 0.05;
 
-/// The dropped directions between a partitioned part of a fleet and the rest.
+/// The directions in which datagrams between a partitioned part of a fleet and the rest are dropped.
 #[derive(Clone, Copy)]
 struct DroppedDirections {
     inward: bool,
@@ -27,7 +27,7 @@
 }
 
 impl ProcessGroup {
-    /// The last gateway that sent a rollout command, with [`HOLDER_PROBABILITY`]; otherwise any gateway.
+    /// Draws the gateway that a fault hits: with [`HOLDER_PROBABILITY`] the sender of the last rollout command, else any gateway.
     fn draw_target(&mut self) -> usize {
         let any_gateway = self.rng.generate_range(0..self.gateways.len());
         let last_call = self.rollout_stand_in.calls().pop();
@@ -104,7 +104,7 @@
         vec![target]
     }
 
-    /// Both directions, or for [`FaultKind::CutOneWay`] a random one.
+    /// Returns both directions, or a random direction for [`FaultKind::CutOneWay`].
     fn draw_directions(&mut self, kind: FaultKind) -> DroppedDirections {
         let is_inward = self.rng.generate::<bool>();
         let drops_both = kind != FaultKind::CutOneWay;
--- a/crates/fault-injection/src/fleet/process_group/mod.rs
+++ b/crates/fault-injection/src/fleet/process_group/mod.rs
@@ -21,15 +21,15 @@
 use crate::simulation::Simulation;
 use crate::stand_ins::{discovery_server, Trace};
 
-/// By how much a skewed clock runs fast or slow. Gateways are configured with it as the largest clock drift.
+/// The ratio by which a skewed clock runs fast or slow. Gateways are configured with the same ratio as the largest clock drift.
 const SKEW: f64 = 0.02;
-/// For all gateways together.
+/// Time limit for the shutdown of all gateways.
 const SHUTDOWN_TIMEOUT: TimeDelta = TimeDelta(20_000_000);
 const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// The leases of a fleet, by their names on the wire and in logs.
 pub const LEASES: [&str; 2] = ["steward", "heir"];
-/// In a smaller fleet, all gateways are electors.
+/// Number of electors. In a smaller fleet, all gateways are electors.
 pub const MAX_ELECTORS: usize = 5;
 
 /// Deviations from the usual configuration, applied from a gateway's next start on.
@@ -54,26 +54,26 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Stall {
     pub start: Timestamp,
-    /// `None` while it lasts.
+    /// `None` while the gateway is suspended.
     pub end: Option<Timestamp>,
 }
 
-/// A gateway, over all its incarnations.
+/// A gateway of a fleet, with records of all its incarnations.
 pub struct Gateway {
     pub name: String,
-    /// The running incarnation.
+    /// The running incarnation; `None` if the gateway is down.
     pub process: Option<GatewayProcess>,
     discovery: SocketAddr,
     // Kept because discovery's stream ends when the sender is dropped.
     _list_sender: Sender<String>,
-    /// Set from SIGTERM until the process exits.
+    /// Why the process is shutting down; `None` unless it received SIGTERM and hasn't exited.
     pub shutdown_purpose: Option<ShutdownPurpose>,
     pub overrides: StartOverrides,
     /// Log lines on leases of the incarnations that have exited.
     pub lease_log_of_exited: Vec<String>,
-    /// When it was killed or stalled, each in seconds of Unix time.
+    /// The times at which it was killed or stalled, in seconds of Unix time.
     pub stopped_at_unix: Vec<f64>,
-    /// The oldest first.
+    /// All stalls, the oldest first.
     pub stalls: Vec<Stall>,
     /// Processor time in microseconds of the incarnations that were killed or ran at the end; restarts are not counted.
     pub processor_time_us: f64,
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Adds what the running incarnation has used so far.
+    /// Adds the processor time that the running incarnation has used so far.
     fn count_processor_time(&mut self) {
         if let Some(process) = &self.process {
             self.processor_time_us += process.resource_usage().processor_time_us;
@@ -127,7 +127,7 @@
     pub gateways: Vec<Gateway>,
     pub relay: Relay,
     pub rollout_stand_in: RolloutStandIn,
-    /// Where gateways send rollout commands; a test may set it before the start.
+    /// Where gateways send rollout commands. A test may replace it before the gateways start.
     pub deployment_controller_address: SocketAddr,
     pub scenario: Scenario,
     rng: WyRand,
@@ -217,7 +217,7 @@
         target.is_alive = false;
         target.accepts_clients = false;
         self.killed.insert((index, target.incarnation));
-        self.collect_ended(index);
+        self.collect_exited(index);
     }
 
     /// Suspends a gateway with SIGSTOP, unless it is shutting down.
@@ -273,7 +273,7 @@
         lines.any(|line| line.contains(text))
     }
 
-    /// The first gateway whose log says that it holds a lease.
+    /// The first gateway that holds a lease according to its log.
     pub fn holder(&self, lease: &str) -> Option<usize> {
         let mut gateways = self.gateways.iter();
         gateways.position(|gateway| gateway.is_holder(lease) == Some(true))
@@ -296,7 +296,7 @@
             };
             let purpose = gateway.shutdown_purpose.take();
             self.crashes += u64::from(!status.success() || purpose.is_none());
-            self.collect_ended(index);
+            self.collect_exited(index);
             simulation.gateways[index].is_alive = false;
             if purpose == Some(ShutdownPurpose::Restart) {
                 self.start(simulation, index)?;
@@ -306,7 +306,7 @@
     }
 
     /// Collects the log of an incarnation that has exited.
-    fn collect_ended(&mut self, index: usize) {
+    fn collect_exited(&mut self, index: usize) {
         let gateway = &mut self.gateways[index];
         let Some(mut process) = gateway.process.take() else {
             return;
--- a/crates/fault-injection/src/fleet/relay.rs
+++ b/crates/fault-injection/src/fleet/relay.rs
@@ -1,6 +1,6 @@
 //! The relay between the gateways of one fleet: a socket for each ordered pair, on a thread of its own. Each gateway
-//! is configured with the relay's sockets as its peers. Datagrams between two gateways can so be dropped in one
-//! direction or both, delayed, lost, duplicated, reordered and corrupted, with random numbers drawn from the seed.
+//! is configured with the relay's sockets as its peers. The relay can drop datagrams between two gateways in one direction or
+//! both, and delay, lose, duplicate, reorder and corrupt them, with random numbers drawn from the seed.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -15,7 +15,7 @@
 use nanorand::{Rng, WyRand};
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
 
-/// Above the size of every valid datagram, so that a longer one is still seen whole.
+/// Larger than any valid datagram, so that one that is too long isn't truncated to a valid length.
 const DATAGRAM_BUFFER_BYTES: usize = 512;
 /// The first byte of a fleet message is at least this; gossip messages are text.
 const FIRST_FLEET_MESSAGE_BYTE: u8 = 0xF5;
@@ -31,25 +31,26 @@
 /// The faults that currently apply to datagrams.
 #[derive(Clone, Debug, Default)]
 pub struct DatagramFaults {
-    /// Sender and receiver between which every datagram is dropped.
+    /// Pairs of sender and receiver between which every datagram is dropped.
     pub dropped_pairs: BTreeSet<(usize, usize)>,
-    /// Added to the delay of every datagram from or to these gateways.
+    /// Added to the delay of every datagram from or to a gateway, by gateway index.
     pub delays: BTreeMap<usize, Duration>,
-    /// Shares of all datagrams, from 0 to 1.
+    /// Share of all datagrams that is lost, from 0 to 1. The other ratios are shares of the datagrams that are left.
     pub loss_ratio: f64,
     pub duplication_ratio: f64,
     pub reordering_ratio: f64,
     pub corruption_ratio: f64,
 }
 
+/// Counts of datagrams and of their bytes since the start of the relay.
 #[derive(Clone, Debug, Default)]
 pub struct Counters {
     pub datagrams: u64,
     pub dropped: u64,
     pub corrupted: u64,
-    /// Bytes of fleet messages that each gateway sent, by its number.
+    /// Bytes of fleet messages that each gateway sent, by gateway index.
     pub fleet_bytes: Vec<u64>,
-    /// Bytes of elimination votes of all gateways, which `fleet_bytes` includes.
+    /// Bytes of elimination votes that all gateways sent. `fleet_bytes` includes them.
     pub vote_bytes: u64,
 }
 
@@ -61,8 +62,9 @@
     gossip_addresses: Vec<Option<SocketAddr>>,
 }
 
+/// A running relay; its thread stops when it is dropped.
 pub struct Relay {
-    /// Gateway `g` reaches peer `p` at `peer_addresses[g][p]`, and all its peers at once at `peer_addresses[g][g]`.
+    /// Gateway `g` reaches peer `p` at `peer_addresses[g][p]`. A datagram to `peer_addresses[g][g]` goes to all its peers.
     pub peer_addresses: Vec<Vec<SocketAddr>>,
     shared: Arc<Mutex<Shared>>,
     is_stopped: Arc<AtomicBool>,
@@ -146,10 +148,10 @@
     }
 }
 
-/// When it is sent on, a sequence number that keeps the order of equal times, sender, receiver, and the datagram.
+/// Delivery time, a sequence number that orders equal times, sender, receiver, and the datagram.
 type Delivery = Reverse<(Instant, u64, usize, usize, Vec<u8>)>;
 
-/// What the relay's thread owns.
+/// The state of the relay's thread.
 struct Forwarder {
     gateways: usize,
     sockets: Vec<UdpSocket>,
@@ -160,7 +162,7 @@
 }
 
 impl Forwarder {
-    /// Waits for datagrams, schedules their deliveries, and sends those that are due.
+    /// Waits for datagrams, schedules their deliveries, and sends the datagrams whose delivery time has come.
     fn run_once(&mut self) {
         let until_delivery = self
             .deliveries
@@ -196,13 +198,13 @@
             };
             let address = lock(&shared).gossip_addresses[to];
             if let Some(address) = address {
-                // Sent from the socket that the receiver is configured with as the address of this sender.
+                // The receiver is configured with the address of this socket for the sender.
                 let _ = self.sockets[to * self.gateways + from].send_to(&bytes, address);
             }
         }
     }
 
-    /// Reads datagrams from one socket, which stands for one pair of sender and receiver.
+    /// Reads datagrams from one socket. Each socket belongs to one pair of sender and receiver.
     fn receive(&mut self, socket_index: usize) {
         let (from, to) = (socket_index / self.gateways, socket_index % self.gateways);
         let mut bytes = [0_u8; DATAGRAM_BUFFER_BYTES];
@@ -230,7 +232,7 @@
         }
     }
 
-    /// Applies the current faults to a datagram and schedules what is left to deliver.
+    /// Applies the current faults to a datagram, and schedules its delivery unless it is dropped.
     fn schedule_delivery(&mut self, shared: &mut Shared, from: usize, to: usize, bytes: &[u8]) {
         let Shared {
             faults, counters, ..
--- a/crates/fault-injection/src/fleet/report.rs
+++ b/crates/fault-injection/src/fleet/report.rs
@@ -1,5 +1,5 @@
-//! Checks what a fleet did against the rules, and reports what it cost. The names of the report's fields in JSON are part
-//! of the command line's interface.
+//! Checks the observations of a fleet against the rules, and reports its costs. The JSON field names are part of the
+//! command-line interface.
 
 use std::collections::BTreeMap;
 
@@ -12,12 +12,12 @@
     Answer, ClientRequest, RequestClass, Simulation, LATENCY_OBJECTIVE, REQUEST_TIMEOUT,
 };
 
-/// A gateway stalled until this long after a request's timeout could not answer it in time.
+/// A request counts as accepted only if its gateway wasn't stalled between the request and this long after its timeout.
 const STALL_MARGIN_SECONDS: f64 = 0.5;
 const MILLISECONDS_PER_SECOND: f64 = 1000.0;
 const MICROSECONDS_PER_SECOND: f64 = 1e6;
 
-/// What was observed, and whether the rules hold.
+/// Observations of a run, and whether the rules hold.
 #[derive(Debug, Default, Serialize)]
 pub struct Report {
     /// No rule was violated, and requests and stage moves took place.
@@ -46,33 +46,33 @@
     /// Rollout stages that were moved.
     #[serde(rename = "waves_advanced")]
     pub stages_advanced: u64,
-    /// Commands that a holder repeated though it had their answer.
+    /// Commands that a holder repeated although it had received the answer.
     #[serde(rename = "waves_double")]
     pub repeated_calls: u64,
-    /// Votes sent to the rollout platform, though the lease holder applies them.
+    /// Votes sent to the rollout platform, although the lease holder applies votes.
     pub votes_at_platform: u64,
-    /// The longest time without a holder, by lease, according to the gateways' logs.
+    /// The longest time without a holder by the gateways' logs, in milliseconds, by lease.
     #[serde(rename = "gap_ms")]
     pub longest_gap_ms: BTreeMap<String, f64>,
-    /// The share of the time since its first holder in which a lease was held.
+    /// The share of the time since the first acquisition in which the lease was held, by lease.
     #[serde(rename = "held_share")]
     pub held_ratio: BTreeMap<String, f64>,
-    /// The longest time between two consecutive stage moves.
+    /// The longest time between two consecutive stage moves, in milliseconds.
     #[serde(rename = "wave_pause_ms")]
     pub longest_stage_pause_ms: f64,
-    /// Priority weight of requests that succeeded within the latency objective over that of all.
+    /// Priority weight of requests that succeeded within the latency objective, divided by that of all requests.
     #[serde(rename = "revenue_share")]
     pub served_weight_ratio: f64,
     /// The share of requests that were rejected.
     #[serde(rename = "declined_share")]
     pub rejected_ratio: f64,
-    /// Bytes of fleet messages that each gateway sent per second.
+    /// Bytes of fleet messages sent per gateway and second.
     #[serde(rename = "bytes_a_gateway_s")]
     pub bytes_per_gateway_second: f64,
     /// Bytes of lease messages per second, divided by leases and electors.
     #[serde(rename = "lease_bytes_an_elector_s")]
     pub lease_bytes_per_elector_second: f64,
-    /// Processor time of each gateway over the time of the run.
+    /// Mean processor time of a gateway, divided by the duration of the run.
     #[serde(rename = "cpu_share")]
     pub processor_time_ratio: f64,
     pub datagrams: u64,
@@ -80,7 +80,7 @@
     pub datagrams_dropped: u64,
     #[serde(rename = "datagrams_garbled")]
     pub datagrams_corrupted: u64,
-    /// Lines that the gateways logged on violated invariants or panics.
+    /// Log lines of the gateways on violated invariants or panics.
     #[serde(rename = "broken_lines")]
     pub logged_violations: u64,
     /// Gateways that exited by themselves, or with a failure.
@@ -225,7 +225,7 @@
     report.votes_at_platform = observations.platform_votes;
     report.longest_stage_pause_ms =
         observations.longest_pause.as_secs_f64() * MILLISECONDS_PER_SECOND;
-    // Taken before the gateways were shut down.
+    // The shutdown of the gateways isn't part of the run.
     let run_end = group.ended_at_unix;
     for lease in LEASES {
         let coverage = measure_coverage(group, lease, run_end);
@@ -233,7 +233,7 @@
             lease.into(),
             (coverage.longest_gap_seconds * MILLISECONDS_PER_SECOND).round(),
         );
-        // Three decimal places.
+        // Rounded to three decimal places.
         report.held_ratio.insert(
             lease.into(),
             (coverage.held_ratio * 1000.0).round() / 1000.0,
--- a/crates/fault-injection/src/fleet/rollout_stand_in.rs
+++ b/crates/fault-injection/src/fleet/rollout_stand_in.rs
@@ -1,6 +1,6 @@
-//! The stand-in of the deployment controller that the lease holder commands, and of the rollout platform's event stream. It
-//! announces the stages of a build and moves each one once, on or back, for the holder of the latest epoch only. The
-//! rules are checked against the calls that it received.
+//! The stand-in for the deployment controller, which the lease holder commands, and for the rollout platform's event stream.
+//! It announces the stages of a build. It promotes or rolls back each stage once, for the holder of the latest epoch only. The
+//! rules are checked against the commands that it received.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,13 +13,13 @@
 
 use crate::stand_ins::{serve_requests, ReceivedRequest};
 
-/// Rollout stages of a build. In the first, a part of the servers runs the canary.
+/// Number of rollout stages of a build. In the first stage, only a part of the endpoints runs the canary.
 pub const STAGES: usize = 3;
-/// The first build that is rolled out; servers keep running the one before it.
+/// The first build that is rolled out. The endpoints keep running the build before it.
 pub const FIRST_CANARY_BUILD: u32 = 42;
 /// The path of the deployment controller's API.
 pub const CONTROLLER_PATH: &str = "/waves";
-/// How often the stand-in checks whether the next stage is due.
+/// How often the stand-in checks whether to announce the next stage.
 const TICK: Duration = Duration::from_millis(10);
 
 /// A command to the deployment controller, by its names on the wire.
@@ -36,7 +36,7 @@
     gateway: String,
     #[serde(rename = "start")]
     incarnation: u64,
-    /// The gateway repeats a command whose answer it did not get.
+    /// Whether the gateway repeats the command because it received no answer to it.
     #[serde(rename = "again")]
     is_retry: bool,
 }
@@ -70,7 +70,7 @@
     pub two_holders: u64,
     /// Commands under an epoch older than the latest one received.
     pub epochs_back: u64,
-    /// Commands for a stage that was moved under the same epoch, not marked as retries.
+    /// Commands for a stage that was already moved under the same epoch, unless marked as retries.
     pub repeated_calls: u64,
     /// Votes sent to the rollout platform, though the lease holder applies them.
     pub platform_votes: u64,
@@ -81,14 +81,14 @@
 struct State {
     build: u32,
     stage: usize,
-    /// As announced on the wire. A moved stage stays `trial` until the next one is announced.
+    /// Progress of the stage, as announced on the wire. A moved stage stays `trial` until the next stage is announced.
     progress: &'static str,
-    /// The last move promoted its stage.
+    /// Whether the last move promoted its stage.
     is_promoted: bool,
     /// When the next stage is announced; `None` until the current one is moved.
     next_stage_at: Option<Instant>,
     announcements_paused: bool,
-    /// From the move of a stage to the announcement of the next one.
+    /// Time from the move of a stage to the announcement of the next stage.
     stage_pause: Duration,
     latest_epoch: u64,
     /// The gateway and incarnation that first used each epoch.
@@ -130,7 +130,7 @@
         self.latest_epoch = command.epoch;
         let stage = (command.build, command.stage);
         if let Some((epoch, _)) = self.moved_by.get(&stage) {
-            // The same holder repeats a command only if it got no answer. A later holder can't know of the move.
+            // A holder may repeat a command only if it received no answer. A later holder can't know of the move.
             let is_repeated = *epoch == command.epoch && !command.is_retry;
             self.observations.repeated_calls += u64::from(is_repeated);
             return CallOutcome::Repeated;
@@ -227,7 +227,7 @@
 }
 
 impl RolloutStandIn {
-    /// Announces each next stage this long after the previous one was moved.
+    /// Starts the stand-in. It announces each next stage `stage_pause` after the previous stage was moved.
     pub fn start(stage_pause: Duration) -> RolloutStandIn {
         let state = Arc::new(Mutex::new(State {
             build: FIRST_CANARY_BUILD,
@@ -262,8 +262,8 @@
         RolloutStandIn { address, state }
     }
 
-    /// Stops announcing new stages, or resumes it.
-    pub fn pause_announcements(&self, paused: bool) {
+    /// Pauses or resumes the announcement of new stages.
+    pub fn set_announcements_paused(&self, paused: bool) {
         lock(&self.state).announcements_paused = paused;
     }
 
@@ -272,11 +272,12 @@
         lock(&self.state).announce_stage();
     }
 
-    /// All calls so far, the oldest first.
+    /// All commands so far, the oldest first.
     pub fn calls(&self) -> Vec<Call> {
         lock(&self.state).calls.clone()
     }
 
+    /// The counts so far, with `longest_pause` computed from the commands.
     pub fn observations(&self) -> ControllerObservations {
         let state = lock(&self.state);
         let mut observations = state.observations.clone();
--- a/crates/fault-injection/src/flows/evaluation.rs
+++ b/crates/fault-injection/src/flows/evaluation.rs
@@ -11,7 +11,7 @@
 /// Kinds of records, in the order of [`LoggedTotals::dropped`].
 const KINDS: [&str; 2] = ["submission", "txn"];
 
-/// Texts that occur in the clients' requests, and that no flow record may contain.
+/// Texts of the clients' requests. Flow records must not contain any of them.
 const CLIENT_DATA: [&[u8]; 6] = [
     b"hobart-",
     b"launceston-",
@@ -70,10 +70,10 @@
             + sites_report.crashes
             + sites_report.repeats_outside_window
             == 0;
-    // A slow collector receives too little to compare; it must only cost the gateways nothing.
-    let is_collection_right = scenario.is_collector_slow || report.totals_agree;
+    // A slow collector receives too little to compare.
+    let is_collection_ok = scenario.is_collector_slow || report.totals_agree;
     report.ok = report.rules_kept
-        && is_collection_right
+        && is_collection_ok
         && report.client_data_found == 0
         && !logged.recorded.is_empty();
     Ok(report)
@@ -111,8 +111,8 @@
     are_sums_complete && are_totals_equal
 }
 
-/// Whether the sequence numbers show about as much missing as the collector dropped. They can't show datagrams lost after
-/// the last one received.
+/// Whether the sequence numbers show about as much missing as the collector dropped. Datagrams lost after the last received
+/// one leave no gap.
 fn sequence_numbers_show_loss(scenario: &Scenario, counts: &Counts, report: &Report) -> bool {
     let missing_records = report.records_sent.saturating_sub(report.records_collected);
     let missing = if scenario.wire_format == "v9" {
@@ -173,7 +173,7 @@
     report.processor_time_ratio = median(ratios.collect());
 }
 
-/// Octets a second from the surging gateway after the surge over those before it.
+/// Octets per second from the surging gateway after the start of the surge, divided by those before it.
 fn surge_octets_ratio(scenario: &Scenario, counts: &Counts) -> f64 {
     let surge_second = (scenario.duration_seconds / 2.0) as u64 + SURGE_SETTLING_SECONDS;
     let mean_octets = |is_compared: &dyn Fn(u64) -> bool| {
--- a/crates/fault-injection/src/flows/mod.rs
+++ b/crates/fault-injection/src/flows/mod.rs
@@ -1,6 +1,6 @@
-//! Fault injection for flow export. Of each site's two gateways one exports flows and the other doesn't, under the same
-//! traffic, to a collector that is stopped, slow or drops datagrams. What the collector counted is then compared with the
-//! totals that the gateways logged.
+//! Fault injection for flow export. Under the same traffic, one of each site's two gateways exports flows and the other
+//! doesn't. The collector can be stopped, read slowly or drop datagrams. Its counts are then compared with the totals that the
+//! gateways logged.
 
 mod collector_tls;
 mod evaluation;
--- a/crates/fault-injection/src/flows/report.rs
+++ b/crates/fault-injection/src/flows/report.rs
@@ -4,8 +4,8 @@
 
 use serde::Serialize;
 
-/// What the gateways and the collector counted, what export cost, and whether the properties hold. The fields that end in
-/// `with_export` and `without_export` are means over the gateways that export flows and over those that don't.
+/// Counts of the gateways and the collector, costs of flow export, and whether the properties hold. Fields that end in
+/// `with_export` or `without_export` are means over the gateways that export flows, or over those that don't.
 #[derive(Debug, Default, Serialize)]
 pub struct Report {
     /// Attempts and requests that the gateways logged, by `KIND BUILD CLASS`.
@@ -19,8 +19,8 @@
     pub logged_dropped: BTreeMap<String, u64>,
     /// Attempts and requests written right before a connection broke.
     pub in_doubt: u64,
-    /// For each kind, gateway total = collected + dropped, within the bound of `in_doubt`. If the collector dropped
-    /// datagrams, it says instead whether the sequence numbers show as much missing as was dropped.
+    /// Whether for each kind the gateway total equals collected plus dropped, within the bound of `in_doubt`. If the collector
+    /// dropped datagrams, whether the sequence numbers show as much missing as was dropped.
     #[serde(rename = "agree")]
     pub totals_agree: bool,
     /// Messages that the gateways sent.
@@ -34,7 +34,7 @@
     /// Datagrams that the collector dropped.
     #[serde(rename = "lost_on_the_way")]
     pub dropped_datagrams: u64,
-    /// Places in the received octets with text of clients' requests, which no record may contain.
+    /// Occurrences of text from clients' requests in the received octets. Flow records must not contain any.
     pub client_data_found: u64,
     /// Messages that the collector couldn't decode.
     #[serde(rename = "faults")]
@@ -52,14 +52,14 @@
     pub latency_p99_ms_with_export: f64,
     #[serde(rename = "p99_ms_without")]
     pub latency_p99_ms_without_export: f64,
-    /// Processor time for each request with export over that without; the median over the usage samples.
+    /// Processor time per request with export, divided by that without; the median over the usage samples.
     #[serde(rename = "cpu_ratio")]
     pub processor_time_ratio: f64,
-    /// Octets a second that the surging gateway sent to the collector after the surge, over those before it; `None`
-    /// without a surge.
+    /// Octets per second that the surging gateway sent after the start of the surge, divided by those before it; `None` without
+    /// a surge.
     pub surge_octets_ratio: Option<f64>,
-    /// The rules of the two sites' run hold.
+    /// Whether the rules of the run on two sites hold.
     pub rules_kept: bool,
-    /// All properties hold.
+    /// Whether all properties hold.
     pub ok: bool,
 }
--- a/crates/fault-injection/src/flows/scenario.rs
+++ b/crates/fault-injection/src/flows/scenario.rs
@@ -8,10 +8,10 @@
 
 /// Seconds between two samples of the gateways' usage.
 const USAGE_SAMPLE_SECONDS: f64 = 2.0;
-/// How often a second the endpoints are renamed.
+/// How many times per second all endpoints are renamed.
 const RENAMES_PER_SECOND: f64 = 4.0;
 
-/// One run of two sites with flow export. Seconds count from the clients' start.
+/// Parameters of one run of two sites with flow export. Seconds count from the start of the clients.
 pub struct Scenario {
     pub seed: u64,
     /// How long clients send requests.
@@ -21,25 +21,25 @@
     pub transport: CollectorTransport,
     /// When the collector is stopped; `None` if it runs throughout.
     pub collector_outage: Option<Outage>,
-    /// The collector reads one octet a second.
+    /// The collector reads one octet per second.
     pub is_collector_slow: bool,
     /// Renames the endpoints four times a second.
     pub renames_endpoints: bool,
     /// Raises one gateway's share of its site's requests at half-time.
     pub has_surge: bool,
-    /// The share of requests that the next build fails. A third into the run half of the endpoints get that build; with 0
-    /// it isn't released.
+    /// The share of requests that the next build fails. Half of the endpoints get this build after a third of the run; with
+    /// 0, it isn't released.
     pub failure_ratio: f64,
     /// The share of datagrams that the collector drops.
     pub loss_ratio: f64,
-    /// For each site.
+    /// Client requests per second at each site.
     pub requests_per_second: f64,
     /// Where the exporting gateways and the collector write their files; `None` writes none.
     pub output_folder: Option<PathBuf>,
 }
 
 impl Scenario {
-    /// The steps in addition to the clients' requests, each with its second.
+    /// The steps of the scenario, each with its time in seconds.
     pub(super) fn steps(&self) -> Vec<(f64, ScenarioStep)> {
         let samples = (self.duration_seconds / USAGE_SAMPLE_SECONDS) as u32;
         let mut steps: Vec<(f64, ScenarioStep)> = (0..=samples)
--- a/crates/fault-injection/src/gateway_process.rs
+++ b/crates/fault-injection/src/gateway_process.rs
@@ -44,7 +44,7 @@
     File {
         /// Path of the file or program.
         path: PathBuf,
-        /// The error of the system.
+        /// The error from the operating system.
         source: io::Error,
     },
     /// The gateway exited, or didn't log its listen address in time.
@@ -55,7 +55,7 @@
         /// Folder with the gateway's files.
         folder: PathBuf,
     },
-    /// The process can't be signalled or waited for.
+    /// The process can't be signalled, or its exit status can't be read.
     #[error("can't signal or await a gateway: {0}")]
     Signal(#[source] io::Error),
     /// The gateway exited with a failure after SIGTERM.
@@ -91,7 +91,7 @@
     pub gossip_address: Option<SocketAddr>,
     /// Log lines that report a violated invariant or a panic.
     pub violations: Vec<String>,
-    /// Whether the last line read started a panic report, which has its message in the next line.
+    /// Whether the last line read started a panic report. The next line has its message.
     is_panic_message_next: bool,
     /// Log lines about leases.
     pub lease_log: Vec<String>,
--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -1,7 +1,7 @@
 //! Fault injection: runs built gateways, or simulations of their logic, against stand-ins for the outside systems. Injects
 //! failures drawn from a seed and checks the rules that must hold under any failure. All sockets are on loopback.
 //!
-//! - without sockets, in simulated time: [`core`] (two sites), [`duties`] (leases), [`membership`] (gossip on members),
+//! - without sockets, in simulated time: [`core`] (two sites), [`duties`] (leases), [`membership`] (gossip on membership),
 //!   [`admission`] (comparison of admission policies), [`elimination`] (comparison of rules that eliminate a canary);
 //! - with built gateways: [`sites`] (two sites), [`fleet`] (leases and rollouts), [`flows`] (flow export), [`soak`]
 //!   (restarts under load);
--- a/crates/fault-injection/src/membership.rs
+++ b/crates/fault-injection/src/membership.rs
@@ -1,5 +1,5 @@
-//! Simulates membership with hundreds of gateways a site, without sockets: in rounds of one heartbeat interval, with
-//! heartbeats lost at random. Measures how many rounds a change takes to reach all gateways, and how many bytes.
+//! Simulates membership with hundreds of gateways per site, without sockets: in rounds of one heartbeat interval, with
+//! heartbeats lost at random. Measures how many rounds a change takes to reach all gateways, and the heartbeat bytes per round.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,27 +14,28 @@
 
 const SITES: [&str; 2] = ["hobart", "launceston"];
 const LOSS_RATIOS: [f64; 3] = [0.0, 0.1, 0.3];
-/// Rounds in which gateways discover each other, and settle after a change.
+/// Rounds in which gateways discover each other, or settle after a change.
 const SETTLING_ROUNDS: usize = 120;
-/// Rounds after which a change counts as not known to all.
+/// Rounds after which a measurement gives up on a change that some gateways don't know.
 const MAX_ROUNDS: usize = 400;
-/// State changes measured at each loss ratio, one after another.
+/// Number of state changes measured at each loss ratio, one after another.
 const STATE_CHANGES: usize = 9;
-/// Gateways of the other site that a gateway's settings list.
+/// Number of the other site's gateways in a gateway's settings.
 const CONFIGURED_PEERS: usize = 3;
-/// The bound on rounds after a restart, over the bound after one gateway's change.
+/// Ratio of the bound on rounds after a restart to the bound after one gateway's change.
 const RESTART_BOUND_FACTOR: usize = 4;
 const MAX_PATHS_PER_GATEWAY: usize = 24;
 
-/// What was measured at one loss ratio.
+/// Measurements at one loss ratio.
 #[derive(Debug, Default, Serialize)]
 pub struct LossReport {
-    /// The share of heartbeats that is lost.
+    /// The share of heartbeats that are lost.
     #[serde(rename = "loss")]
     pub loss_ratio: f64,
-    /// Rounds until every gateway knew one gateway's change: the median and the most over all changes.
+    /// Rounds until every gateway knew one gateway's change: the median over all changes.
     #[serde(rename = "rounds_median")]
     pub median_rounds: usize,
+    /// Rounds until every gateway knew one gateway's change: the maximum over all changes.
     #[serde(rename = "rounds_most")]
     pub max_rounds: usize,
     /// Rounds until every gateway knew the new incarnations, after half of all gateways restarted at once.
@@ -42,25 +43,26 @@
     /// Heartbeat bytes that a gateway sends in one round: the mean over all gateways, while nothing changes.
     #[serde(rename = "bytes_quiet")]
     pub idle_round_bytes: f64,
-    /// The same for the first round after the restart.
+    /// Heartbeat bytes that a gateway sends in the first round after the restart: the mean over all gateways.
     #[serde(rename = "bytes_restart")]
     pub restart_round_bytes: f64,
-    /// Open paths of a gateway.
+    /// Open paths of a gateway: the mean over all gateways.
     #[serde(rename = "roads_mean")]
     pub mean_paths: f64,
+    /// Open paths of a gateway: the maximum over all gateways.
     #[serde(rename = "roads_most")]
     pub max_paths: usize,
-    /// Records at the end, over all gateways, that list a running gateway as suspected or lost.
+    /// Number of records at the end, over all gateways, that list a running gateway as suspected or lost.
     pub wrongly_suspected: usize,
 }
 
-/// What was measured at all loss ratios, and whether the bounds hold.
+/// Measurements at all loss ratios, and whether the bounds hold.
 #[derive(Debug, Default, Serialize)]
 pub struct Report {
     #[serde(rename = "gateways_a_site")]
     pub gateways_per_site: usize,
     pub seed: u64,
-    /// The most rounds that one gateway's change may take.
+    /// Maximum number of rounds until all gateways must know one gateway's change.
     pub bound_rounds: usize,
     #[serde(rename = "at")]
     pub by_loss_ratio: Vec<LossReport>,
--- a/crates/fault-injection/src/soak/clients.rs
+++ b/crates/fault-injection/src/soak/clients.rs
@@ -194,7 +194,7 @@
         reads_slowly: plan.reads_slowly || connection.reads_slowly,
         outcome,
     });
-    matches!(response, Response::Complete { .. }) && connection.is_kept
+    matches!(response, Response::Complete { .. }) && connection.is_reusable
 }
 
 /// Whether an answer belongs to this request. An endpoint's answer starts with the request's id; error answers contain no id
@@ -213,7 +213,7 @@
     Truncated {
         received_bytes: usize,
     },
-    /// The client stopped waiting early, as planned.
+    /// The client stopped waiting early, as its [`RequestPlan`] demands.
     Abandoned,
 }
 
@@ -222,8 +222,8 @@
     reads_slowly: bool,
     /// Bytes received since the last request was sent.
     received: Vec<u8>,
-    /// Whether the last answer allows the connection to be reused.
-    is_kept: bool,
+    /// Whether the connection can be reused after the last answer.
+    is_reusable: bool,
 }
 
 impl ClientConnection {
@@ -247,7 +247,7 @@
             stream: socket.into(),
             reads_slowly,
             received: Vec::new(),
-            is_kept: true,
+            is_reusable: true,
         }
     }
 
@@ -345,12 +345,12 @@
         let field = |name: &str| head.lines().find_map(|line| line.strip_prefix(name));
         let length: usize = field("content-length:")?.trim().parse().ok()?;
         let body = received.get(head_length..head_length + length)?;
-        let is_kept = field("connection:").map(str::trim) != Some("close");
+        let is_reusable = field("connection:").map(str::trim) != Some("close");
         let response = Response::Complete {
             body: String::from_utf8_lossy(body).into_owned(),
             is_success: head.starts_with("http/1.1 200"),
         };
-        self.is_kept = is_kept;
+        self.is_reusable = is_reusable;
         Some(response)
     }
 }
--- a/crates/fault-injection/src/soak/mod.rs
+++ b/crates/fault-injection/src/soak/mod.rs
@@ -39,10 +39,10 @@
 const DRAINING_ENDPOINT: usize = 3;
 const HANGING_ENDPOINT: usize = 1;
 const CLOSING_ENDPOINT: usize = 2;
-/// How long after the start of its drain an endpoint is removed from the list.
+/// Time from the start of an endpoint's drain to its removal from the endpoint list.
 const REMOVAL_DELAY_AFTER_DRAIN: Duration = Duration::from_millis(600);
 const CLIENTS_PER_GATEWAY: usize = 10;
-/// Time within which at least nine in ten restarted gateways must be ready.
+/// Time within which at least nine in ten restarted gateways must become ready.
 const READY_LIMIT: Duration = Duration::from_secs(1);
 
 /// The settings of a soak.
@@ -109,7 +109,7 @@
 /// # Errors
 ///
 /// The gateway program is missing, or a gateway doesn't start or shut down.
-pub fn play(settings: &SoakSettings) -> Result<SoakReport, SoakError> {
+pub fn run_soak(settings: &SoakSettings) -> Result<SoakReport, SoakError> {
     let plan = Plan::draw(settings.seed, settings.gateways, settings.duration);
     let attempt_log = AttemptLog::new(Instant::now());
     let setup = Arc::new(start_stand_ins(settings, &plan, &attempt_log)?);
--- a/crates/fault-injection/src/soak/plan.rs
+++ b/crates/fault-injection/src/soak/plan.rs
@@ -19,21 +19,21 @@
 const SEED_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 /// How long before the first restart the window starts in which all endpoints hang.
 const HANG_LEAD: Duration = Duration::from_millis(100);
-/// Separates the random numbers for sudden kills from a seed's other draws, which therefore stay unchanged.
+/// Separates the random numbers for sudden kills from a seed's other draws, so that those don't change.
 const SUDDEN_KILL_SEED_MASK: u64 = 0x6b69_6c6c_0000_0000;
-/// Separates the random numbers for discovery faults likewise.
+/// Separates the random numbers for discovery faults from a seed's other draws, for the same reason.
 const DISCOVERY_SEED_MASK: u64 = 0x6469_7363_0000_0000;
-/// When a discovery fault starts, how long it lasts, and by how much delayed changes are late.
+/// When a discovery fault starts, how long it lasts, and by how much it delays changes.
 const DISCOVERY_FAULT_START_MS: std::ops::RangeInclusive<u64> = 500..=1_500;
 const DISCOVERY_FAULT_LENGTH_MS: std::ops::RangeInclusive<u64> = 1_000..=5_500;
 const DISCOVERY_DELAY_MS: std::ops::RangeInclusive<u64> = 100..=1_500;
 /// File descriptor limit of a gateway without and with connection bursts.
 const DESCRIPTORS: usize = 400;
 const FEW_DESCRIPTORS: usize = 90;
-/// Requests of a connection burst: at most a third of [`FEW_DESCRIPTORS`], less one for each steady client.
+/// Number of requests in a connection burst: at most a third of [`FEW_DESCRIPTORS`], minus one for each steady client.
 const BURST_REQUESTS: std::ops::RangeInclusive<usize> = 5..=20;
 
-/// The earliest kill that the platform guarantees, counted from the signal.
+/// The earliest time at which the platform may kill a gateway, counted from the signal.
 pub const EARLIEST_KILL: Duration = MAX_COUNTED_DEADLINE.saturating_add(KILL_GRACE);
 /// The shortest soak in which a restart can start and its gateway be ready again.
 pub const SHORTEST_RUN: Duration = Duration::from_secs(6);
@@ -64,7 +64,7 @@
     }
 }
 
-/// Series of signals. All but the fourth start a shutdown.
+/// Series of signals that a restart draws from. All but the fourth start a shutdown.
 const SIGNAL_SERIES: [&[SignalKind]; 6] = [
     &[SignalKind::Terminate],
     &[SignalKind::Terminate, SignalKind::Terminate],
@@ -90,7 +90,7 @@
     None,
     /// For this long, starting right before the first signal.
     BeforeSignal(Duration),
-    /// For this long, until the kill.
+    /// For this long, ending with the kill.
     BeforeKill(Duration),
 }
 
--- a/crates/fault-injection/src/soak/restarts.rs
+++ b/crates/fault-injection/src/soak/restarts.rs
@@ -1,4 +1,4 @@
-//! Restarts of gateways: a series of signals, a kill at the earliest time that the platform guarantees, and the new start.
+//! Restarts of gateways: a series of signals, a kill at the earliest time at which the platform may kill, and the new start.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -32,7 +32,7 @@
 const BURST_SPREAD: Duration = Duration::from_millis(50);
 const BURST_STACK_BYTES: usize = 256 * 1024;
 
-/// What is needed to start the gateways of a soak.
+/// The parameters with which a soak starts its gateways.
 pub(super) struct GatewaySetup {
     pub(super) program: PathBuf,
     pub(super) folder: PathBuf,
@@ -248,7 +248,7 @@
     signal_at
 }
 
-/// Waits until the process has exited, or kills it at [`EARLIEST_KILL`]. Returns when it was killed, if it was.
+/// Waits until the process has exited, or kills it at [`EARLIEST_KILL`]. Returns when it was killed; `None` if it exited.
 fn wait_for_exit_or_kill(
     shared: &SharedState,
     restart: &Restart,
--- a/crates/fault-injection/src/soak/rules.rs
+++ b/crates/fault-injection/src/soak/rules.rs
@@ -16,10 +16,10 @@
 
 /// How long after its request's deadline an answer may arrive.
 const ANSWER_GRACE: Duration = Duration::from_millis(500);
-/// How much the machine may lengthen any time that is measured here.
+/// By how much the machine may lengthen any measured time.
 const MEASUREMENT_TOLERANCE: Duration = Duration::from_millis(50);
-/// How long after a request's last byte the gateway's close may still be in flight towards the client: the longest stall of
-/// a process, plus the measurement tolerance.
+/// How long after a request's last byte the client may still receive a close that the gateway sent before it read the
+/// request: the longest stall of a process, plus the measurement tolerance.
 const CROSSING_TIME: Duration = Duration::from_millis(200);
 /// How long after the client closed its connection an attempt may still start.
 const CLOSE_GRACE: Duration = Duration::from_millis(100);
@@ -50,10 +50,9 @@
     /// Requests with a complete answer that belongs to them.
     pub answered: usize,
     /// Requests that the gateway never read because it was closing the idle connection at that moment. Clients may safely
-    /// send these again.
+    /// send them again.
     pub sent_again: usize,
-    /// Requests and connections that a kill without a preceding signal interrupted, for which no rule holds the gateway
-    /// responsible.
+    /// Requests and connections that a kill without a preceding signal interrupted. They violate no rule.
     pub excused: usize,
     /// Requests whose client shut down its sending side before it had an answer. No rule requires an answer to them.
     pub half_closed: usize,
@@ -132,7 +131,7 @@
         }
         verdict.add_violation(Rule::ConnectionAccepted, || {
             let moment = describe_moment(observations, refused.gateway, refused.at, Duration::ZERO);
-            format!("n{} refuses a connection {moment}", refused.gateway)
+            format!("n{} refused a connection {moment}", refused.gateway)
         });
     }
     for violation in find_startup_violations(&observations.startup_connections) {
@@ -146,7 +145,7 @@
             verdict.add_violation(Rule::NoDrainingEndpoint, || {
                 let late = (attempt.at - drain.published_at).as_millis();
                 format!(
-                    "{} came to a draining endpoint {late} ms after the list",
+                    "{} reached a draining endpoint {late} ms after discovery sent the drain",
                     attempt.id
                 )
             });
@@ -190,7 +189,7 @@
             is_matching: false, ..
         } => {
             verdict.add_violation(Rule::AnswerReceived, || {
-                describe_violation(observations, request, "has another request's answer")
+                describe_violation(observations, request, "received another request's answer")
             });
         }
         RequestOutcome::Answered { at, .. } => {
@@ -200,7 +199,11 @@
             if at > latest && !request.reads_slowly {
                 let late = (at - latest).as_millis();
                 verdict.add_violation(Rule::AnswerInTime, || {
-                    describe_violation(observations, request, &format!("is {late} ms late"))
+                    describe_violation(
+                        observations,
+                        request,
+                        &format!("was answered {late} ms late"),
+                    )
                 });
             }
         }
@@ -219,7 +222,7 @@
             }
             let after = at.saturating_sub(request.written_at).as_millis();
             let what = format!(
-                "is lost after {after} ms with {received_bytes} bytes of an answer and {} attempts",
+                "was lost after {after} ms with {received_bytes} bytes of an answer and {} attempts",
                 attempts.len()
             );
             verdict.add_violation(Rule::AnswerReceived, || {
@@ -285,7 +288,7 @@
         if attempt.stated_remaining > left + STATED_TIME_TOLERANCE + MEASUREMENT_TOLERANCE {
             let stated = attempt.stated_remaining.as_millis();
             let what = format!(
-                "states {stated} ms to an endpoint with {} ms left, {}",
+                "stated {stated} ms to an endpoint with {} ms left, {}",
                 left.as_millis(),
                 describe_arrival(attempt.arrival)
             );
@@ -339,7 +342,7 @@
     let moment = describe_moment(observations, *gateway, request.written_at, request.deadline);
     let connection = match (request.is_connection_reused, request.is_startup_client) {
         (true, _) => "an open",
-        (false, true) => "a start's first",
+        (false, true) => "a startup client's",
         (false, false) => "a new",
     };
     format!(
--- a/crates/fault-injection/src/soak/sampler.rs
+++ b/crates/fault-injection/src/soak/sampler.rs
@@ -1,4 +1,4 @@
-//! Samples the gateways' processes during a soak, and measures how far the machine delays the sampling itself.
+//! Samples the gateways' processes during a soak, and measures by how much the machine delays the samples.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -16,7 +16,7 @@
 pub(super) struct Samples {
     /// The most file descriptors that a gateway had open.
     pub(super) descriptors_max: usize,
-    /// The longest delay of a sample.
+    /// The longest time by which a sample was late.
     pub(super) longest_pause: Duration,
     /// The longest time that a gateway waited for a processor between two samples.
     pub(super) longest_wait: Duration,
--- a/crates/fault-injection/src/soak/startup.rs
+++ b/crates/fault-injection/src/soak/startup.rs
@@ -17,7 +17,7 @@
     pub tried: usize,
     /// How many connections were refused.
     pub refused: usize,
-    /// When the last refusal came.
+    /// When a connection was last refused; `None` if none was.
     pub last_refused_after: Option<Duration>,
     /// When a connection was established. `None` if one failed other than by a refusal, or none was established in time.
     pub connected_after: Option<Duration>,
@@ -26,14 +26,14 @@
 /// A median and a maximum, in microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Spread {
-    /// The median.
+    /// The median; the upper of the two middle values for an even count.
     pub median: u64,
-    /// The largest.
+    /// The largest value; 0 for no values.
     pub max: u64,
 }
 
 impl Spread {
-    /// From times in ascending order.
+    /// Computes the spread of times in ascending order.
     fn from_sorted(times: &[Duration]) -> Spread {
         let microseconds_at =
             |index: usize| times.get(index).map_or(0, |time| time.as_micros() as u64);
@@ -128,10 +128,10 @@
     pub fn describe(&self) -> String {
         match self {
             StartupViolation::NeverConnected { gateway, tried } => {
-                format!("n{gateway}: no connection came up after its spawn, {tried} tried")
+                format!("n{gateway}: no connection established after the spawn, {tried} tried")
             }
             StartupViolation::RefusedAfterFirst { gateway, late } => format!(
-                "n{gateway} refuses a connection {} ms after its first since its spawn",
+                "n{gateway} refused a connection {} ms after it accepted its first since the spawn",
                 late.as_millis()
             ),
         }
--- a/crates/fault-injection/src/stand_ins/discovery.rs
+++ b/crates/fault-injection/src/stand_ins/discovery.rs
@@ -10,7 +10,7 @@
 use super::Trace;
 
 /// Version of the snapshot that the stand-in returns.
-const COMPLETE_LIST_VERSION: u32 = 60;
+const SNAPSHOT_VERSION: u32 = 60;
 
 /// The `settings` of a gateway's configuration, with three request classes, one gateway and one zone.
 pub fn policy_settings() -> Value {
@@ -47,13 +47,13 @@
     json!({"revision": version, "complete": complete, "members": endpoints})
 }
 
-/// A rollout update as the rollout platform publishes it.
+/// A rollout update as the rollout platform sends it.
 pub fn rollout_update(build: u32, stage: usize, phase: &str) -> Value {
     json!({"image": build, "ring": stage, "progress": phase, "ceiling": 1.0, "lag_ms": 60000})
 }
 
-/// Starts a discovery server that records its requests in the trace. It streams to gateways the lines sent to the returned
-/// sender.
+/// Starts a discovery server that records its requests in the trace, and streams the lines from the returned sender to
+/// gateways.
 pub fn discovery_server(trace: &Trace) -> (SocketAddr, Sender<String>) {
     let trace = trace.clone();
     let (sender, lines) = channel();
@@ -64,7 +64,7 @@
             request.head.lines().next().unwrap_or("")
         ));
         if request.head.starts_with("GET /v1/endpoints HTTP") {
-            let snapshot = endpoint_list(COMPLETE_LIST_VERSION, true, &[]).to_string();
+            let snapshot = endpoint_list(SNAPSHOT_VERSION, true, &[]).to_string();
             return request.respond("200 OK", &snapshot);
         }
         if request.head.contains("index=0 ") {
--- a/crates/fault-injection/tests/soak_kills.rs
+++ b/crates/fault-injection/tests/soak_kills.rs
@@ -1,4 +1,4 @@
-//! What a soak excuses when it kills a gateway without a preceding signal. Uses no sockets.
+//! Which requests and connections a soak excuses when it kills a gateway without a preceding signal. Uses no sockets.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
     Duration::from_millis(milliseconds)
 }
 
-/// A kill of gateway 0 at 1,000 ms, whose process has exited by 1,004 ms.
+/// A kill of gateway 0 at 1,000 ms. Its process has exited by 1,004 ms.
 fn sudden_kill() -> SuddenKillRecord {
     SuddenKillRecord {
         gateway: 0,
