--- a/crates/fault-injection/src/fleet/process_group/fault_injection.rs
+++ b/crates/fault-injection/src/fleet/process_group/fault_injection.rs
@@ -30,10 +30,10 @@
     /// Draws the gateway that a fault hits: with [`HOLDER_PROBABILITY`] the sender of the last rollout command, else any gateway.
     fn draw_target(&mut self) -> usize {
         let any_gateway = self.rng.generate_range(0..self.gateways.len());
-        let last_call = self.rollout_stand_in.calls().pop();
-        let holder = last_call.and_then(|call| {
+        let last_command = self.rollout_stand_in.commands().pop();
+        let holder = last_command.and_then(|command| {
             let mut names = self.gateways.iter().map(|gateway| &gateway.name);
-            names.position(|name| *name == call.gateway)
+            names.position(|name| *name == command.gateway)
         });
         match holder {
             Some(holder) if self.rng.generate::<f64>() < HOLDER_PROBABILITY => holder,
--- a/crates/fault-injection/src/fleet/report.rs
+++ b/crates/fault-injection/src/fleet/report.rs
@@ -48,7 +48,7 @@
     pub stages_advanced: u64,
     /// Commands that a holder repeated although it had received the answer.
     #[serde(rename = "waves_double")]
-    pub repeated_calls: u64,
+    pub repeated_commands: u64,
     /// Votes sent to the rollout platform, although the lease holder applies votes.
     pub votes_at_platform: u64,
     /// The longest time without a holder by the gateways' logs, in milliseconds, by lease.
@@ -220,8 +220,8 @@
     );
     let observations = group.rollout_stand_in.observations();
     (report.two_holders, report.epochs_back) = (observations.two_holders, observations.epochs_back);
-    (report.stages_advanced, report.repeated_calls) =
-        (observations.stages_advanced, observations.repeated_calls);
+    (report.stages_advanced, report.repeated_commands) =
+        (observations.stages_advanced, observations.repeated_commands);
     report.votes_at_platform = observations.platform_votes;
     report.longest_stage_pause_ms =
         observations.longest_pause.as_secs_f64() * MILLISECONDS_PER_SECOND;
@@ -276,7 +276,7 @@
         + report.non_idempotent_run_twice
         + report.two_holders
         + report.epochs_back
-        + report.repeated_calls
+        + report.repeated_commands
         + platform_votes
         + report.logged_violations
         + report.crashes
