--- a/crates/fault-injection/src/cli/arguments.rs
+++ b/crates/fault-injection/src/cli/arguments.rs
@@ -10,7 +10,7 @@
 use crate::fleet::faults::Fault;
 use crate::schedule::{Outage, SiteTime};
 
-// Only texts for the help are doc comments here, because bpaf prints them; other comments are plain ones.
+// bpaf prints doc comments as help texts, so other comments in this file are plain comments.
 
 /// Injects failures into gateways on loopback, or into simulations, and checks the rules that must hold.
 #[derive(Bpaf, Clone, Debug)]
@@ -124,7 +124,7 @@
     /// Requests at site A as a multiple of those at site B
     #[bpaf(long("skew"), argument("X"), fallback(1.0))]
     pub(super) skew: f64,
-    /// Make each site an idempotency group of its own, so that its endpoints recognize only their own site's repeats
+    /// Make each site a separate idempotency group, whose endpoints recognize only repeats at the same site
     #[bpaf(long("no-span"))]
     pub(super) separate_idempotency_groups: bool,
 }
--- a/crates/fault-injection/src/collector/counts.rs
+++ b/crates/fault-injection/src/collector/counts.rs
@@ -1,4 +1,4 @@
-//! A collector's counts of what it has received.
+//! A collector's counts of received messages and records.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,7 @@
 
 use super::record::{element, CollectedRecord, RecordKind};
 
-/// Records kept for the CSV and Parquet tables; later ones are counted only.
+/// Maximum number of records kept for the CSV and Parquet tables. Later records are only counted.
 const TABLE_RECORD_LIMIT: usize = 1_000_000;
 /// The version number of IPFIX messages. IPFIX sequence numbers count records, those of NetFlow v9 count messages.
 const IPFIX_VERSION: u16 = 10;
@@ -31,7 +31,7 @@
     pub records: u64,
     /// Records (IPFIX) or messages (NetFlow v9) that the sequence numbers show to be missing.
     pub sequence_gap: u64,
-    /// Attempts and requests that the exporter dropped, as it last reported them.
+    /// Numbers of attempts and of requests that the exporter dropped, as last reported by the exporter.
     pub dropped: [u64; 2],
 }
 
--- a/crates/fault-injection/src/fleet/faults.rs
+++ b/crates/fault-injection/src/fleet/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of a fleet: given as `KIND@T+D`, or two or three overlapping ones drawn from the seed.
+//! Faults of a fleet: configured as `KIND@T+D`, or two or three faults drawn from the seed.
 
 use std::fmt;
 use std::str::FromStr;
--- a/crates/fault-injection/src/fleet/rollout_stand_in.rs
+++ b/crates/fault-injection/src/fleet/rollout_stand_in.rs
@@ -66,7 +66,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct ControllerObservations {
     pub stages_advanced: u64,
-    /// Commands under an epoch that another gateway, or another incarnation of the same one, used before.
+    /// Commands under an epoch that another gateway, or another incarnation of the same gateway, used before.
     pub two_holders: u64,
     /// Commands under an epoch older than the latest one received.
     pub epochs_back: u64,
--- a/crates/fault-injection/src/flows/evaluation.rs
+++ b/crates/fault-injection/src/flows/evaluation.rs
@@ -23,9 +23,9 @@
 
 /// The observation domain of the gateway whose share of requests surges.
 const SURGE_DOMAIN: u32 = 1;
-/// Seconds at the start whose octets aren't compared.
+/// Seconds at the start of the run in which octets aren't compared.
 const SURGE_SKIPPED_SECONDS: u64 = 3;
-/// Seconds after the start of the surge whose octets aren't compared.
+/// Seconds after the start of the surge in which octets aren't compared.
 const SURGE_SETTLING_SECONDS: u64 = 2;
 
 pub(super) fn evaluate(
--- a/crates/fault-injection/src/sites/harness.rs
+++ b/crates/fault-injection/src/sites/harness.rs
@@ -181,7 +181,7 @@
         simulation.gateways[index].is_alive = false;
     }
 
-    /// Adds the counters of the running incarnation to those of the earlier ones.
+    /// Adds the counters of the running incarnation to the sums over earlier incarnations.
     pub(super) fn collect_counters(&mut self, index: usize) {
         if !self.is_linked {
             return;
--- a/crates/fault-injection/src/sites/rules.rs
+++ b/crates/fault-injection/src/sites/rules.rs
@@ -49,7 +49,7 @@
     served / requested
 }
 
-/// Sums of the priority weight of all requests, and of those that succeeded within the latency objective.
+/// Priority weight of all requests, and of the requests that succeeded within the latency objective.
 #[derive(Default)]
 struct ServedWeight {
     requested: f64,
--- a/crates/fault-injection/src/sites/scenario.rs
+++ b/crates/fault-injection/src/sites/scenario.rs
@@ -51,7 +51,7 @@
 pub struct FlowExport {
     /// Receives the flows.
     pub collector: Arc<Collector>,
-    /// The `flows` section of the extension configuration, without what differs by gateway.
+    /// The `flows` section of the extension configuration, without the fields that differ between gateways.
     pub configuration: Value,
     /// Where each exporting gateway writes its flow file; `None` for no files.
     pub output_folder: Option<PathBuf>,
--- a/crates/fault-injection/src/soak/mod.rs
+++ b/crates/fault-injection/src/soak/mod.rs
@@ -98,7 +98,7 @@
     /// The most file descriptors that a gateway had open.
     pub descriptors_max: usize,
     /// The longest time for which the machine kept a thread of the soak itself from running, in milliseconds. Any measured
-    /// time may be late by as much; no rule makes allowance for it.
+    /// time may be late by this much; the rules make no allowance for it.
     pub longest_pause_ms: u64,
     /// The longest time that a runnable gateway waited for a processor between two samples, in milliseconds.
     pub longest_wait_ms: u64,
