--- a/crates/admission/src/admission_rates.rs
+++ b/crates/admission/src/admission_rates.rs
@@ -15,8 +15,10 @@
 /// Bounds of the targeted mean response time, as ratios to the latency objective.
 const MIN_TARGET_RATIO: f32 = 0.3;
 const MAX_TARGET_RATIO: f32 = 0.6;
-/// Lower bound of the sustainable ratio, so that endpoints that have stopped responding are tried again.
+/// Lower bound of the sustainable ratio (requests that the endpoints can sustain, as a ratio to all offered requests), so that
+/// endpoints that have stopped responding are tried again.
 const MIN_SUSTAINABLE_RATIO: f32 = 0.05;
+/// Upper bound of the sustainable ratio; above 1, the endpoints could sustain more requests than are offered.
 const MAX_SUSTAINABLE_RATIO: f32 = 4.0;
 /// Bounds of the exponent with which ratios follow the response time.
 const MIN_GAIN: f32 = 0.25;
@@ -35,7 +37,7 @@
 const LIKELY_PROBABILITY: f32 = 0.5;
 /// The weight of the newest value in the smoothed rise of the sustainable ratio.
 const RISE_SMOOTHING: f32 = 0.5;
-/// The gain with which the sustainable ratio follows the queues: the delay of the load data over the time in which queues would react.
+/// The gain with which the sustainable ratio follows the queues: the delay of the load data divided by the time in which queues react.
 /// Below 1/e the sustainable ratio never oscillates; above pi/2 it always does.
 const LOOP_GAIN: f32 = 0.67;
 /// Keeps divisors away from zero.
@@ -44,7 +46,7 @@
 /// The time base of a load measurement.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Measurement {
-    /// The time over which counts decay.
+    /// The time constant of the decay of counts.
     pub(crate) window: TimeDelta,
     /// The time since the previous measurement.
     pub(crate) since_last: TimeDelta,
@@ -71,16 +73,17 @@
     order: Vec<ClassId>,
     zones: usize,
     tenants: usize,
+    /// Requests that the endpoints can sustain, as a ratio to all offered requests; `None` without data.
     sustainable_ratio: Option<f32>,
     /// The smoothed rise of the sustainable ratio per second.
     rise_per_second: f32,
-    /// The admitted ratio by class.
+    /// By class: admitted requests as a ratio to offered requests.
     admitted: Vec<f32>,
     /// By class: the sustainable ratio above which some of its requests are admitted.
     starts_at: Vec<f32>,
     /// By class: the sustainable ratio at which all of its requests are admitted.
     complete_at: Vec<f32>,
-    /// The admitted ratio by class and tenant.
+    /// By class and tenant: admitted requests as a ratio to offered requests.
     admitted_by_tenant: Vec<f32>,
     /// By zone: the factor on the admitted ratio for the zone's queue; the mean weighted by responses is 1.
     zone_factors: Vec<f32>,
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,4 +1,4 @@
-//! Admission by deadline over all gateways of a fleet: admits, delays or rejects requests so that the admitted ones are answered within
+//! Admission by deadline across all gateways of a fleet: admits, delays or rejects requests so that the admitted ones are answered within
 //! their deadlines.
 //!
 //! Each gateway runs one [`AdmissionController`]: `handle` processes an event and returns actions, and `decide` decides on a request
--- a/crates/admission/src/peer_reports.rs
+++ b/crates/admission/src/peer_reports.rs
@@ -207,7 +207,7 @@
         }
     }
 
-    /// Sums one count over this gateway and its peers, with a bound on each peer's count.
+    /// Sums one count of this gateway and its peers, with a bound on each peer's count.
     fn bounded_sum(&mut self, own_count: f32, count_of: impl Fn(&LoadCounts) -> f32) -> f32 {
         let PeerReports {
             reports,
--- a/crates/admission/src/tick.rs
+++ b/crates/admission/src/tick.rs
@@ -90,7 +90,7 @@
         self.rates.update(&self.parameters, measurement, &self.load);
     }
 
-    /// Goes through the wait queue in order: admits requests as the rates allow, and rejects those whose wait ends before the next tick.
+    /// Goes through the wait queue in order: admits requests as the rates allow, and rejects requests whose wait ends before the next tick.
     fn resolve_waiting(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         if self.queue.is_empty() {
             return;
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -1,5 +1,7 @@
 //! The settings under their keys in the configuration, and their validation. Times are in microseconds.
 //!
+//! The keys are fixed by existing configuration files, so the field names here follow them instead of the code's terms.
+//! For example, `aim` is the latency objective, `give_up` the timeout, and `worth` the priority weight.
 //! `parameters` maps each key to the policy parameter that it sets. The keys `aim_stretch`, `share` and `least_stage` set none; they
 //! are only validated.
 
--- a/crates/flow-export/src/file_writer.rs
+++ b/crates/flow-export/src/file_writer.rs
@@ -11,7 +11,8 @@
 use crate::send_queue::{SendQueue, SendQueueSettings};
 use crate::{FlowExportError, FlowFileSettings};
 
-/// The maximum number of messages queued for the thread. Flows beyond it stay pending, and are merged.
+/// The maximum number of encoded messages that wait for the writing thread. While as many wait, flows stay pending, and flows
+/// of the same key are merged.
 const MAX_QUEUED_MESSAGES: usize = 64;
 const MAX_MESSAGE_OCTETS: usize = 8 * 1024;
 
--- a/crates/flow-export/src/settings.rs
+++ b/crates/flow-export/src/settings.rs
@@ -1,6 +1,7 @@
 //! The settings of flow export in the extension file.
 //!
-//! Their `rename` attributes and doc comments are the names and descriptions of the published JSON schema.
+//! The doc comments are the descriptions in the published JSON schema. The names in `rename` attributes are fixed by that schema
+//! and by existing extension files, where they differ from the code's terms (`road` for the transport, for example).
 
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
--- a/crates/flow-metering/src/meter.rs
+++ b/crates/flow-metering/src/meter.rs
@@ -24,6 +24,7 @@
 struct LiveFlow {
     counters: FlowCounters,
     start: Timestamp,
+    /// Number of consecutive active timeouts without an observation.
     idle_timeouts: u32,
 }
 
@@ -44,7 +45,9 @@
     flows: FlowTable<LiveFlow>,
     timers: TimerWheel<FlowKey>,
     heavy_endpoints: HeavyHitters,
+    /// All attempts and requests, including ignored ones.
     observed: CountsByKind,
+    /// Attempts and requests that no flow counted because there were too many keys.
     ignored: CountsByKind,
 }
 
@@ -107,7 +110,7 @@
     }
 
     /// Returns the key to count an observation under, without endpoint and stage if there are too many keys. Returns `None` if
-    /// there is no space for that key either.
+    /// the key without endpoint and stage does not fit either.
     fn select_key(&mut self, observation: &Observation) -> Option<FlowKey> {
         let endpoint = observation.endpoint.filter(|endpoint| {
             self.heavy_endpoints.observe(*endpoint) && self.flows.len() < MAX_FLOW_KEYS
--- a/crates/lease/src/configuration.rs
+++ b/crates/lease/src/configuration.rs
@@ -93,7 +93,8 @@
         let electorate = self.electorate()?;
         self.check_durations()?;
         let longest = self.longest_lease_duration.unwrap_or(self.lease_duration);
-        // A grant expires by the elector's clock, and the next process on the same machine measures the wait by its own.
+        // After a restart, an elector has lost its earlier grants, so it waits until all of them have expired. The processes before and
+        // after the restart each measure time by their own clock, so the wait includes the clock drift.
         let startup_wait = longest * (1.0 + self.clock_drift_ratio);
         Ok(LeaseParameters {
             local_peer,
--- a/crates/lease/src/fencing.rs
+++ b/crates/lease/src/fencing.rs
@@ -14,16 +14,16 @@
 /// Why an operation is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum FencingError {
-    /// A newer epoch of the lease is known.
+    /// The guard has seen a newer epoch of the lease, so another holder has followed the sender.
     #[error(
-        "operation under lease {lease} has epoch {epoch}, but epoch {newest} is known: the sender lost the lease; notify it"
+        "operation under lease {lease} has epoch {epoch}, but epoch {newest} is known: the sender has lost the lease; report the newer epoch"
     )]
     StaleEpoch {
         /// The lease that the sender claims to hold.
         lease: LeaseName,
         /// The operation's epoch.
         epoch: Epoch,
-        /// The newest epoch of the lease.
+        /// The newest epoch that the guard has seen.
         newest: Epoch,
     },
     /// The lease is new, and the guard already keeps the maximum number of leases.
--- a/crates/lease/src/lease_name.rs
+++ b/crates/lease/src/lease_name.rs
@@ -1,4 +1,5 @@
-//! The leases of a fleet, and their names in settings, error messages and log lines.
+//! The leases of a fleet, and their names in settings, error messages and log lines. The names are fixed by existing configuration files,
+//! and differ from the code's terms; they stand in this file, and as examples in docs and error messages.
 
 use std::fmt;
 use std::str::FromStr;
--- a/crates/lease/src/retry_delay.rs
+++ b/crates/lease/src/retry_delay.rs
@@ -1,5 +1,5 @@
-//! Computes when a candidate tries next. The candidates of a large fleet spread their tries, so that they neither send requests at once
-//! nor split the grants among themselves.
+//! Computes when a candidate next tries to acquire a lease. The candidates of a large fleet spread their tries, so that they neither send
+//! requests at once nor split the grants among themselves.
 
 use harrierdock_types::{PeerId, TimeDelta, Timestamp};
 use nanorand::Rng;
@@ -8,10 +8,10 @@
 use crate::lease_state::Phase;
 use crate::{LeaseManager, LeaseName};
 
-/// The spacing between the tries of consecutive candidates, in heartbeat intervals: longer than a round trip within a site. Each crashed
-/// candidate delays the next one by this spacing.
+/// The time between the tries of two candidates with successive ranks to acquire a free lease, in heartbeat intervals. It is longer than a
+/// round trip within a site. Each crashed candidate delays the candidates that rank behind it by this spacing.
 pub(crate) const CANDIDATE_SPACING: f64 = 1.0 / 16.0;
-/// The mean interval between probes of the candidates behind the next ones, in lease durations.
+/// The mean interval between probes of a candidate that ranks behind the first [`NEXT_CANDIDATES`], in lease durations.
 const LATER_PROBE_LEASES: f64 = 12.0;
 /// How often the delay after failed tries doubles at most.
 const MAX_DOUBLINGS: u32 = 4;
@@ -38,7 +38,8 @@
         }
     }
 
-    /// Draws this candidate's delay behind the first one: a spacing for each one before it, and up to half a spacing at random.
+    /// Draws this candidate's delay behind the first candidate: a spacing for each candidate ranked before it, and up to half a spacing at
+    /// random.
     pub(crate) fn draw_spacing(&mut self, lease: LeaseName) -> TimeDelta {
         let local_peer = self.parameters.local_peer;
         let electors = self.quorum.electors();
--- a/crates/policy/src/context.rs
+++ b/crates/policy/src/context.rs
@@ -62,7 +62,7 @@
         self.shortest_latency_objective() * FIRST_EJECTION_RATIO
     }
 
-    /// The window over which a gossip group's traffic is counted: the exposure window, but at least the shortest latency
+    /// The window in which a gossip group's traffic is counted: the exposure window, but at least the shortest latency
     /// objective. A shorter window would contain at most one report.
     pub fn traffic_window(&self) -> TimeDelta {
         self.parameters
@@ -71,7 +71,8 @@
             .max(self.shortest_latency_objective())
     }
 
-    /// The gossip group of a gateway, identified by the group's aggregator (departure H in docs/design.md).
+    /// The gossip group of a gateway, identified by the group's aggregator. Without gossip, each gateway is a group of its own
+    /// (departure H in docs/design.md).
     pub fn gossip_group_of(&self, peer: PeerId) -> PeerId {
         let gateways = self.parameters.gateway_count;
         let groups = if self.parameters.limits.gossip_enabled {
--- a/crates/policy/src/control_plane.rs
+++ b/crates/policy/src/control_plane.rs
@@ -62,7 +62,8 @@
         });
     }
 
-    /// Makes a key stick to a build that answered it at another site (departure J in docs/design.md).
+    /// Makes a key stick to the build that answered a request with this key at another site, so that no older build answers the
+    /// key here (departure J in docs/design.md).
     pub(crate) fn learn_sticky_version(&mut self, key: AffinityKey, build: BuildId) {
         if self.context.parameters.rollout.monotonic_versions {
             self.sticky_versions.keep(key, build);
--- a/crates/policy/src/elimination_test.rs
+++ b/crates/policy/src/elimination_test.rs
@@ -1,5 +1,5 @@
-//! The elimination test between the two arms of a rollout (departures A to F in docs/design.md). Owns the payoffs of each metric
-//! and arm, and the payoffs from before the rollout.
+//! The elimination test: decides from the payoffs of both arms whether to vote against the baseline or the canary (departures A
+//! to F in docs/design.md). Owns the payoffs of each metric and arm, and the payoffs from before the rollout.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -73,7 +73,7 @@
     Class(ClassId),
 }
 
-/// The key of the recorded payoffs.
+/// The key under which the payoffs of one metric and arm are recorded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct ArmMetric {
     metric: Metric,
@@ -100,7 +100,7 @@
     }
 }
 
-/// A vote against an arm.
+/// The result of the elimination test: an arm and the confidence with which the test votes against it.
 #[derive(Clone, Copy, Debug)]
 pub struct EliminationResult {
     /// The arm voted against.
@@ -142,7 +142,7 @@
     set_aside: Vec<PayoffSource>,
 }
 
-/// The test that an aggregator runs.
+/// The elimination test, which each gossip group's aggregator runs on its group's outcomes.
 #[derive(Debug, Default)]
 pub struct EliminationTest {
     payoffs: BTreeMap<ArmMetric, BTreeMap<PayoffSource, Payoff>>,
@@ -266,7 +266,8 @@
         })
     }
 
-    /// An arm's payoff without its outliers: the sources with exceptional losses, a quarter of them at most (departure D).
+    /// An arm's payoff without its outliers, which are the sources with exceptional losses. At most a quarter of the sources are
+    /// outliers (departure D in docs/design.md).
     ///
     /// Errors, noisy neighbours or pauses at some endpoints are not caused by the build: a bad build affects most endpoints.
     /// Losses that chance explains do not make an endpoint an outlier.
--- a/crates/policy/src/elimination_votes.rs
+++ b/crates/policy/src/elimination_votes.rs
@@ -1,4 +1,5 @@
-//! The elimination votes of all gossip groups (departures B and H in docs/design.md). Owns the votes of the current stage.
+//! The elimination votes of all gossip groups, added up by weight to eliminate an arm (departures B and H in docs/design.md).
+//! Owns the votes of the current stage.
 
 use std::collections::BTreeMap;
 
@@ -34,7 +35,7 @@
     /// one, must have voted.
     ///
     /// Where four or more groups vote, one group contributes at most half of the weight, whatever its confidence: the cause may
-    /// be local to it. A gateway without gossip is the only voter (departure L).
+    /// be local to that group. A gateway without gossip decides by its own vote alone (departure L in docs/design.md).
     pub fn is_eliminated(&self, context: &Context, arm: Arm, ratio: f64) -> bool {
         let weights = self.weights.get(arm);
         let required_weight = (DELTA.ln() / ETA.ln()).floor();
--- a/crates/policy/src/fleet_view.rs
+++ b/crates/policy/src/fleet_view.rs
@@ -33,9 +33,9 @@
 
     /// Whether an endpoint is neither ejected, alone or with its zone, nor unresponsive.
     ///
-    /// Endpoints of a canary are ejected only with their zone until the canary is eliminated (departure G in docs/design.md).
-    /// Otherwise a build that fails every request would yield too few outcomes to be eliminated, and be promoted after the
-    /// fallback wait.
+    /// Until the canary is eliminated, its endpoints are ejected only with their zone. If they were ejected one by one, a build
+    /// that fails every request would yield too few outcomes to be eliminated, and would be promoted after the fallback wait
+    /// (departure G in docs/design.md).
     pub(crate) fn is_healthy(&self, endpoint: &Endpoint) -> bool {
         let now = self.context.now;
         let is_active_canary = self.is_canary(endpoint.record.build)
--- a/crates/policy/src/gossip_group.rs
+++ b/crates/policy/src/gossip_group.rs
@@ -1,5 +1,5 @@
-//! The reports that gateways of a gossip group send each other (departures H and I in docs/design.md). Owns the members' last
-//! reports and this gateway's unsent outcomes.
+//! The reports within a gossip group: members send outcomes and traffic to the group's aggregator, which returns latencies and a
+//! shed ratio (departures H and I in docs/design.md). Owns the members' last reports and this gateway's unsent outcomes.
 
 use std::collections::BTreeMap;
 
@@ -23,7 +23,7 @@
 /// reported traffic lacks answers to the member's attempts in flight.
 const MEMBER_SETTLING_RATIO: f64 = 1.5;
 
-/// The last report of a group member.
+/// What the aggregator keeps of one member's reports.
 #[derive(Clone, Copy, Debug)]
 struct Member {
     /// Since when the member has reported without interruption.
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -2,8 +2,10 @@
 //! shed, and how the gateway votes on a rollout.
 //!
 //! [`Policy::handle`] takes one event and returns the actions to carry out, in order. Events change the desired state of the
-//! modules. The actions are the difference between the desired state and the actions emitted before. docs/design.md describes
-//! the algorithm and labels each departure from the paper with a letter; each module names the departures that it implements.
+//! modules. The actions are the difference between the desired state and the actions emitted before.
+//!
+//! The algorithm is based on a paper. docs/design.md lists where it departs from the paper, each departure under a letter from A to
+//! L. A reference such as "departure D" in this package names an entry of that list.
 
 #![warn(missing_docs, unreachable_pub)]
 
--- a/crates/policy/src/load_shedder.rs
+++ b/crates/policy/src/load_shedder.rs
@@ -1,5 +1,5 @@
-//! The share of requests that is rejected or failed at once while endpoints have queues (departure I in docs/design.md). Owns
-//! this shed ratio and each class's share of the traffic.
+//! Sheds load: while endpoints have queues, a share of the requests is rejected or failed at once (departure I in
+//! docs/design.md). Owns this share, called the shed ratio, and each class's share of the traffic.
 
 use harrierdock_types::{ClassId, Parameters, Timestamp};
 
@@ -19,7 +19,7 @@
 /// The growth of the admitted share per tick once the queue is gone, as a ratio to that share.
 const ADMISSION_GROWTH_RATIO: f64 = 0.12;
 
-/// The load of a gossip group.
+/// The load of a gossip group, from which its aggregator computes the shed ratio.
 #[derive(Clone, Copy, Debug)]
 pub struct GroupLoad {
     /// The group's attempts in flight.
@@ -37,10 +37,11 @@
 /// objective appear to have queues.
 #[derive(Debug, Default)]
 pub struct LoadShedder {
+    /// The share of all requests that is shed (0 to 1).
     shed_ratio: f64,
     /// When the shed ratio was last raised.
     raised_at: Timestamp,
-    /// The share of each class in the requests, as a running mean.
+    /// By class: its requests as a ratio to all requests (0 to 1), as a running mean.
     class_ratios: Vec<f64>,
 }
 
--- a/crates/policy/src/outcome_reports.rs
+++ b/crates/policy/src/outcome_reports.rs
@@ -27,8 +27,8 @@
 }
 
 impl Policy {
-    /// Applies an outcome, and reports it to the group's aggregator (departure H in docs/design.md). A single gateway sees too few
-    /// outcomes to evaluate a build.
+    /// Applies an outcome, and reports it to the group's aggregator. A single gateway sees too few outcomes to evaluate a build, so
+    /// the aggregator evaluates the outcomes of its whole group (departure H in docs/design.md).
     pub(crate) fn report_outcome(&mut self, report: OutcomeReport) {
         self.record_outcome(&report);
         if self.context.is_aggregator() {
@@ -147,8 +147,9 @@
         }
     }
 
-    /// Counts an attempt in each metric that its outcome is evidence for. A warming endpoint is slow whatever its build
-    /// (departure C), but its errors count, as it would return them when warm too.
+    /// Counts an attempt in each metric that its outcome is evidence for. A warming endpoint is slow
+    /// whatever its build, so its speed does not count. Its errors count, because it would return them when warm too (departure C
+    /// in docs/design.md).
     fn count_attempt(&mut self, report: &OutcomeReport, outcome: AttemptOutcome) {
         if !self.rollout.is_compared(report.build) {
             return;
@@ -219,8 +220,8 @@
     }
 
     /// Whether the answer times of both arms can be compared: both arms run, and no zone was ejected recently. Time-outs in an
-    /// unresponsive zone are reported late, and not equally for both arms (departure K). A slow build is detected later while a
-    /// zone is unresponsive.
+    /// unresponsive zone are reported late, and not equally for both arms (departure K in docs/design.md). As a consequence, a slow
+    /// build is detected later while a zone is unresponsive.
     fn arms_are_paired(&self) -> bool {
         let since_ejection = self.context.now - self.zones.last_ejected_until();
         self.endpoints.canary().ratio < 1.0
@@ -241,8 +242,8 @@
         }
     }
 
-    /// Takes back the payoff of an answer that a client complained about (departure F). A single complaint may be mistaken, and
-    /// does not eliminate a build.
+    /// Takes back the payoff of an answer that a client complained about. A single complaint may be mistaken, and does not
+    /// eliminate a build (departure F in docs/design.md).
     fn count_complaint(&mut self, report: &OutcomeReport) {
         if !self.rollout.is_compared(report.build) {
             return;
--- a/crates/policy/src/payoff.rs
+++ b/crates/policy/src/payoff.rs
@@ -59,7 +59,7 @@
     }
 
     /// The confidence of the KL-Racing test, as an exponent of η, that this arm is worse than `better` by more than `tolerance`
-    /// (departures A and B in docs/design.md). 0 means no elimination.
+    /// 0 means no elimination. See departures A and B in docs/design.md.
     pub fn elimination_weight(&self, better: &Payoff, tolerance: f64) -> usize {
         let outcomes = self.count.min(better.count);
         let mut low = self.mean();
--- a/crates/policy/src/per_arm.rs
+++ b/crates/policy/src/per_arm.rs
@@ -2,7 +2,7 @@
 
 use harrierdock_types::Arm;
 
-/// A value for the baseline and one for the canary.
+/// Two values of the same type, one for each arm; `get` and `get_mut` select one by [`Arm`].
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PerArm<T> {
     pub(crate) baseline: T,
--- a/crates/policy/src/rollout_voter.rs
+++ b/crates/policy/src/rollout_voter.rs
@@ -23,7 +23,7 @@
 /// The shortest wait before a refused vote is cast again is the vote timeout divided by this.
 const MIN_RECAST_DIVISOR: f64 = 8.0;
 
-/// A vote on one stage of a rollout.
+/// A vote on one stage (counted from 0) of a build's rollout.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct RolloutVote {
     build: BuildId,
@@ -48,7 +48,7 @@
     state: VoteState,
 }
 
-/// The state that a decision depends on.
+/// What the gateway knows when it decides its vote.
 pub(crate) struct RolloutEvidence<'a> {
     pub(crate) context: &'a Context,
     pub(crate) rollout: &'a RolloutState,
@@ -161,7 +161,8 @@
         let rollout = &context.parameters.rollout;
         let fleet_time = fleet_call_time(context);
         let (wait, state) = match status {
-            // Larger fleets renew later, so that renewals leave call capacity for first votes.
+            // The platform accepts a limited rate of calls. Gateways of larger fleets cast a counted vote again later, so that these
+            // renewals leave calls for gateways that have not voted yet.
             PlatformStatus::Valid | PlatformStatus::Superseded => (
                 fleet_time.clamp(rollout.vote_ttl / 2.0, rollout.vote_ttl),
                 VoteState::Counted,
@@ -181,7 +182,7 @@
     /// Casts the desired vote once its delay is over.
     ///
     /// Each gateway draws a random delay. Together, gateways first cast as many votes as the platform accepts at once after an idle
-    /// time, and then twice its call rate. If hundreds voted at once, the first ones accepted would use up the call rate with
+    /// time, and then twice its call rate. If hundreds voted at once, the gateways accepted first would use up the call rate with
     /// renewals of their votes. About half of the calls of a large fleet are refused while it votes.
     pub(crate) fn emit(&mut self, context: &Context, rng: &mut WyRand, actions: &mut Vec<Action>) {
         let Some(vote) = self.vote_to_cast() else {
--- a/crates/policy/src/sticky_versions.rs
+++ b/crates/policy/src/sticky_versions.rs
@@ -7,7 +7,7 @@
 
 use crate::context::SLOW_LEARNING_RATE;
 
-/// Lower bound of the share of requests whose keys do not stick to the canary.
+/// Lower bound of the share of requests (0 to 1) whose keys do not stick to the canary.
 const MIN_FREE_RATIO: f64 = 0.01;
 
 /// The builds that affinity keys stick to.
@@ -15,7 +15,7 @@
 pub struct StickyVersions {
     builds: BTreeMap<AffinityKey, BuildId>,
     /// Running mean of the share of requests (0 to 1) whose key sticks to an unreleased build.
-    canary_ratio: f64,
+    canary_key_ratio: f64,
 }
 
 impl StickyVersions {
@@ -52,13 +52,14 @@
 
     /// Counts a request; `is_canary` is whether its key sticks to an unreleased build.
     pub fn record_request(&mut self, is_canary: bool) {
-        self.canary_ratio += SLOW_LEARNING_RATE * (f64::from(is_canary) - self.canary_ratio);
+        self.canary_key_ratio +=
+            SLOW_LEARNING_RATE * (f64::from(is_canary) - self.canary_key_ratio);
     }
 
-    /// The share of requests without a canary key to send to the canary, given its share of all requests. Requests whose keys
-    /// stick to the canary are already part of `canary_ratio`.
+    /// The share of the requests without a canary key that must go to the canary, so that the canary receives `canary_ratio` of
+    /// all requests. A canary key is a key that sticks to the canary.
     pub fn free_canary_ratio(&self, canary_ratio: f64) -> f64 {
-        let free_ratio = (1.0 - self.canary_ratio).max(MIN_FREE_RATIO);
-        ((canary_ratio - self.canary_ratio) / free_ratio).max(0.0)
+        let free_ratio = (1.0 - self.canary_key_ratio).max(MIN_FREE_RATIO);
+        ((canary_ratio - self.canary_key_ratio) / free_ratio).max(0.0)
     }
 }
--- a/crates/policy/src/zone_ejection.rs
+++ b/crates/policy/src/zone_ejection.rs
@@ -1,4 +1,4 @@
-//! Ejects zones in which no endpoint responds (departure K in docs/design.md). Owns each zone's health.
+//! Ejects a zone as a whole when none of its endpoints responds (departure K in docs/design.md). Owns each zone's health.
 
 use std::collections::BTreeMap;
 
@@ -18,9 +18,9 @@
 struct ZoneHealth {
     /// When any endpoint of the zone last responded.
     last_response: Timestamp,
-    /// The number of failed connections since then.
+    /// The number of failed connections since the last response.
     connect_failures: f64,
-    /// How long the zone's endpoints have not responded since then, added up, as a ratio to the mean latency.
+    /// The waiting times of the zone's endpoints since the last response, added up, as a ratio to the mean latency.
     waiting_ratio: f64,
     consecutive_ejections: i32,
     ejected_until: Timestamp,
--- a/crates/simulator-adapter/src/commands.rs
+++ b/crates/simulator-adapter/src/commands.rs
@@ -1,4 +1,5 @@
-//! Converts the policy's actions to the simulator's commands. Command names are used only in this file.
+//! Converts the policy's actions to the simulator's commands. The command names are fixed by the simulator's protocol and differ
+//! from the code's terms; they are used only in this file.
 
 use harrierdock_config::Names;
 use harrierdock_types::{gossip, Action, RequestId, RolloutDecision, TimeDelta};
--- a/crates/simulator-adapter/src/inputs.rs
+++ b/crates/simulator-adapter/src/inputs.rs
@@ -1,4 +1,5 @@
-//! Converts the simulator's events to the policy's events. Event names are used only in this file and in `host`.
+//! Converts the simulator's events to the policy's events. The event names are fixed by the simulator's protocol and differ from
+//! the code's terms; they are used only in this file and in `host`.
 
 use harrierdock_config::{gossip_id, Names};
 use harrierdock_types::{
