--- a/crates/admission/src/admission_rates.rs
+++ b/crates/admission/src/admission_rates.rs
@@ -25,7 +25,7 @@
 const MAX_GAIN: f32 = 1.5;
 /// The minimum number of responses from which the sustainable ratio is estimated, and the weight of prior data in means.
 const MIN_RESPONSES: f32 = 3.0;
-/// The number of responses at which a zone's own response time counts as much as that of all zones.
+/// The number of responses at which a zone's response time has the same weight as the response time of all zones.
 const ZONE_PRIOR_RESPONSES: f32 = 20.0;
 /// The number of responses at which the newest estimate has half of the weight in the sustainable ratio.
 const HALF_CONFIDENCE_RESPONSES: f32 = 15.0;
--- a/crates/admission/src/peer_reports.rs
+++ b/crates/admission/src/peer_reports.rs
@@ -13,7 +13,7 @@
 pub const MAX_MEMBERS: usize = 1024;
 /// The bound on one peer's count, as a ratio to the median over all gateways plus a margin for random variation. A peer that reports wrong
 /// counts, by mistake or on purpose, then moves the sustainable ratio by less than eight gateways would. The cost: if one gateway has most
-/// of the traffic, its peers count only a part of it. The gateway itself counts its own traffic in full.
+/// of the traffic, its peers count only a part of this traffic, while the gateway itself counts it in full.
 const MAX_RATIO_TO_MEDIAN: f32 = 1.4;
 /// The age at which a report is removed, as a multiple of the decay time.
 const REPORT_LIFETIME_DECAYS: f64 = 4.0;
--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -25,7 +25,7 @@
     /// A number that must be zero or positive is negative.
     #[error("{field}: {value} is negative")]
     Negative {
-        /// The field with the path to it.
+        /// The settings field with its path, such as `classes: NAME: aim`.
         field: String,
         /// The negative value.
         value: f64,
@@ -33,7 +33,7 @@
     /// A ratio is outside the range 0 to 1.
     #[error("{field}: {value} is not between 0 and 1")]
     NotARatio {
-        /// The field with the path to it.
+        /// The settings field with its path, such as `classes: NAME: aim`.
         field: String,
         /// The value out of range.
         value: f64,
@@ -41,7 +41,7 @@
     /// A class's latency objective or timeout is zero or negative.
     #[error("{field}: {value} is not a positive duration")]
     NotPositive {
-        /// The field with the path to it.
+        /// The settings field with its path, such as `classes: NAME: aim`.
         field: String,
         /// The value in microseconds.
         value: i64,
--- a/crates/event-loop/src/connection.rs
+++ b/crates/event-loop/src/connection.rs
@@ -33,7 +33,7 @@
     NoBuffer,
     /// The other side has closed its sending side.
     EndOfStream,
-    /// The connection broke.
+    /// The connection failed and is no longer usable.
     Failed,
 }
 
@@ -44,7 +44,7 @@
     Complete,
     /// The socket accepts no more output now.
     Partial,
-    /// The connection broke.
+    /// The connection failed and is no longer usable.
     Failed,
 }
 
--- a/crates/event-loop/src/io_context.rs
+++ b/crates/event-loop/src/io_context.rs
@@ -19,7 +19,7 @@
     Downstream,
     /// A connection to an endpoint.
     Upstream,
-    /// One of the few connections with reserved descriptors.
+    /// One of the few connections for which descriptors are reserved.
     Reserved,
 }
 
--- a/crates/flow-export/src/error.rs
+++ b/crates/flow-export/src/error.rs
@@ -95,7 +95,7 @@
         path: PathBuf,
         /// The octet at which a message was expected.
         offset: usize,
-        /// Why the octets there are no message.
+        /// Why the octets at `offset` are no message.
         #[source]
         source: harrierdock_ipfix::DecodeError,
     },
--- a/crates/flow-export/src/send_queue.rs
+++ b/crates/flow-export/src/send_queue.rs
@@ -246,7 +246,7 @@
     }
 
     /// Queues the finished messages with their flows. `unassigned` holds the encoded flows that no queued message contains. Unless
-    /// the writer was flushed, the last of them is in the next message.
+    /// the writer was flushed, the last unassigned flow is in the next message.
     fn queue_finished(
         &mut self,
         context: &ExportContext,
--- a/crates/flow-export/src/settings.rs
+++ b/crates/flow-export/src/settings.rs
@@ -18,7 +18,7 @@
 const MAX_COLLECTORS: usize = 8;
 /// The lowest rate at which a collector still receives a flow of every key from time to time.
 const MIN_OCTETS_PER_SECOND: u32 = 1024;
-/// At least the size of the largest record, and at most that of a datagram.
+/// At least the size of the largest record, and at most the size of a datagram.
 const DATAGRAM_OCTETS_RANGE: RangeInclusive<usize> = 512..=65_000;
 
 /// Export of flows: counts of attempts and requests by build, rollout stage, request class, outcome and path.
--- a/crates/ipfix/src/file.rs
+++ b/crates/ipfix/src/file.rs
@@ -28,7 +28,7 @@
 pub struct FileError {
     /// The octet of the file at which a message was expected.
     pub offset: usize,
-    /// Why the octets there are no message.
+    /// Why the octets at `offset` are no message.
     #[source]
     pub source: DecodeError,
 }
--- a/crates/lease/src/codec.rs
+++ b/crates/lease/src/codec.rs
@@ -27,7 +27,7 @@
         /// How many bytes were received.
         len: usize,
     },
-    /// The first byte isn't that of a lease message.
+    /// The first byte differs from the first byte of all lease messages.
     #[error("the first byte is {byte:#04x}: the message is of another kind, or from a build without leases")]
     FirstByte {
         /// The first byte received.
@@ -82,7 +82,7 @@
     if bytes[1] != FORMAT_VERSION {
         return Err(DecodeError::Version { version: bytes[1] });
     }
-    // A corrupted grant could decode as one for another lease or epoch.
+    // A corrupted grant could decode as a grant for another lease or epoch.
     let (content, received_checksum) = bytes.split_at(len - CHECKSUM_BYTES);
     if checksum(content) != received_checksum {
         return Err(DecodeError::Checksum);
--- a/crates/lease/src/elector.rs
+++ b/crates/lease/src/elector.rs
@@ -7,7 +7,8 @@
 
 use crate::{Epoch, LeaseName};
 
-/// How many candidates an elector keeps for each lease, those with the lowest ranks. Bounds its memory in a fleet of any size.
+/// How many candidates an elector keeps for each lease: the candidates with the lowest ranks. Bounds the elector's memory in a fleet of any
+/// size.
 pub(crate) const MAX_CANDIDATES: usize = 8;
 /// How many candidates try as soon as the lease should be free. The candidates behind them probe rarely.
 pub(crate) const NEXT_CANDIDATES: usize = 2;
@@ -54,11 +55,12 @@
     pub newest: Epoch,
     /// How long the grant of another gateway still lasts; zero without such a grant.
     pub remaining: TimeDelta,
-    /// The gateway that has that grant.
+    /// The gateway that has this elector's grant; `None` if no gateway has it.
     pub holder: Option<PeerId>,
 }
 
-/// For how long an elector keeps a candidate after its last message. The next candidates probe often, later ones rarely.
+/// For how long an elector keeps a candidate after its last message. The first [`NEXT_CANDIDATES`] by rank have the timeout `next`; the
+/// candidates behind them probe rarely and have the longer timeout `later`.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct CandidateTimeouts {
     pub(crate) next: TimeDelta,
@@ -109,8 +111,8 @@
 /// The grants and promises of one elector.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Elector {
-    /// Before this time, a grant from before this start may still be valid, and a new one could make a second holder. The cost: if all
-    /// electors restart at once, no lease has a holder for one lease duration.
+    /// Before this time, a grant that this elector gave before its restart may still be valid, and a new grant could make a second
+    /// holder. The cost: if all electors restart at once, no lease has a holder for one lease duration.
     no_grants_until: Timestamp,
     /// Proposals need a higher epoch. So an epoch can't be reused after all electors that knew it have restarted.
     epoch_floor: Epoch,
--- a/crates/lease/src/known_leases.rs
+++ b/crates/lease/src/known_leases.rs
@@ -35,7 +35,7 @@
         self.holders.get(&lease).copied()
     }
 
-    /// Records a holder if its epoch, or its expiry in the same epoch, is later than the known one.
+    /// Records a holder if its epoch is later than the known holder's, or if the epoch is the same and it expires later.
     pub(crate) fn record(&mut self, lease: LeaseName, reported: KnownHolder) {
         let known = self.holders.entry(lease).or_insert(reported);
         if (reported.epoch, reported.expires_at) > (known.epoch, known.expires_at) {
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Marks the lease as expired now, if this epoch is the known one.
+    /// Marks the lease as expired now, if the known holder has this epoch.
     pub(crate) fn mark_expired(&mut self, now: Timestamp, lease: LeaseName, epoch: crate::Epoch) {
         if let Some(known) = self.holders.get_mut(&lease).filter(|k| k.epoch == epoch) {
             known.expires_at = known.expires_at.min(now);
@@ -114,7 +114,7 @@
     }
 
     /// Draws the receiver of a gossip message at random among the other gateways. While the electorate is not in force, electors must learn
-    /// each other's electorate number. So an elector then sends every second message on average to another elector.
+    /// each other's electorate number. So until it is in force, an elector sends every second message on average to another elector.
     fn draw_gossip_target(&mut self) -> Option<PeerId> {
         let local_peer = self.parameters.local_peer;
         let prefers_electors = self.quorum.is_elector(local_peer) && !self.quorum.is_in_force();
--- a/crates/lease/src/lease_state.rs
+++ b/crates/lease/src/lease_state.rs
@@ -88,11 +88,11 @@
     pub(crate) phase: Phase,
     /// How many candidates rank before this one, by the latest rejection of an elector.
     pub(crate) candidates_before: usize,
-    /// Consecutive failed tries, for the exponential delay before the next one.
+    /// Consecutive failed tries to acquire the lease, for the exponential delay before the next try.
     pub(crate) failures: u32,
     /// For how long another gateway still holds the lease, by the rejections of the latest try.
     pub(crate) remaining: TimeDelta,
-    /// The epoch of the next try is higher than this one.
+    /// The next try to acquire the lease proposes a higher epoch than this one.
     pub(crate) epoch_floor: Epoch,
     /// The next candidates that electors have reported with their latest grants.
     pub(crate) successors: BTreeSet<PeerId>,
--- a/crates/lease/src/message.rs
+++ b/crates/lease/src/message.rs
@@ -106,7 +106,7 @@
         remaining_ms: u16,
         /// How many candidates rank before the requester.
         candidates_before: u8,
-        /// The hash of the name of the gateway with that grant; 0 without one.
+        /// The hash of the name of the gateway that has the elector's grant; 0 if no gateway has it.
         holder_hash: u32,
     },
     /// The holder gives up the lease, or a candidate returns the grants of a failed acquisition.
--- a/crates/policy/src/concurrency_limit.rs
+++ b/crates/policy/src/concurrency_limit.rs
@@ -25,7 +25,7 @@
     in_flight: usize,
     /// The start times of abandoned attempts.
     abandoned: Vec<Timestamp>,
-    /// In attempts.
+    /// The most attempts that may be in flight; fractions accumulate as the limit grows.
     limit: f64,
     /// The running mean latency, as a ratio to the latency objective.
     latency_ratio: f64,
--- a/crates/policy/src/elimination_test.rs
+++ b/crates/policy/src/elimination_test.rs
@@ -116,7 +116,7 @@
     pub metric: Metric,
     /// The canary's payoff without the sources that were set aside.
     pub canary: Payoff,
-    /// The payoff that the canary is compared to: the baseline's, or the overall one before the rollout.
+    /// The payoff that the canary is compared to: the baseline's payoff, or the overall payoff before the rollout.
     pub baseline: Payoff,
     /// The canary's sources that were set aside.
     pub canary_set_aside: Vec<PayoffSource>,
@@ -135,7 +135,7 @@
     }
 }
 
-/// An arm's payoff, and the sources that are not part of it.
+/// An arm's payoff, and the sources that the payoff leaves out as outliers.
 #[derive(Default)]
 struct ArmPayoff {
     total: Payoff,
@@ -304,8 +304,8 @@
         ArmPayoff { total, set_aside }
     }
 
-    /// The endpoints of an arm that fail most requests, if the baseline has such endpoints too. The cause is then taken to be
-    /// their machines, not the build.
+    /// The endpoints of an arm that fail most requests, if the baseline also has endpoints that fail most requests. In that case,
+    /// the failures are attributed to the machines instead of the build.
     fn broken_endpoints(&self, metric: Metric, arm: Arm) -> BTreeSet<PayoffSource> {
         let baseline_has_some = self.failing_endpoints(Arm::Baseline).next().is_some();
         if metric.is_overall() || !baseline_has_some {
--- a/crates/policy/src/exposure_limiter.rs
+++ b/crates/policy/src/exposure_limiter.rs
@@ -43,7 +43,7 @@
     }
 
     /// Whether one more attempt is within the limit. The window that ends now must admit it, and so must the windows that end
-    /// one `clock_resolution` earlier and later, because the platform may count in either of them.
+    /// one `clock_resolution` earlier and later, because the platform may count in either window.
     pub fn allows(&self, context: &Context, attempt: CanaryAttempt, exposure_limit: f64) -> bool {
         if exposure_limit <= 0.0 {
             return false;
--- a/crates/policy/src/fleet_view.rs
+++ b/crates/policy/src/fleet_view.rs
@@ -10,10 +10,10 @@
 
 /// Share of the fleet that must be reachable and warm for worse service to be attributed to a build.
 const UNDISTURBED_CAPACITY_RATIO: f64 = 0.9;
-/// Traffic is higher than usual if this share of it, after subtracting its random variation, exceeds the usual traffic.
+/// Traffic is higher than usual if this share of the current traffic, minus its random variation, exceeds the usual traffic.
 const UNDISTURBED_TRAFFIC_RATIO: f64 = 0.7;
 
-/// The state of the endpoints at one moment.
+/// A read-only view of the endpoints and of what decides whether they are healthy, for the current event.
 #[derive(Clone, Copy)]
 pub(crate) struct FleetView<'a> {
     pub(crate) context: &'a Context,
--- a/crates/policy/src/load_shedder.rs
+++ b/crates/policy/src/load_shedder.rs
@@ -14,7 +14,7 @@
 const MAX_QUEUE_RATIO: f64 = 0.6;
 /// This many attempts in flight never count as a queue, regardless of the traffic.
 const QUEUE_ALLOWANCE_ATTEMPTS: f64 = 5.0;
-/// The admitted requests while there is a queue, as a ratio to the answered requests.
+/// The admitted requests while endpoints have queues, as a ratio to the answered requests.
 const QUEUE_DRAIN_RATIO: f64 = 0.85;
 /// The growth of the admitted share per tick once the queue is gone, as a ratio to that share.
 const ADMISSION_GROWTH_RATIO: f64 = 0.12;
@@ -75,7 +75,7 @@
     /// Raises the shed ratio while the group has a queue, and lowers it otherwise. It is raised at most once per latency objective,
     /// as the effect takes that long to show.
     ///
-    /// Members of a group pass no `load`: their shed ratio decays until the aggregator reports the next one.
+    /// Members of a group pass no `load`: their shed ratio decays until the aggregator reports a new shed ratio.
     pub fn update(&mut self, context: &Context, load: Option<&GroupLoad>) {
         let headroom = match load {
             Some(load) => self.raise_if_queued(context, load),
--- a/crates/policy/src/outlier_ejection.rs
+++ b/crates/policy/src/outlier_ejection.rs
@@ -17,7 +17,8 @@
 /// An endpoint that has not responded for this many mean latencies, with attempts in flight, is unresponsive.
 const UNRESPONSIVE_RATIO: f64 = 4.0;
 
-/// The duration of the next ejection: twice the previous one, up to a bound. `first` is the duration of the first.
+/// The duration of the next ejection: twice the duration of the previous ejection, up to a bound. `first` is the duration of the
+/// first ejection.
 pub fn ejection_length(first: TimeDelta, consecutive_ejections: i32) -> TimeDelta {
     first * f64::powi(2.0, consecutive_ejections.min(MAX_DOUBLINGS))
 }
@@ -25,10 +26,12 @@
 /// The health of one endpoint, from the outcomes at this gateway and its gossip group.
 #[derive(Debug)]
 pub struct EndpointHealth {
+    /// Since when this gateway has attempts in flight without any response; `None` if it has none.
     unanswered_since: Option<Timestamp>,
     backoff_until: Timestamp,
     unreachable_until: Timestamp,
-    success_rate: f64,
+    /// Succeeded attempts as a ratio (0 to 1) to all attempts, as a running mean.
+    success_ratio: f64,
     consecutive_ejections: i32,
     ejected_until: Timestamp,
 }
@@ -39,7 +42,7 @@
             unanswered_since: None,
             backoff_until: Timestamp::default(),
             unreachable_until: Timestamp::default(),
-            success_rate: 1.0,
+            success_ratio: 1.0,
             consecutive_ejections: 0,
             ejected_until: Timestamp::default(),
         }
@@ -78,8 +81,8 @@
         self.unanswered_since = self.unanswered_since.or(Some(now));
     }
 
-    /// Records the end of an attempt by this gateway, with `in_flight` attempts remaining. `latency_objective` is that of the
-    /// class; `first_ejection` is the backoff after a failed connection.
+    /// Records the end of an attempt by this gateway, with `in_flight` attempts remaining. `latency_objective` is the
+    /// latency objective of the request's class; `first_ejection` is the backoff after a failed connection.
     pub fn record_attempt_end(
         &mut self,
         now: Timestamp,
@@ -102,7 +105,7 @@
                 self.backoff_until = now + latency_objective * REJECTION_BACKOFF_RATIO;
             }
             AttemptOutcome::ConnectFailed => {
-                self.success_rate = 0.0;
+                self.success_ratio = 0.0;
                 self.backoff_until = now + first_ejection;
             }
             _ => {}
@@ -126,13 +129,13 @@
                 return;
             }
         };
-        self.success_rate += 2.0 * LEARNING_RATE * (f64::from(succeeded) - self.success_rate);
-        if self.success_rate < FAILING_SUCCESS_RATIO {
+        self.success_ratio += 2.0 * LEARNING_RATE * (f64::from(succeeded) - self.success_ratio);
+        if self.success_ratio < FAILING_SUCCESS_RATIO {
             self.ejected_until = now + ejection_length(first_ejection, self.consecutive_ejections);
             self.consecutive_ejections += 1;
             // After its ejection, the endpoint must fail a few more times before it is ejected again.
-            self.success_rate = (1.0 + FAILING_SUCCESS_RATIO) / 2.0;
-        } else if succeeded && self.success_rate > RECOVERED_SUCCESS_RATIO {
+            self.success_ratio = (1.0 + FAILING_SUCCESS_RATIO) / 2.0;
+        } else if succeeded && self.success_ratio > RECOVERED_SUCCESS_RATIO {
             self.consecutive_ejections = 0;
         }
         if outcome == AttemptOutcome::ConnectFailed {
--- a/crates/policy/src/payoff.rs
+++ b/crates/policy/src/payoff.rs
@@ -1,4 +1,4 @@
-//! The payoffs of outcomes, and the statistics that compare two of them.
+//! The payoffs of outcomes, and the statistics that compare two payoffs.
 
 /// η: the base of elimination weights. A weight of n stands for an error probability of η to the power of n.
 pub const ETA: f64 = 0.9;
--- a/crates/policy/src/request_flow.rs
+++ b/crates/policy/src/request_flow.rs
@@ -58,7 +58,7 @@
         }
     }
 
-    /// The oldest build that may serve this key: the newest build that may have served it or has an attempt in flight for it.
+    /// The oldest build that may serve this key: the newest build that may have served the key or has an attempt for it in flight.
     /// Build 0 if every build may serve it.
     pub(crate) fn sticky_build_of(&self, key: Option<AffinityKey>) -> BuildId {
         let Some(key) = key else {
@@ -242,7 +242,7 @@
     /// Makes the newest build, canary or released, the key's sticky version if that build may have served the request.
     ///
     /// This includes attempts whose response was unreadable or no longer awaited, so some keys stick to a build that never
-    /// responded to them. A server error does not count as a response.
+    /// responded to a request with the key. A server error does not count as a response.
     fn keep_sticky_version(
         &mut self,
         attempt: &FinishedAttempt,
--- a/crates/policy/src/request_table.rs
+++ b/crates/policy/src/request_table.rs
@@ -71,7 +71,7 @@
 /// A client request and its attempts.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// The request class.
+    /// Selects the latency objective, timeout and retry safety.
     pub class: ClassId,
     /// The affinity key; `None` if the request has none.
     pub key: Option<AffinityKey>,
--- a/crates/policy/src/sliding_window.rs
+++ b/crates/policy/src/sliding_window.rs
@@ -25,7 +25,7 @@
 }
 
 impl<T> SlidingWindow<T> {
-    /// Adds an event. `at` must not be earlier than that of the previous event.
+    /// Adds an event. `at` must not be earlier than the time of the previous event.
     pub fn push(&mut self, at: Timestamp, value: T) {
         self.entries.push_back(Entry { at, value });
     }
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -66,8 +66,8 @@
 /// Admission of attempts to warming endpoints.
 ///
 /// The budget per endpoint and overload window is the number of requests that an average endpoint answers for this gateway, times
-/// the usable part of the overload multiple. The budget is based on answered requests, not on received ones. Client retries
-/// inflate the received requests, while an endpoint's capacity bounds the answered ones.
+/// the usable part of the overload multiple. The budget is based on answered instead of received requests: client retries inflate
+/// the received requests, while an endpoint's capacity bounds the answered requests.
 #[derive(Debug, Default)]
 pub(crate) struct SlowStartAdmission {
     answered: SlidingWindow<()>,
@@ -79,7 +79,7 @@
         self.answered.push(now, ());
     }
 
-    /// Records an endpoint selection. Selections that find no endpoint count, as they could have chosen a warming one.
+    /// Records an endpoint selection. Selections that find no endpoint count, as they could have chosen a warming endpoint.
     pub(crate) fn record_selection(&mut self, now: Timestamp) {
         self.selections.push(now, ());
     }
--- a/crates/policy/src/timer.rs
+++ b/crates/policy/src/timer.rs
@@ -1,4 +1,4 @@
-//! The timer that wakes the policy when no other event occurs. Owns the time of the periodic tick and that of the pending timer.
+//! The timer that wakes the policy when no other event occurs. Owns the times of the periodic tick and of the pending timer.
 
 use harrierdock_types::{Action, TimeDelta, Timestamp};
 
--- a/crates/policy/src/traffic.rs
+++ b/crates/policy/src/traffic.rs
@@ -51,7 +51,7 @@
         self.expected_retries = (self.expected_retries - 1.0).max(0.0);
     }
 
-    /// Counts the requests that a group member has reported: all of them, and those that are not client retries.
+    /// Counts the requests that a group member has reported, in total and without client retries.
     pub fn record_member_requests(&mut self, received: usize, original_requests: usize) {
         self.unreported.received += received;
         self.unreported.original_requests += original_requests;
--- a/crates/policy/src/zone_ejection.rs
+++ b/crates/policy/src/zone_ejection.rs
@@ -72,7 +72,7 @@
     }
 
     /// Ejects the unresponsive zones, but only if at least one other zone responds. If all zones were ejected, unresponsive
-    /// endpoints would rank the same as live ones.
+    /// endpoints would rank the same as responsive endpoints.
     pub(crate) fn update(
         &mut self,
         context: &Context,
--- a/crates/rollout-controller/src/controller.rs
+++ b/crates/rollout-controller/src/controller.rs
@@ -55,7 +55,7 @@
     parameters: RolloutControllerParameters,
     votes: VoteTable,
     current: Option<CurrentStage>,
-    /// When the current stage is reported as overdue unless it has a decision by then; `None` if no decision is expected.
+    /// If the current stage has no decision at this time, it is reported as overdue; `None` if no decision is expected.
     decision_deadline: Option<Timestamp>,
     /// Epoch of the lease; `None` while this gateway does not hold the lease.
     lease_epoch: Option<u64>,
--- a/crates/rollout-controller/src/vote.rs
+++ b/crates/rollout-controller/src/vote.rs
@@ -32,7 +32,7 @@
 /// A gateway's vote, sent to all gateways that may hold the rollout controller's lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct VoteMessage {
-    /// Number of the sender's run. Messages of a later run replace those of an earlier one.
+    /// Number of the sender's run. Messages of a later run replace messages of an earlier run.
     pub incarnation: u64,
     /// Sequence number of the message within the sender's run.
     pub sequence: u32,
--- a/crates/types/src/rollout.rs
+++ b/crates/types/src/rollout.rs
@@ -24,9 +24,9 @@
     Superseded,
     /// The platform has no capacity for the call.
     Overloaded,
-    /// The platform answered with an error.
+    /// The platform responded with an error.
     ServerError,
-    /// The platform did not answer in time.
+    /// The platform did not respond in time.
     TimedOut,
 }
 
