--- a/crates/admission/src/controller.rs
+++ b/crates/admission/src/controller.rs
@@ -21,7 +21,7 @@
 pub const MAX_WAIT_RATIO: f64 = 0.1;
 /// Requests whose expected value is below this share of their priority weight are rejected.
 const MIN_EXPECTED_VALUE: f32 = 0.1;
-/// The shortest supported latency objective; shorter ones are raised to it.
+/// The shortest supported latency objective; shorter objectives are raised to this.
 const MIN_LATENCY_OBJECTIVE: TimeDelta = TimeDelta(1_000);
 /// The latency objective that times are derived from if no classes are configured.
 const DEFAULT_LATENCY_OBJECTIVE: TimeDelta = TimeDelta(1_000_000);
@@ -39,7 +39,7 @@
     pub(crate) peers: PeerReports,
     pub(crate) load: FleetLoad,
     pub(crate) rates: AdmissionRates,
-    /// By class and tenant: the accumulated admitted ratio. Admitting a request costs 1.
+    /// By class and tenant: grows by the admitted ratio at each request, up to 2; admitting a request costs 1.
     pub(crate) credits: Vec<f32>,
     pub(crate) queue: WaitQueue,
     pub(crate) sent_reports: u32,
@@ -247,8 +247,8 @@
         ratio
     }
 
-    /// Adds `ratio` to the credit of a class and tenant, and admits a request if the credit covers it. Admissions are evenly spaced, as
-    /// unused credit carries over to the next request.
+    /// Adds `ratio`, the admitted ratio, to the credit of a class and tenant, and admits a request if the credit is at least 1. Admissions
+    /// are evenly spaced, as unused credit carries over to the next request.
     pub(crate) fn admit_by_credit(
         &mut self,
         ratio: f32,
--- a/crates/admission/src/event.rs
+++ b/crates/admission/src/event.rs
@@ -13,9 +13,9 @@
     pub classes: Vec<ClassParameters>,
     /// The number of zones; the controller clamps it to 1 to `MAX_ZONES`.
     pub zone_count: usize,
-    /// The quota of each tenant, relative to the others; empty if there are no tenants.
+    /// The quota of each tenant, relative to the quotas of the other tenants; empty without tenants.
     pub tenant_quotas: Vec<f64>,
-    /// Higher at each start of this gateway than at any earlier one.
+    /// Increases with each start of this gateway.
     pub incarnation: u32,
     /// The shortest time until a rejected client may retry; `None` if rejections carry no such time.
     pub min_retry_after: Option<TimeDelta>,
@@ -70,12 +70,12 @@
 pub enum Action {
     /// Send a waiting request.
     Admit {
-        /// The waiting request.
+        /// The request, which leaves the wait queue.
         id: RequestId,
     },
     /// Reject a waiting request.
     Reject {
-        /// The waiting request.
+        /// The request, which leaves the wait queue.
         id: RequestId,
         /// How long the client should wait before it retries; `None` if not configured.
         retry_after: Option<TimeDelta>,
--- a/crates/admission/src/peer_reports.rs
+++ b/crates/admission/src/peer_reports.rs
@@ -39,7 +39,7 @@
     received_at: Timestamp,
     sustainable_ratio: Option<f32>,
     counts: LoadCounts,
-    /// The weight of the report, from 1 for a new one towards 0 with age.
+    /// The weight of the report: 1 for a new report, approaching 0 with age.
     weight: f32,
 }
 
@@ -56,13 +56,13 @@
 #[derive(Debug, Default)]
 pub(crate) struct FleetLoad {
     pub(crate) counts: LoadCounts,
-    /// The median of the sustainable ratios that peers reported, moved towards 1 if there are few; `None` without reports.
+    /// The median of the sustainable ratios that peers reported, moved towards 1 if few peers reported; `None` without reports.
     pub(crate) sustainable_ratio: Option<f32>,
     /// The weighted mean age of the load data, with own counts at age 0.
     pub(crate) age_seconds: f32,
 }
 
-/// The median; of an even number of values, the lower of the two middle ones, as the higher one of two values may be absurdly wrong.
+/// The median; of an even number of values, the lower of the two middle values, because the higher of only two values may be absurdly wrong.
 fn median(values: &mut [f32]) -> f32 {
     if values.is_empty() {
         return 0.0;
@@ -104,8 +104,8 @@
         self.members.keys().nth(position).copied()
     }
 
-    /// Stores a report. Ignores one that is outdated, duplicated, from an unknown member or another incarnation, or whose numbers of classes,
-    /// zones or tenants differ from those of `own_counts`.
+    /// Stores a report. Ignores reports that are outdated, duplicated, or from an unknown member or another incarnation. Also ignores
+    /// reports whose numbers of classes, zones or tenants differ from `own_counts`.
     pub(crate) fn receive(
         &mut self,
         now: Timestamp,
--- a/crates/admission/src/tick.rs
+++ b/crates/admission/src/tick.rs
@@ -16,7 +16,7 @@
 /// The time constant of the decay of a peer's report, as a ratio to the shortest latency objective.
 const REPORT_DECAY_RATIO: f64 = 0.5;
 
-/// The number of load reports sent at each tick, each to a different peer.
+/// The number of load reports sent per tick, each to a different peer.
 const REPORTS_PER_TICK: usize = 2;
 
 impl AdmissionController {
--- a/crates/event-loop/src/line_stream.rs
+++ b/crates/event-loop/src/line_stream.rs
@@ -43,7 +43,7 @@
     reader: MessageReader,
     mode: ResponseMode,
     last_input_at: Timestamp,
-    /// When the current incomplete line or response started. `None` if there is none.
+    /// When the incomplete line or response started to arrive. `None` if no line or response is incomplete.
     partial_since: Option<Timestamp>,
     opened_at: Timestamp,
     /// The longest time without input on a healthy stream.
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Writes a request: the first one, or the next one after a complete response.
+    /// Writes a request. Any earlier request must have had its complete response.
     pub fn request<D>(&mut self, context: &mut IoContext<D>, target: &str, mode: ResponseMode) {
         let Some(connection) = &mut self.connection else {
             return;
@@ -155,7 +155,7 @@
         }
     }
 
-    /// Closes the connection, if there is one.
+    /// Closes the connection if it is open.
     pub fn close<D>(&mut self, context: &mut IoContext<D>) {
         self.is_connected = false;
         self.partial_since = None;
--- a/crates/flow-export/src/collector.rs
+++ b/crates/flow-export/src/collector.rs
@@ -33,11 +33,11 @@
 pub struct CollectorSummary {
     /// The collector's name in the settings.
     pub name: String,
-    /// Flows dropped for lack of space or at the end.
+    /// Flows dropped for lack of space, at shutdown, or because the collector was removed.
     pub dropped: DroppedFlows,
     /// Messages sent.
     pub sent_messages: u64,
-    /// Data records encoded, including those of messages that were not sent.
+    /// Data records encoded, including records of messages that were not sent.
     pub encoded_records: u64,
     /// Attempts and requests written right before a connection broke, which may not have arrived.
     pub in_doubt: u64,
@@ -86,8 +86,8 @@
         &mut self.queue
     }
 
-    /// Takes over the pending flows and counts of the collector that had this name before a reload. Takes over its connection
-    /// too if its settings are unchanged.
+    /// Takes over the pending flows and counts of the collector that had this name before a reload. Takes over the
+    /// earlier collector's connection too if the settings are unchanged.
     pub(crate) fn take_over(&mut self, now: Timestamp, earlier: Collector) {
         // Key files may have new content at the same path.
         let is_unchanged = earlier.settings == self.settings
--- a/crates/flow-export/src/exporter.rs
+++ b/crates/flow-export/src/exporter.rs
@@ -17,18 +17,18 @@
 use crate::templates::Templates;
 use crate::{CollectorSettings, CollectorSummary, FlowExportError, FlowExportSettings};
 
-/// Makes the exporter's random numbers differ from those of other parts of the gateway that use the same seed.
+/// Makes the exporter's random numbers differ from the random numbers of other parts of the gateway that use the same seed.
 const SEED_SALT: u64 = 0xf10;
 /// The latency objective of a class without one.
 const DEFAULT_LATENCY_OBJECTIVE: TimeDelta = TimeDelta(1);
 
 /// Parameters of a new exporter.
 pub struct ExporterSetup<'a> {
-    /// The collectors and the flow file.
+    /// The `flows` settings of the extension file.
     pub settings: &'a FlowExportSettings,
     /// The folder that relative paths in the settings start at.
     pub folder: &'a Path,
-    /// The latency objectives, by class index.
+    /// The latency objectives, indexed by `ClassId`.
     pub latency_objectives: Vec<TimeDelta>,
     /// The seed of the jitter between connection attempts.
     pub seed: u64,
@@ -250,7 +250,7 @@
         }
     }
 
-    /// Replaces the collectors by those of reloaded settings. A collector whose name stays keeps its pending flows and counts. The
+    /// Replaces the collectors after the settings were reloaded. A collector whose name stays keeps its pending flows and counts. The
     /// flow file keeps its observation domain.
     ///
     /// # Errors
--- a/crates/flow-export/src/rotating_file.rs
+++ b/crates/flow-export/src/rotating_file.rs
@@ -17,7 +17,7 @@
     octets: u64,
     max_octets: u64,
     max_rotated_files: u32,
-    /// The first message, which contains the templates. Each file starts with it, to be readable on its own.
+    /// The message with the templates. Each file starts with this message, so that it can be read without the other files.
     templates: Vec<u8>,
 }
 
--- a/crates/flow-export/src/send_queue.rs
+++ b/crates/flow-export/src/send_queue.rs
@@ -24,7 +24,7 @@
     pub(crate) template_interval: Option<TimeDelta>,
 }
 
-/// An encoded message, with its flows in case it cannot be sent.
+/// An encoded message, and the flows in it, which become pending again if the message cannot be sent.
 pub(crate) struct QueuedMessage {
     pub(crate) octets: Vec<u8>,
     flows: Vec<Flow>,
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Returns whether there is no flow or share to encode.
+    /// Returns whether no flow or share waits to be encoded.
     pub(crate) fn is_empty(&self) -> bool {
         self.pending.is_empty() && self.shares.is_empty()
     }
@@ -120,13 +120,13 @@
         }
     }
 
-    /// Drops all pending flows, including those of unsent messages.
+    /// Drops all pending flows, including the flows of unsent messages.
     pub(crate) fn drop_all(&mut self) {
         self.requeue_messages();
         self.pending.drop_all();
     }
 
-    /// Takes over the pending flows and shares of an earlier queue, and its counts.
+    /// Takes over the pending flows, the shares and the counts of an earlier queue.
     pub(crate) fn take_over(&mut self, mut earlier: SendQueue) {
         earlier.requeue_messages();
         self.pending = earlier.pending;
--- a/crates/flow-metering/src/heavy_hitters.rs
+++ b/crates/flow-metering/src/heavy_hitters.rs
@@ -1,6 +1,6 @@
 //! The most frequent of many items, found by the space-saving algorithm (Metwally, Agrawal, El Abbadi 2005).
 //!
-//! The number of counters is fixed. An item without a counter takes over the lowest one, and overestimates by that counter's value.
+//! The number of counters is fixed. An item without a counter takes over the lowest counter, and is overestimated by that counter's value.
 //! An item observed more often than the total divided by the number of counters always has a counter.
 
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/flow-metering/src/lib.rs
+++ b/crates/flow-metering/src/lib.rs
@@ -1,7 +1,7 @@
 //! Flow metering: counts a gateway's attempts and requests by build, stage, request class, outcome and path, for export.
 //!
 //! A [`FlowMeter`] counts finished attempts and requests, and returns the flows whose active timeout has passed. For each collector,
-//! [`PendingFlows`] merges the flows not sent yet and drops those beyond its limit. The package does no I/O and reads no clock.
+//! [`PendingFlows`] merges the flows not sent yet and drops flows beyond its limit. The package does no I/O and reads no clock.
 
 #![warn(missing_docs, unreachable_pub)]
 
--- a/crates/flow-metering/src/pending_flows.rs
+++ b/crates/flow-metering/src/pending_flows.rs
@@ -1,7 +1,8 @@
 //! The flows not yet sent to one collector.
 //!
 //! A new flow is merged into the pending flow of the same key, whose interval is extended. With too many keys, the flows of all
-//! endpoints of a build are aggregated, and then those of all stages. A flow that still does not fit is dropped and counted.
+//! endpoints of a build are merged into one flow, and then the flows of all its stages. A flow that still does not fit is dropped
+//! and counted.
 
 use std::collections::BTreeMap;
 
@@ -105,7 +106,7 @@
         }
     }
 
-    /// Merges a flow into the pending flow of a key. Returns false if there is none.
+    /// Merges a flow into the pending flow of a key. Returns false if the key has no pending flow.
     fn merge(&mut self, key: FlowKey, flow: &Flow) -> bool {
         let Some(pending) = self.flows.get_mut(&key) else {
             return false;
--- a/crates/lease/src/lease_state.rs
+++ b/crates/lease/src/lease_state.rs
@@ -94,7 +94,7 @@
     pub(crate) remaining: TimeDelta,
     /// The next try to acquire the lease proposes a higher epoch than this one.
     pub(crate) epoch_floor: Epoch,
-    /// The next candidates that electors have reported with their latest grants.
+    /// The first candidates by rank that electors have reported with their latest grants.
     pub(crate) successors: BTreeSet<PeerId>,
     pub(crate) repeated_release: Option<RepeatedRelease>,
     /// Probes that timed out, counted to probe another elector after each one.
--- a/crates/lease/src/manager.rs
+++ b/crates/lease/src/manager.rs
@@ -174,7 +174,7 @@
     /// Checks whether this electorate may replace the current one now.
     ///
     /// # Errors
-    /// Its number isn't the next one, it doesn't differ by exactly one member, or the current electorate isn't in force yet.
+    /// The electorate's number isn't the next number, its members don't differ by exactly one, or the current electorate isn't in force yet.
     pub fn check_electorate_change(&self, next: &Electorate) -> Result<(), ConfigurationError> {
         self.quorum.check_successor(next)
     }
--- a/crates/rollout-controller/src/event.rs
+++ b/crates/rollout-controller/src/event.rs
@@ -49,7 +49,7 @@
     },
     /// This gateway has acquired the rollout controller's lease.
     LeaseAcquired {
-        /// The epoch of the lease.
+        /// The fencing token of all calls made under the lease.
         epoch: u64,
     },
     /// This gateway no longer holds the lease.
--- a/crates/rollout-controller/src/vote_table.rs
+++ b/crates/rollout-controller/src/vote_table.rs
@@ -14,7 +14,7 @@
 /// When this gateway's vote is sent next. Datagrams may be lost, so the vote is sent repeatedly, with a delay that doubles.
 struct ScheduledSend {
     at: Timestamp,
-    /// Time from this send to the next one.
+    /// Time from this send to the next send.
     next_interval: TimeDelta,
 }
 
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Returns this gateway's vote message if its send time has come, and schedules the next one.
+    /// Returns this gateway's vote message if its send time has come, and schedules the next send.
     pub(crate) fn take_message(&mut self, now: Timestamp) -> Option<VoteMessage> {
         let interval = self
             .scheduled_send
