--- a/crates/lease/src/fencing.rs
+++ b/crates/lease/src/fencing.rs
@@ -11,12 +11,12 @@
 /// Bounds the memory that a faulty sender can use up by inventing aggregator groups, each of which has its own lease.
 const MAX_GUARDED_LEASES: usize = 1024;
 
-/// Why an operation is refused.
+/// Why the receiver of an operation refuses it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum FencingError {
     /// The guard has seen a newer epoch of the lease, so another holder has followed the sender.
     #[error(
-        "operation under lease {lease} has epoch {epoch}, but epoch {newest} is known: the sender has lost the lease; report the newer epoch"
+        "operation under lease {lease} has epoch {epoch}, but epoch {newest} is known: the sender has lost the lease; reply to it with the newer epoch"
     )]
     StaleEpoch {
         /// The lease that the sender claims to hold.
