--- a/crates/fault-injection/src/admission/mod.rs
+++ b/crates/fault-injection/src/admission/mod.rs
@@ -1,9 +1,11 @@
 //! Compares admission policies in simulated time, without sockets. Each scenario is drawn from a seed and simulated with all
 //! policies.
 
+mod events;
 mod policies;
 mod requests;
 mod scenario;
+mod shedding;
 mod simulation;
 
 use std::ops::Range;
--- a/crates/fault-injection/src/admission/requests.rs
+++ b/crates/fault-injection/src/admission/requests.rs
@@ -8,13 +8,12 @@
 use harrierdock_types::{AttemptOutcome, RequestId};
 use nanorand::Rng;
 
+use super::events::{Attempt, SimulationEvent};
 use super::policies::{choose_endpoint, latency_ratio, Policy};
 use super::scenario::{
     COUNTED_SPAN_US, MAX_SPEED, QUEUE_CAPACITY, SLOTS_PER_ENDPOINT, SURGE_SPAN_US,
 };
-use super::simulation::{
-    Attempt, RequestPhase, RequestState, Simulation, SimulationEvent, TENTH_SECOND_US,
-};
+use super::simulation::{RequestPhase, RequestState, Simulation, TENTH_SECOND_US};
 
 const MAX_ATTEMPTS: u8 = 3;
 /// Endpoints that a gateway compares for one attempt.
--- a/crates/fault-injection/src/admission/simulation.rs
+++ b/crates/fault-injection/src/admission/simulation.rs
@@ -5,85 +5,20 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
 
-use harrierdock_admission::{load_report, Action, AdmissionController, AdmissionParameters, Event};
+use harrierdock_admission::{Action, AdmissionController, AdmissionParameters, Event};
 use harrierdock_types::Timestamp;
 use nanorand::{Rng, WyRand};
 
-use super::policies::{
-    EndpointState, Gateway, Policy, SheddingState, REPORT_INTERVAL_US, SHEDDING_GROUPS,
-    TIMER_INTERVAL_US,
-};
-use super::scenario::{
-    Fault, Scenario, END_US, KILL_AT_US, RESTART_DELAY_US, SECOND_US, TENANT_SHARES, ZONES,
-};
+use super::events::{Attempt, SimulationEvent};
+use super::policies::{EndpointState, Gateway, Policy, SheddingState, TIMER_INTERVAL_US};
+use super::scenario::{Fault, Scenario, END_US, KILL_AT_US, SECOND_US, TENANT_SHARES, ZONES};
 
-/// Other gateways learn of a restart after this time.
-const RESTART_NOTICE_DELAY_US: i64 = 200_000;
 /// The timestamp of the simulation's start. It keeps all timestamps positive.
 const START_US: i64 = 1_000 * SECOND_US;
 const MIN_MESSAGE_DELAY_US: i64 = 1_300;
 const MESSAGE_DELAY_SPREAD_US: u64 = 26_700;
-/// Messages carry the shed ratio in steps of one to this many.
-const SHED_RATIO_STEPS: f64 = 63.0;
 pub(super) const TENTH_SECOND_US: i64 = 100_000;
 
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum SimulationEvent {
-    ProcessingFinished {
-        endpoint: usize,
-        attempt: Attempt,
-    },
-    GatewayTimerFired {
-        gateway: usize,
-        incarnation: u32,
-    },
-    LoadReportArrived {
-        to: usize,
-        from: usize,
-        bytes: Vec<u8>,
-    },
-    /// A member of a shedding group reports to its coordinator.
-    SheddingReportArrived {
-        to: usize,
-        from: usize,
-        received: usize,
-        answered: usize,
-        in_flight: usize,
-    },
-    /// A coordinator sets the shed ratio of a member, in [`SHED_RATIO_STEPS`].
-    ShedRatioArrived {
-        to: usize,
-        steps: u64,
-    },
-    /// A waiting request tries again to get an endpoint.
-    SelectionRetried {
-        request: usize,
-    },
-    TimeoutExpired {
-        request: usize,
-        attempt_number: u8,
-    },
-    GatewaysKilled,
-    GatewayRestarted {
-        gateway: usize,
-    },
-    /// All other gateways learn of the restart.
-    RestartNoticed {
-        gateway: usize,
-    },
-}
-
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct Attempt {
-    pub(super) request: usize,
-    pub(super) gateway: usize,
-    /// Incarnation of the gateway that sent the attempt.
-    pub(super) incarnation: u32,
-    /// Number among the attempts of its request, from 1.
-    pub(super) number: u8,
-    pub(super) sent_at_us: i64,
-}
-
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) enum RequestPhase {
     #[default]
@@ -197,7 +132,7 @@
         simulation
     }
 
-    fn initial_gateway(&self, gateway: usize, incarnation: u32) -> Gateway {
+    pub(super) fn initial_gateway(&self, gateway: usize, incarnation: u32) -> Gateway {
         let scenario = self.scenario;
         let parameters = AdmissionParameters {
             classes: scenario.classes.clone(),
@@ -221,7 +156,7 @@
     }
 
     /// The gateway learns its peers. Its first timer event is at a random time within the interval.
-    fn start_gateway(&mut self, gateway: usize) {
+    pub(super) fn start_gateway(&mut self, gateway: usize) {
         for peer in (0..self.scenario.gateways).filter(|peer| *peer != gateway) {
             let incarnation = self.gateways[peer].incarnation;
             self.deliver(
@@ -322,7 +257,7 @@
     }
 
     /// Schedules the arrival of a message, unless the sender or the receiver is cut off.
-    fn send_message(&mut self, from: usize, to: usize, arrival: SimulationEvent) {
+    pub(super) fn send_message(&mut self, from: usize, to: usize, arrival: SimulationEvent) {
         if !self.scenario.is_cut_off(from, self.now_us)
             && !self.scenario.is_cut_off(to, self.now_us)
         {
@@ -331,168 +266,4 @@
             self.schedule(self.now_us + delay_us, arrival);
         }
     }
-
-    fn handle(&mut self, event: SimulationEvent) {
-        match event {
-            SimulationEvent::ProcessingFinished { endpoint, attempt } => {
-                self.finish_processing(endpoint, attempt);
-            }
-            SimulationEvent::GatewayTimerFired {
-                gateway,
-                incarnation,
-            } => {
-                let state = &self.gateways[gateway];
-                if state.is_running && state.incarnation == incarnation {
-                    self.deliver(gateway, Event::TimerFired);
-                    self.update_shedding(gateway, incarnation);
-                }
-            }
-            SimulationEvent::LoadReportArrived { to, from, bytes } => {
-                if let (true, Ok(report)) =
-                    (self.gateways[to].is_running, load_report::decode(&bytes))
-                {
-                    self.deliver(
-                        to,
-                        Event::ReportReceived {
-                            from: PeerId(from),
-                            report,
-                        },
-                    );
-                }
-            }
-            SimulationEvent::SheddingReportArrived {
-                to,
-                from,
-                received,
-                answered,
-                in_flight,
-            } => {
-                if self.gateways[to].is_running {
-                    self.gateways[to].shedding.record_report(
-                        self.now_us,
-                        from,
-                        received,
-                        answered,
-                        in_flight,
-                    );
-                }
-            }
-            SimulationEvent::ShedRatioArrived { to, steps } => {
-                self.gateways[to].shedding.shed_ratio = (steps as f64 / SHED_RATIO_STEPS).min(0.9)
-            }
-            SimulationEvent::SelectionRetried { request } => {
-                let state = &self.requests[request];
-                let gateway = &self.gateways[state.gateway];
-                if state.phase == RequestPhase::Waiting
-                    && gateway.is_running
-                    && gateway.incarnation == state.incarnation
-                {
-                    self.select_endpoint(request);
-                }
-            }
-            SimulationEvent::TimeoutExpired { request, .. } => self.handle_timeout(request),
-            SimulationEvent::GatewaysKilled => self.kill_gateways(),
-            SimulationEvent::GatewayRestarted { gateway } => {
-                let incarnation = self.gateways[gateway].incarnation + 1;
-                self.gateways[gateway] = self.initial_gateway(gateway, incarnation);
-                self.start_gateway(gateway);
-                self.schedule(
-                    self.now_us + RESTART_NOTICE_DELAY_US,
-                    SimulationEvent::RestartNoticed { gateway },
-                );
-            }
-            SimulationEvent::RestartNoticed { gateway } => {
-                let incarnation = Some(self.gateways[gateway].incarnation);
-                for other in (0..self.scenario.gateways).filter(|other| *other != gateway) {
-                    self.deliver(
-                        other,
-                        Event::MemberChanged {
-                            peer: PeerId(gateway),
-                            incarnation,
-                        },
-                    );
-                }
-            }
-        }
-    }
-
-    /// Kills gateways. Their requests are lost, but endpoints still process the attempts.
-    fn kill_gateways(&mut self) {
-        for gateway in
-            (0..self.scenario.gateways).filter(|gateway| self.scenario.is_killed[*gateway])
-        {
-            self.gateways[gateway].is_running = false;
-            self.schedule(
-                self.now_us + RESTART_DELAY_US,
-                SimulationEvent::GatewayRestarted { gateway },
-            );
-        }
-        for request in &mut self.requests {
-            if self.scenario.is_killed[request.gateway]
-                && matches!(
-                    request.phase,
-                    RequestPhase::InFlight | RequestPhase::Waiting
-                )
-            {
-                request.phase = RequestPhase::Finished;
-            }
-        }
-    }
-
-    /// The timer event of shedding by groups (departure I in docs/design.md): members report to their coordinator, and
-    /// coordinators send the shed ratio to their members.
-    fn update_shedding(&mut self, gateway: usize, incarnation: u32) {
-        let (now_us, gateway_count, coordinator) = (
-            self.now_us,
-            self.scenario.gateways,
-            gateway % SHEDDING_GROUPS,
-        );
-        if self.policy != Policy::SharedSlack {
-            self.schedule(
-                now_us + TIMER_INTERVAL_US,
-                SimulationEvent::GatewayTimerFired {
-                    gateway,
-                    incarnation,
-                },
-            );
-        }
-        if self.policy != Policy::PartToShed || gateway_count <= SHEDDING_GROUPS {
-            return;
-        }
-        let in_flight = self.gateways[gateway]
-            .endpoints
-            .iter()
-            .map(|endpoint| endpoint.in_flight as usize)
-            .sum();
-        let shedding = &mut self.gateways[gateway].shedding;
-        let is_report_due = now_us - shedding.last_report_us >= REPORT_INTERVAL_US;
-        if coordinator == gateway {
-            let (received, answered) = (
-                std::mem::take(&mut shedding.received),
-                std::mem::take(&mut shedding.answered),
-            );
-            shedding.record_report(now_us, gateway, received, answered, in_flight);
-            shedding.update_shed_ratio(now_us, true);
-            let steps = (shedding.shed_ratio * SHED_RATIO_STEPS) as u64;
-            if is_report_due && shedding.shed_ratio > 0.0 {
-                shedding.last_report_us = now_us;
-                for to in (gateway + SHEDDING_GROUPS..gateway_count).step_by(SHEDDING_GROUPS) {
-                    self.send_message(gateway, to, SimulationEvent::ShedRatioArrived { to, steps });
-                }
-            }
-            return;
-        }
-        shedding.update_shed_ratio(now_us, false);
-        if is_report_due {
-            shedding.last_report_us = now_us;
-            let report = SimulationEvent::SheddingReportArrived {
-                to: coordinator,
-                from: gateway,
-                received: std::mem::take(&mut shedding.received),
-                answered: std::mem::take(&mut shedding.answered),
-                in_flight,
-            };
-            self.send_message(gateway, coordinator, report);
-        }
-    }
 }
