--- a/crates/gateway/tests/sockets/main.rs
+++ b/crates/gateway/tests/sockets/main.rs
@@ -5,6 +5,7 @@
 mod client_requests;
 mod configuration;
 mod connection_reuse;
+mod delayed_endpoint;
 mod discovery;
 mod discovery_updates;
 mod early_clients;
