--- a/crates/fault-injection/src/admission/events.rs
+++ b/crates/fault-injection/src/admission/events.rs
@@ -7,7 +7,7 @@
 use super::shedding::SHED_RATIO_STEPS;
 use super::simulation::{RequestPhase, Simulation};
 
-/// Other gateways learn of a restart after this time.
+/// Time from a gateway's restart until the other gateways are notified of it.
 const RESTART_NOTICE_DELAY_US: i64 = 200_000;
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -33,7 +33,7 @@
         answered: usize,
         in_flight: usize,
     },
-    /// A coordinator sets the shed ratio of a member, in [`SHED_RATIO_STEPS`].
+    /// A coordinator sets the shed ratio of a member to `steps` / [`SHED_RATIO_STEPS`].
     ShedRatioArrived {
         to: usize,
         steps: u64,
@@ -50,7 +50,7 @@
     GatewayRestarted {
         gateway: usize,
     },
-    /// All other gateways learn of the restart.
+    /// All other gateways are notified of the restart.
     RestartNoticed {
         gateway: usize,
     },
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Kills gateways. Their requests are lost, but endpoints still process the attempts.
+    /// Kills the gateways that the scenario selects. Their requests are lost, but endpoints still process the attempts.
     fn kill_gateways(&mut self) {
         for gateway in
             (0..self.scenario.gateways).filter(|gateway| self.scenario.is_killed[*gateway])
--- a/crates/fault-injection/src/admission/mod.rs
+++ b/crates/fault-injection/src/admission/mod.rs
@@ -18,7 +18,7 @@
 use scenario::{Scenario, COUNTED_SPAN_US, TENANT_SHARES};
 use simulation::{Simulation, Totals};
 
-/// The most members that a gateway keeps track of.
+/// The largest fleet to simulate: a gateway keeps track of at most this many members.
 pub const MAX_GATEWAYS: usize = 1000;
 /// Shared slack has to reach this share of the central dispatcher's priority weight.
 const MIN_SHARED_SLACK_SHARE: f64 = 0.9;
@@ -32,7 +32,7 @@
 const MIN_GATEWAY_REQUESTS: f64 = 20.0;
 const RUN_SECONDS: f64 = 12.0;
 
-/// A figure over all scenarios.
+/// Statistics of one figure over all scenarios.
 #[derive(Debug, Default, Serialize)]
 pub struct Summary {
     pub mean: f64,
@@ -82,6 +82,7 @@
 /// The result over all seeds.
 #[derive(Debug, Default, Serialize)]
 pub struct Report {
+    /// Whether the mean share of shared slack reaches the required minimum.
     pub ok: bool,
     /// First seed.
     pub seed: u64,
--- a/crates/fault-injection/src/admission/policies.rs
+++ b/crates/fault-injection/src/admission/policies.rs
@@ -14,6 +14,7 @@
 pub const TIMER_INTERVAL_US: i64 = 50_000;
 /// A coordinator sums up the reports of its group within this window. It raises the shed ratio once per window at most.
 pub const SHEDDING_WINDOW_US: i64 = 500_000;
+/// Shortest time between two reports of a member, or between two shed ratios that a coordinator sends.
 pub const REPORT_INTERVAL_US: i64 = SHEDDING_WINDOW_US / 4;
 /// Gateways with an index below this are the coordinators of the shedding groups.
 pub const SHEDDING_GROUPS: usize = 8;
@@ -45,7 +46,7 @@
     pub concurrency_limit: f64,
     /// Moving average of the response time divided by the latency objective.
     pub latency_ratio: f64,
-    /// The endpoint rejected an attempt; the gateway sends no other until this time.
+    /// The gateway sends no attempt before this time, because the endpoint rejected one.
     pub closed_until_us: i64,
 }
 
@@ -91,7 +92,7 @@
     pub at_us: i64,
     /// Requests that arrived since the member's previous report.
     pub received: usize,
-    /// Requests that were answered since then.
+    /// Requests that were answered since the member's previous report.
     pub answered: usize,
 }
 
@@ -220,7 +221,8 @@
     pub admission: Option<AdmissionController>,
 }
 
-/// The central dispatcher's choice: the endpoint with the shortest wait, or `None` if that wait exceeds the limit of the class.
+/// The central dispatcher's choice: the endpoint with the shortest wait, or `None` if that wait exceeds the limit of the class's
+/// priority.
 pub fn choose_endpoint(
     scenario: &Scenario,
     loads: &[usize],
--- a/crates/fault-injection/src/admission/requests.rs
+++ b/crates/fault-injection/src/admission/requests.rs
@@ -111,7 +111,8 @@
     }
 
     /// Draws two endpoints and sends the request to the one with fewer attempts of this gateway in flight. If none is available,
-    /// the request waits and is rejected after a tenth of its latency objective. Shared slack ignores the concurrency limits.
+    /// the request tries again later. It is rejected once a tenth of its latency objective has passed. Shared slack ignores the
+    /// concurrency limits.
     pub(super) fn select_endpoint(&mut self, request: usize) {
         let applies_limits = self.policy != Policy::SharedSlack;
         let gateway = &self.gateways[self.requests[request].gateway];
--- a/crates/fault-injection/src/admission/scenario.rs
+++ b/crates/fault-injection/src/admission/scenario.rs
@@ -16,6 +16,7 @@
 pub const KILL_AT_US: i64 = 45 * SECOND_US / 10;
 /// A killed gateway starts again after this time.
 pub const RESTART_DELAY_US: i64 = 3 * SECOND_US / 10;
+/// [`Fault::Cut`] loses messages within this span.
 pub const CUT_SPAN_US: (i64, i64) = (35 * SECOND_US / 10, 75 * SECOND_US / 10);
 /// No request arrives after this time.
 pub const END_US: i64 = 12 * SECOND_US;
@@ -25,7 +26,7 @@
 pub const MAX_SPEED: f64 = 1.1;
 /// Attempts that an endpoint processes at the same time.
 pub const SLOTS_PER_ENDPOINT: usize = 4;
-/// Attempts that wait at an endpoint; it rejects more.
+/// Attempts that can wait at an endpoint. It rejects further attempts.
 pub const QUEUE_CAPACITY: usize = 40;
 /// The tenants' quotas, and their shares of the requests without a surge. Half of a surge comes from the last tenant.
 pub const TENANT_SHARES: [f64; 4] = [0.4, 0.3, 0.2, 0.1];
@@ -144,7 +145,7 @@
             class_parameters(with_idempotency_key, 600, 5.0, 0.0),
             class_parameters(RetrySafety::NonIdempotent, 600, 5.0, 0.2),
         ];
-        let class_works_us: Vec<f64> = (0..3)
+        let class_mean_works_us: Vec<f64> = (0..3)
             .map(|_| draw_uniform(&mut rng, 63e3, 110e3))
             .collect();
         let class_shares: Vec<f64> = [(0.3, 0.44), (0.26, 0.38), (0.25, 0.37)]
@@ -154,7 +155,7 @@
         let speeds: Vec<f64> = (0..endpoints)
             .map(|_| draw_uniform(&mut rng, MIN_SPEED, MAX_SPEED))
             .collect();
-        let mean_work_us = class_works_us
+        let mean_work_us = class_mean_works_us
             .iter()
             .zip(&class_shares)
             .map(|(work_us, share)| work_us * share)
@@ -186,7 +187,7 @@
                 draw_weighted(&mut rng, &class_shares),
                 draw_weighted(&mut rng, &gateway_shares),
             );
-            let work_us = class_works_us[class] * draw_exponential(&mut rng);
+            let work_us = class_mean_works_us[class] * draw_exponential(&mut rng);
             let usual_tenant = draw_weighted(&mut rng, &TENANT_SHARES);
             let is_of_surging_tenant = is_surplus && rng.generate::<f64>() < 0.5;
             let tenant = if is_of_surging_tenant {
--- a/crates/fault-injection/src/admission/shedding.rs
+++ b/crates/fault-injection/src/admission/shedding.rs
@@ -4,7 +4,7 @@
 use super::policies::{Policy, REPORT_INTERVAL_US, SHEDDING_GROUPS, TIMER_INTERVAL_US};
 use super::simulation::Simulation;
 
-/// Messages carry the shed ratio in steps of one to this many.
+/// Messages carry the shed ratio as an integer; this integer stands for a ratio of one.
 pub(super) const SHED_RATIO_STEPS: f64 = 63.0;
 
 impl Simulation<'_> {
--- a/crates/fault-injection/src/admission/simulation.rs
+++ b/crates/fault-injection/src/admission/simulation.rs
@@ -15,6 +15,7 @@
 
 /// The timestamp of the simulation's start. It keeps all timestamps positive.
 const START_US: i64 = 1_000 * SECOND_US;
+/// A message between gateways is delayed by this and a random time of up to `MESSAGE_DELAY_SPREAD_US`.
 const MIN_MESSAGE_DELAY_US: i64 = 1_300;
 const MESSAGE_DELAY_SPREAD_US: u64 = 26_700;
 pub(super) const TENTH_SECOND_US: i64 = 100_000;
@@ -32,7 +33,9 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct RequestState {
     pub(super) phase: RequestPhase,
+    /// The gateway that the request arrived at.
     pub(super) gateway: usize,
+    /// Incarnation of the gateway when the request arrived.
     pub(super) incarnation: u32,
     /// Attempts sent so far.
     pub(super) attempts: u8,
@@ -45,24 +48,28 @@
 /// Requests of a tenant or gateway that arrive during the surge.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ServedRequests {
+    /// All of these requests.
     pub offered: f64,
     /// Requests answered within the latency objective.
     pub in_time: f64,
 }
 
-/// Totals of one simulation.
+/// Totals of one simulation. `priority_weight`, `sent`, `late`, `rejected` and `waited_in_time` cover the requests that arrive
+/// within `COUNTED_SPAN_US`.
 #[derive(Clone, Debug, Default)]
 pub struct Totals {
-    /// Priority weight of the answered requests.
+    /// Priority weight of the answered requests. That of late ones is multiplied by the late value ratio of their class.
     pub priority_weight: f64,
-    /// Priority weight of the answered requests that arrived during the surge.
+    /// Like `priority_weight`, for the requests that arrive during the surge.
     pub priority_weight_in_surge: f64,
+    /// Requests with at least one attempt.
     pub sent: usize,
     /// Requests answered after their latency objective or not at all.
     pub late: usize,
     pub rejected: usize,
-    /// Requests for which the admission controller decided to wait.
+    /// Requests that waited for admission, at any time.
     pub waited: usize,
+    /// Requests that waited for admission and were answered in time.
     pub waited_in_time: usize,
     /// Bytes of all load reports.
     pub report_bytes: usize,
@@ -92,7 +99,7 @@
     pub(super) loads: Vec<usize>,
     /// By the index of the request's arrival.
     pub(super) requests: Vec<RequestState>,
-    /// Whether the admission controller decided to wait, by request.
+    /// Whether the request waited for admission, by request.
     pub(super) has_waited: Vec<bool>,
     pub(super) totals: Totals,
 }
@@ -155,7 +162,7 @@
         }
     }
 
-    /// The gateway learns its peers. Its first timer event is at a random time within the interval.
+    /// Notifies a gateway of its peers, and schedules its first timer event at a random time within the interval.
     pub(super) fn start_gateway(&mut self, gateway: usize) {
         for peer in (0..self.scenario.gateways).filter(|peer| *peer != gateway) {
             let incarnation = self.gateways[peer].incarnation;
@@ -188,7 +195,7 @@
         Timestamp(START_US + self.now_us)
     }
 
-    /// Simulates until two seconds after the last arrival.
+    /// Simulates until two seconds after `END_US`.
     pub fn run(mut self) -> Totals {
         let mut next_request = 0;
         loop {
--- a/crates/fault-injection/src/duties/mod.rs
+++ b/crates/fault-injection/src/duties/mod.rs
@@ -15,7 +15,7 @@
 
 /// Each run starts without faults for this long.
 const START_SECONDS: f64 = 4.0;
-/// Faults start within this time.
+/// Faults start within this time after [`START_SECONDS`].
 const FAULTS_SECONDS: f64 = 14.0;
 /// Each lease must have a holder again this long after the last fault.
 const RECOVERY_SECONDS: f64 = 8.0;
@@ -86,6 +86,7 @@
     /// The first seed with a violation or an unheld lease.
     #[serde(rename = "first_bad_seed")]
     pub first_failing_seed: Option<u64>,
+    /// Whether leases stayed exclusive, found new holders in time, and met the limits on traffic and time without a holder.
     pub ok: bool,
 }
 
--- a/crates/fault-injection/src/duties/simulation/gateway.rs
+++ b/crates/fault-injection/src/duties/simulation/gateway.rs
@@ -20,9 +20,11 @@
     pub(super) lease_manager: Option<LeaseManager>,
     /// Counts the exits of the process. Timers and exits of an earlier incarnation are ignored.
     pub(super) incarnation: u32,
-    /// Speed of its clock relative to simulated time, as a factor.
+    /// Speed of the gateway's monotonic clock relative to simulated time, as a factor.
     clock_rate: f64,
+    /// The monotonic clock at the simulation's start.
     clock_offset_us: i64,
+    /// Error of the Unix time.
     unix_offset_ms: i64,
     /// The gateway processes no event before this time.
     pub stalled_until: Timestamp,
@@ -46,17 +48,17 @@
         }
     }
 
-    /// The time of its monotonic clock at a point in simulated time.
+    /// The time of the gateway's monotonic clock at a point in simulated time.
     pub(super) fn local_time(&self, now: Timestamp) -> Timestamp {
         Timestamp(self.clock_offset_us + (now.0 as f64 * self.clock_rate) as i64)
     }
 
-    /// Speed of its clock relative to simulated time, as a factor.
+    /// Speed of the gateway's monotonic clock relative to simulated time, as a factor.
     pub(super) fn clock_rate(&self) -> f64 {
         self.clock_rate
     }
 
-    /// Its Unix time at a point in simulated time.
+    /// The gateway's Unix time at a point in simulated time.
     pub(super) fn unix_time_ms(&self, now: Timestamp) -> u64 {
         let since_start_ms = now.0 / MICROSECONDS_PER_MILLISECOND;
         START_UNIX_MS.saturating_add_signed(since_start_ms + self.unix_offset_ms)
--- a/crates/fault-injection/src/duties/simulation/lifecycle.rs
+++ b/crates/fault-injection/src/duties/simulation/lifecycle.rs
@@ -9,7 +9,7 @@
 
 /// Time from the start of a graceful shutdown until the process exits.
 const SHUTDOWN_DURATION: TimeDelta = TimeDelta(300_000);
-/// The leased aggregator's gossip group has a tenth of the fleet as members, and at least this many gateways.
+/// The fleet has [`MAX_GROUPS`] gossip groups, or fewer so that each group has at least this many gateways.
 const MIN_GROUP_SIZE: usize = 5;
 const MAX_GROUPS: usize = 10;
 
--- a/crates/fault-injection/src/duties/simulation/mod.rs
+++ b/crates/fault-injection/src/duties/simulation/mod.rs
@@ -39,7 +39,7 @@
     LeaseName::Aggregator(1),
 ];
 
-/// The simulated fleet, and counters of the faults observed in it.
+/// The simulated fleet, with counters of violations, operations and messages.
 pub struct LeaseSimulation {
     /// Simulated time. The clocks of gateways deviate from it.
     pub now: Timestamp,
@@ -50,7 +50,9 @@
     pub gateways: Vec<SimulatedGateway>,
     /// The current faults of the network.
     pub network: NetworkConditions,
+    /// Times and numbers of the scheduled events, earliest first.
     queue: BinaryHeap<Reverse<(Timestamp, u64)>>,
+    /// The scheduled events, by number.
     events: BTreeMap<u64, SimulatedEvent>,
     last_event_number: u64,
     guard: FencingGuard,
--- a/crates/fault-injection/src/elimination/group.rs
+++ b/crates/fault-injection/src/elimination/group.rs
@@ -10,7 +10,7 @@
 use super::scenario::{draw_class, EndpointFault, Scenario};
 
 /// Probability of keeping a selected slow endpoint. Gateways give slow endpoints a lower weight.
-const SLOW_ENDPOINT_ODDS: f64 = 0.4;
+const SLOW_ENDPOINT_KEEP_PROBABILITY: f64 = 0.4;
 /// Selections per request, the first one included. The last one stands even if its endpoint is ejected.
 const MAX_SELECTIONS: usize = 8;
 
@@ -69,7 +69,7 @@
             let is_canary = arm_at(plan.changes_at_seconds, at_seconds) == Arm::Canary;
             let is_ejected = !is_canary && self.health[selected].is_ejected(now);
             let is_slow = matches!(plan.fault, Some(EndpointFault::Slow { .. }));
-            if !is_ejected && (!is_slow || rng.generate::<f64>() < SLOW_ENDPOINT_ODDS) {
+            if !is_ejected && (!is_slow || rng.generate::<f64>() < SLOW_ENDPOINT_KEEP_PROBABILITY) {
                 break;
             }
         }
--- a/crates/fault-injection/src/elimination/report.rs
+++ b/crates/fault-injection/src/elimination/report.rs
@@ -117,7 +117,7 @@
     }
 }
 
-/// The times at which a rule eliminated the canary in a stage, sorted.
+/// When a rule eliminated the canary in each draw, in seconds from the stage's start, sorted.
 fn elimination_times(draws: &[Vec<StageVerdicts>], rule: usize, stage: usize) -> Vec<f64> {
     let mut times: Vec<f64> = draws
         .iter()
--- a/crates/fault-injection/src/elimination/rules/endpoint_rules.rs
+++ b/crates/fault-injection/src/elimination/rules/endpoint_rules.rs
@@ -36,11 +36,11 @@
         if smaller_arm < 2 {
             return 0;
         }
-        let gap = Payoff::total(baseline).mean()
+        let difference = Payoff::total(baseline).mean()
             - Payoff::total(canary).mean()
             - comparison.evidence.metric.tolerance();
         let deviation = (cluster_variance(canary) + cluster_variance(baseline)).sqrt();
-        let error = student_tail(gap / deviation, smaller_arm - 1);
+        let error = student_tail(difference / deviation, smaller_arm - 1);
         comparison
             .vote_weight(error)
             .min(comparison.policy_weight())
@@ -251,18 +251,18 @@
     let all: Vec<f64> = low.iter().chain(high).copied().collect();
     let ranks = midranks(&all);
     let (low_ranks, high_ranks) = ranks.split_at(low.len());
-    let gap = mean(high_ranks) - mean(low_ranks);
+    let difference = mean(high_ranks) - mean(low_ranks);
     let overall = mean(&ranks);
     let squares: f64 = ranks.iter().map(|rank| (rank - overall).powi(2)).sum();
     let variance = squares / (total - 1) as f64;
     let per_rank = 1.0 / low.len() as f64 + 1.0 / high.len() as f64;
-    if gap <= 0.0 || variance == 0.0 {
+    if difference <= 0.0 || variance == 0.0 {
         return 1.0;
     }
-    let z_squared = gap * gap / (variance * per_rank);
+    let z_squared = difference * difference / (variance * per_rank);
     let remainder = (total as f64 - 1.0 - z_squared).max(f64::EPSILON);
     let t = (z_squared * (total - 2) as f64 / remainder).sqrt();
-    // Each assignment of ranks to the two arms is equally likely, so one of them bounds the probability from below.
+    // Each assignment of ranks to the two arms is equally likely, so no probability is below that of one assignment.
     student_tail(t, total - 2).max(1.0 / combinations(total, low.len()))
 }
 
--- a/crates/fault-injection/src/elimination/rules/shared_votes.rs
+++ b/crates/fault-injection/src/elimination/rules/shared_votes.rs
@@ -33,8 +33,8 @@
         let sharing = endpoint_sharing(fleet);
         let voters = (fleet.groups() / 2).max(1);
         let needed = (DELTA.ln() / ETA.ln()).floor();
-        let needed_together = needed * (1.0 + (voters - 1) as f64 * sharing);
-        // A vote counts with its weight, capped at the weight for δ if all groups share the same endpoints.
+        let needed_total = needed * (1.0 + (voters - 1) as f64 * sharing);
+        // A vote counts at most half of the needed weight if groups share no endpoints, and all of it if they share all.
         let own_share = LARGEST_SHARE_OF_INDEPENDENT_VOTE;
         let largest = needed * (own_share + (1.0 - own_share) * sharing);
         let votes = weights.iter().filter(|weight| **weight > 0);
@@ -42,7 +42,7 @@
             .clone()
             .map(|weight| largest.min(*weight as f64))
             .sum();
-        votes.count() >= voters && total >= needed_together
+        votes.count() >= voters && total >= needed_total
     }
 }
 
--- a/crates/fault-injection/src/elimination/scenario.rs
+++ b/crates/fault-injection/src/elimination/scenario.rs
@@ -15,7 +15,7 @@
 pub const STAGE_SECONDS: f64 = 4.0;
 /// The endpoints of a stage change their build within this time after the stage starts.
 const CHANGE_SECONDS: f64 = 1.0;
-/// Requests that each gateway receives.
+/// Requests per second that each gateway receives.
 const REQUESTS_PER_SECOND: f64 = 8.0;
 const GATEWAYS_PER_ENDPOINT: usize = 2;
 /// An endpoint with [`EndpointFault::Pauses`] pauses once in each period.
--- a/crates/fault-injection/tests/known_failing_tests.rs
+++ b/crates/fault-injection/tests/known_failing_tests.rs
@@ -33,7 +33,7 @@
     }
 }
 
-/// Runs `.ci/test` with this list of known failing tests. Returns its output and the calls of cargo, one a line. `folder_name`
+/// Runs `.ci/test` with this list of known failing tests. Returns its output and the calls of cargo, one per line. `folder_name`
 /// distinguishes the folders of tests that run at the same time.
 fn run_ci_test(folder_name: &str, list: &str) -> (Output, String) {
     let folder = TemporaryFolder::new(folder_name);
