--- a/crates/fault-injection/src/elimination/rules/mod.rs
+++ b/crates/fault-injection/src/elimination/rules/mod.rs
@@ -40,9 +40,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportTarget {
     /// The aggregator of the gateway's group. Aggregators of different groups count outcomes of the same endpoints.
-    OwnGroup,
+    GroupAggregator,
     /// The aggregator of the endpoint. No two aggregators count outcomes of the same endpoint.
-    EndpointsGroup,
+    EndpointAggregator,
 }
 
 /// How groups vote against the canary, and how their votes are counted.
@@ -52,7 +52,7 @@
 
     /// The aggregator that counts an outcome.
     fn report_target(&self) -> ReportTarget {
-        ReportTarget::OwnGroup
+        ReportTarget::GroupAggregator
     }
 
     /// The weight of a group's vote against the canary by one metric; 0 means no vote.
@@ -91,8 +91,8 @@
     }
 }
 
-/// Applies a rule with [`ReportTarget::EndpointsGroup`]: each aggregator counts the outcomes of its own part of the endpoints.
-/// The votes are as independent as the endpoints.
+/// Applies a rule with [`ReportTarget::EndpointAggregator`]: each aggregator counts the outcomes of its own part of the
+/// endpoints. The votes are as independent as the endpoints.
 #[derive(Clone, Copy, Debug)]
 pub struct ByEndpoint<R> {
     /// Name of the rule in the report.
@@ -107,7 +107,7 @@
     }
 
     fn report_target(&self) -> ReportTarget {
-        ReportTarget::EndpointsGroup
+        ReportTarget::EndpointAggregator
     }
 
     fn weight(&self, comparison: &Comparison<'_>) -> usize {
