--- a/crates/gateway/src/config/lease.rs
+++ b/crates/gateway/src/config/lease.rs
@@ -175,7 +175,7 @@
     },
     /// The decision timeout is shorter than the lease.
     #[error(
-        "fleet.steward.bound_ms: {timeout_ms} is shorter than the lease of {lease_ms} ms: increase it"
+        "fleet.steward.bound_ms: the decision timeout of {timeout_ms} ms is shorter than the lease of {lease_ms} ms: increase it"
     )]
     DecisionTimeoutTooShort {
         /// Decision timeout in milliseconds.
--- a/crates/lease/src/error.rs
+++ b/crates/lease/src/error.rs
@@ -97,7 +97,7 @@
         longest_ms: i64,
     },
     /// There is no lease with this name.
-    #[error("lease {name} is unknown: use `steward`, `heir` or `speaker:NUMBER` in `duties`")]
+    #[error("lease {name} is unknown: use `steward` (rollout controller), `heir` (recovery owner) or `speaker:NUMBER` (aggregator) in `duties`")]
     UnknownLease {
         /// The configured name.
         name: String,
@@ -125,7 +125,7 @@
         current: u32,
     },
     /// The new electorate doesn't differ by exactly one member.
-    #[error("electorate {proposed} does not differ from {current} by exactly one member: add or remove one at a time")]
+    #[error("the members of electorate {proposed} and electorate {current} do not differ by exactly one: add or remove one at a time")]
     ElectorateChangeNotByOne {
         /// The proposed electorate's number.
         proposed: u32,
