--- a/crates/fault-injection/src/admission/mod.rs
+++ b/crates/fault-injection/src/admission/mod.rs
@@ -207,12 +207,14 @@
         dispatcher_runs.push(dispatcher_run);
         progress(index + 1);
     }
+    // The priority weight of each run as a share of the priority weight of the best dispatcher run.
     let shares = |runs: &[Totals]| -> Vec<f64> {
         runs.iter()
             .zip(&dispatcher_runs)
             .map(|(run, dispatcher)| run.priority_weight / dispatcher.priority_weight)
             .collect()
     };
+    // The same share, for the requests that arrive during the surge.
     let shares_in_surge = |runs: &[Totals]| -> Vec<f64> {
         runs.iter()
             .zip(&dispatcher_runs)
--- a/crates/fault-injection/src/admission/simulation.rs
+++ b/crates/fault-injection/src/admission/simulation.rs
@@ -58,7 +58,8 @@
 /// within `COUNTED_SPAN_US`.
 #[derive(Clone, Debug, Default)]
 pub struct Totals {
-    /// Priority weight of the answered requests. That of late ones is multiplied by the late value ratio of their class.
+    /// Sum of the priority weights of all answered requests. The weight of a late request is multiplied by its class's late value
+    /// ratio: the share of its value that a late answer keeps.
     pub priority_weight: f64,
     /// Like `priority_weight`, for the requests that arrive during the surge.
     pub priority_weight_in_surge: f64,
--- a/crates/fault-injection/src/core/simulation.rs
+++ b/crates/fault-injection/src/core/simulation.rs
@@ -150,7 +150,7 @@
         simulation
     }
 
-    /// Runs the faults and the recovery, and checks the rules.
+    /// Runs the faults and the recovery, and checks the rules in `rules.rs`.
     pub(super) fn run(mut self) -> Findings {
         let end = self.faults_end + SECOND * RECOVERY_SECONDS;
         while let Some(((at, _), event)) = self.queue.pop_first() {
--- a/crates/fault-injection/src/elimination/group.rs
+++ b/crates/fault-injection/src/elimination/group.rs
@@ -58,8 +58,8 @@
         }
     }
 
-    /// Selects any endpoint that is not ejected, slow endpoints less often. Canary endpoints are never ejected (departure G in
-    /// docs/design.md).
+    /// Selects any endpoint that is not ejected, slow endpoints less often. Canary endpoints are never ejected: otherwise, a build
+    /// that fails every request would yield too few outcomes to be eliminated (departure G in docs/design.md).
     fn select_endpoint(&self, scenario: &Scenario, at_seconds: f64, rng: &mut WyRand) -> usize {
         let now = timestamp(at_seconds);
         let mut selected = 0;
--- a/crates/flow-export/src/report/table.rs
+++ b/crates/flow-export/src/report/table.rs
@@ -5,6 +5,8 @@
 use super::record::ClassAtStage;
 use super::{AttemptCounts, FlowReport, ShareCounts};
 
+/// The names of the columns are stable. `product` is the request class, `submissions` the attempts, `served` the succeeded attempts,
+/// `errored` the server errors, `second` the retries, `share` the stage's share of the requests, and `cap` its exposure limit.
 const HEADER: &str =
     "build stage product      submissions  served errored timed-out   late   mean-ms second  share    cap\n";
 const PPM: f64 = 1e6;
--- a/crates/gateway/src/rollout/commands.rs
+++ b/crates/gateway/src/rollout/commands.rs
@@ -18,7 +18,7 @@
 /// The delay before a retry is the command timeout divided by this.
 const RETRY_DELAY_DIVISOR: f64 = 2.0;
 
-/// Durations for commands and votes that do not come from the rollout controller's settings.
+/// Durations used by commands and votes. These durations are not part of the rollout controller's settings.
 pub(crate) struct CommandTimes {
     /// How long a vote counts after it was cast.
     pub(crate) vote_ttl: TimeDelta,
--- a/crates/http/src/head.rs
+++ b/crates/http/src/head.rs
@@ -130,10 +130,10 @@
 
 /// Parses a head, and returns its fields and its size in bytes. `None` while the head is incomplete.
 fn parse_fields<'b>(
-    parse: impl FnOnce(&mut [Header<'b>]) -> httparse::Result<usize>,
+    parse_head: impl FnOnce(&mut [Header<'b>]) -> httparse::Result<usize>,
 ) -> Result<Option<(HeaderFields<'b>, usize)>, ParseError> {
     let mut fields = [EMPTY_HEADER; MAX_FIELDS];
-    let Status::Complete(size) = parse(&mut fields)? else {
+    let Status::Complete(size) = parse_head(&mut fields)? else {
         return Ok(None);
     };
     if size > MAX_HEAD_BYTES {
--- a/crates/multi-site/src/multi_site/outbound.rs
+++ b/crates/multi-site/src/multi_site/outbound.rs
@@ -184,7 +184,8 @@
         }
     }
 
-    /// Finishes a forwarded request whose outcome stays unknown.
+    /// Handles a forwarded request whose outcome stays unknown: serves it locally if a repeat is safe and time remains, and fails it
+    /// otherwise. If the local policy has rejected it before, it is rejected instead of served.
     pub(super) fn finish_unknown(&mut self, request: OutboundRequest) {
         match request.local_retry_time(self.now, self.config.tick) {
             Some(remaining) => self.serve_after_loss(&request, remaining),
--- a/crates/policy/src/fleet_view.rs
+++ b/crates/policy/src/fleet_view.rs
@@ -65,7 +65,8 @@
     }
 
     /// Whether worse service has no visible cause but the build: nearly the whole fleet is warm and reachable, no zone is ejected,
-    /// and there is no more traffic than usual.
+    /// and there is no more traffic than usual. Original requests are requests that are not client retries: `recent_original_requests`
+    /// counts those in the latest traffic window, and `usual_original_requests` is the mean per traffic window before the rollout.
     pub(crate) fn is_undisturbed(
         &self,
         recent_original_requests: f64,
--- a/crates/policy/src/zone_ejection.rs
+++ b/crates/policy/src/zone_ejection.rs
@@ -8,9 +8,10 @@
 use crate::endpoint_table::EndpointTable;
 use crate::outlier_ejection::ejection_length;
 
-/// A zone is unresponsive if the waiting times of its endpoints add up to more than this many mean latencies.
+/// A zone is unresponsive if the times for which its endpoints have left attempts unanswered, plus a charge for each failed
+/// connection, add up to more than this many mean latencies.
 const UNRESPONSIVE_ZONE_RATIO: f64 = 12.0;
-/// A failed connection counts as a waiting time of this many mean latencies.
+/// The charge for a failed connection, in mean latencies.
 const CONNECT_FAILURE_RATIO: f64 = 3.0;
 
 /// The combined responsiveness of a zone's endpoints.
--- a/crates/rollout-controller/src/vote_table.rs
+++ b/crates/rollout-controller/src/vote_table.rs
@@ -68,7 +68,10 @@
     }
 
     /// Records another gateway's vote. Messages that are duplicated, late, out of order or from before the sender's restart are ignored.
-    /// If the sender's clock was set back by more than its downtime, its votes are ignored until its clock passes its previous start.
+    ///
+    /// A gateway uses its start time, by its own clock, as its incarnation. If the clock of the sender was set back across a restart
+    /// by more than the downtime, the new incarnation is smaller than the previous one. The sender's votes are then ignored until
+    /// the sender restarts with a larger incarnation.
     pub(crate) fn receive(&mut self, now: Timestamp, from: PeerId, message: VoteMessage) {
         if from >= PeerId(self.gateway_count) || from == self.local_peer {
             return;
--- a/crates/site-transport/src/error.rs
+++ b/crates/site-transport/src/error.rs
@@ -122,7 +122,8 @@
     /// The peer presented no certificate.
     #[error("certificate shows no certificate")]
     NoCertificate,
-    /// The peer's certificate does not identify a gateway.
+    /// The peer's certificate does not identify a gateway. `Pem` and `Missing` don't occur here, because QUIC passes the certificate
+    /// in DER form.
     #[error("certificate {0}")]
     Certificate(#[source] CertificateError),
     /// The peer's certificate identifies a gateway of a site other than the expected one.
